--- /dev/null
+++ b/tests/test_characterization_wire.cpp
@@ -0,0 +1,422 @@
+// Characterization of the bytes on every connection of a manager: clients' HTTP, the engine protocol, the
+// stream of the discovery service, the frames of the admin channel, and the keys of GET /counters. Written
+// from the build of 2026-12-02 (commit 00483fc). Numbers that depend on the time it takes are written as N.
+//
+// The expected values are not changed in a sitting that renames: a difference there is a rename that clients,
+// engines or operators' scripts would notice.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <regex>
+#include <set>
+
+#include "admin.pb.h"
+#include "admin/frames.h"
+#include "admin/session.h"
+#include "core/rule_guard.h"
+#include "daemon_fixture.h"
+#include "engines/resp.h"
+#include "net/log.h"
+#include "net/reasons.h"
+#include "scripted_discovery.h"
+
+namespace {
+
+using namespace pearchute;
+using namespace pearchute::test;
+using Lines = std::vector<std::string>;
+
+std::string with_numbers_masked(const std::string& text, const std::string& before) {
+  return std::regex_replace(text, std::regex(before + "[0-9]+"), before + "N");
+}
+
+// ---- The engine protocol, by its state machine
+
+struct NoListener final : net::EngineTalk::Listener {
+  void talk_ended(net::DispatchKey, Outcome, std::vector<std::string>) override {}
+  void talk_progress(net::DispatchKey, double) override {}
+  void talk_spill(net::DispatchKey, double) override {}
+  void talk_wait(net::DispatchKey, Wait) override {}
+};
+
+std::string resp(std::initializer_list<std::string_view> words) {
+  std::string out;
+  net::append_command(out, words);
+  return out;
+}
+
+TEST(EngineProtocol, CommandsAreAsTheyWere) {
+  NoListener listener;
+  net::EngineTalk talk(listener);
+  std::string out;
+  const net::DispatchKey first{JobId{1}, 0}, second{JobId{2}, 1};
+  net::Want plain;
+  plain.id = "000000000000000a", plain.kind = "quick", plain.statement = "SELECT 1", plain.wait_ms = 250;
+  talk.want(first, plain, out);
+  EXPECT_EQ(out,
+            "*4\r\n$4\r\nwant\r\n$16\r\n000000000000000a\r\n$26\r\nkind=quick,ms=250,weight=1\r\n"
+            "$8\r\nSELECT 1\r\n");
+  out.clear();
+  net::Want whole;
+  whole.id = "000000000000000b", whole.kind = "marked", whole.token = "key-1", whole.statement = "x";
+  whole.wait_ms = 9, whole.grant_mb = 64, whole.priority = 3;
+  talk.want(second, whole, out);
+  EXPECT_EQ(out,
+            "*4\r\n$4\r\nwant\r\n$16\r\n000000000000000b\r\n$48\r\n"
+            "kind=marked,ms=9,token=key-1,workmem=64,weight=3\r\n$1\r\nx\r\n");
+  out.clear();
+  talk.hurry(second, 2, out);
+  EXPECT_EQ(out, "*3\r\n$5\r\nhurry\r\n$16\r\n000000000000000b\r\n$1\r\n2\r\n");
+  out.clear();
+  talk.ask_for_a_sign(out);
+  EXPECT_EQ(out, "*2\r\n$5\r\nthere\r\n$1\r\n0\r\n");
+  out.clear();
+  talk.never_mind(first, out);
+  EXPECT_EQ(out, "*2\r\n$10\r\nnever_mind\r\n$16\r\n000000000000000a\r\n*2\r\n$5\r\nthere\r\n$1\r\n1\r\n");
+  out.clear();
+  ASSERT_TRUE(talk.feed(resp({"000000000000000b", "HIT", "fetches=2", "a\tb\tc\n"}), out));
+  EXPECT_EQ(out, "*3\r\n$4\r\nturn\r\n$16\r\n000000000000000b\r\n$1\r\n1\r\n");
+  out.clear();
+  ASSERT_TRUE(talk.feed(resp({"000000000000000b", "PART", "fetch_no=1", "d\te\tf\n"}), out));
+  EXPECT_EQ(out, "*2\r\n$4\r\nshut\r\n$16\r\n000000000000000b\r\n");
+}
+
+// ---- The admin channel's frames
+
+struct NameDesk final : admin::Desk {
+  void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override {
+    if (call.has_who()) reply.mutable_identity()->set_name("n1");
+  }
+};
+
+TEST(AdminFrames, CallsAndRepliesAreFramedAsTheyWere) {
+  NameDesk desk;
+  admin::Session session(desk);
+  std::string out;
+  // Number 5, asks who it is: field 1 is 5, field 2 an empty message; and number 6 a call that nobody knows.
+  ASSERT_TRUE(session.feed(std::string("\0\0\0\4\x08\x05\x12\x00", 8)));
+  ASSERT_TRUE(session.feed(std::string("\0\0\0\5\x08\x06\xfa\x07\x00", 9)));
+  session.turn(0, out);
+  admin::v1::Reply unknown;
+  const std::string identity("\0\0\0\10\x08\x05\x22\x04\x0a\x02n1", 12);
+  ASSERT_GE(out.size(), identity.size());
+  EXPECT_EQ(out.substr(0, identity.size()), identity);
+  ASSERT_GE(out.size(), identity.size() + 4);
+  ASSERT_TRUE(unknown.ParseFromString(out.substr(identity.size() + 4)));
+  EXPECT_EQ(out.substr(identity.size() + 4, 4), std::string("\x08\x06\x10\x01"));  // its outcome is 1
+}
+
+// ---- A manager as a process, with an engine that answers by the statement's first word
+
+class RecordingEngine {
+ public:
+  RecordingEngine() : listener_(listen_on(port_)), acceptor_([this] { accept_all(); }) {}
+  ~RecordingEngine() {
+    shutdown(listener_, SHUT_RDWR);
+    acceptor_.join();
+    close(listener_);
+    for (const int peer : peers_) shutdown(peer, SHUT_RDWR);
+    for (std::thread& reader : readers_) reader.join();
+    for (const int peer : peers_) close(peer);
+  }
+  RecordingEngine(const RecordingEngine&) = delete;
+  RecordingEngine& operator=(const RecordingEngine&) = delete;
+
+  std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+  // The commands since the last call, their words set apart by spaces.
+  Lines take() {
+    const std::lock_guard lock(mutex_);
+    return std::exchange(commands_, {});
+  }
+  std::size_t count() const {
+    const std::lock_guard lock(mutex_);
+    return commands_.size();
+  }
+
+ private:
+  void accept_all() {
+    for (int peer; (peer = accept(listener_, nullptr, nullptr)) >= 0;) {
+      peers_.push_back(peer);
+      readers_.emplace_back([this, peer] { read_all(peer); });
+    }
+  }
+  void read_all(int peer) {
+    net::RespReader reader;
+    char buffer[4096];
+    for (ssize_t got; (got = recv(peer, buffer, sizeof buffer, 0)) > 0;) {
+      reader.feed({buffer, static_cast<std::size_t>(got)}, [&](std::vector<std::string>& words) {
+        note(words);
+        say(peer, answer_to(words));
+      });
+    }
+  }
+  void note(const std::vector<std::string>& words) {
+    std::string line;
+    for (const std::string& word : words) line += (line.empty() ? "" : " ") + word;
+    const std::lock_guard lock(mutex_);
+    commands_.push_back(line);
+  }
+  static std::string answer_to(const std::vector<std::string>& words) {
+    const std::string& command = words[0];
+    if (command == "there") return resp({words[1], "PONG", "-", ""});
+    if (command == "turn") return resp({words[1], "PART", "fetch_no=1", "d\te\tf\n"});
+    if (command != "want") return "";
+    const std::string& statement = words[3];
+    if (statement.starts_with("pages")) return resp({words[1], "HIT", "fetches=2", "a\tb\tc\n"});
+    if (statement.starts_with("page")) return resp({words[1], "HIT", "fetches=1", "a\t\"b\"\tc\n"});
+    if (statement.starts_with("fault")) return resp({words[1], "FAULT", "-", "broken"});
+    if (statement.starts_with("shed")) return resp({words[1], "SHED", "-", ""});
+    return "";  // never answers
+  }
+
+  int port_ = 0;
+  int listener_;
+  mutable std::mutex mutex_;
+  Lines commands_;
+  std::vector<int> peers_;
+  std::vector<std::thread> readers_;
+  std::thread acceptor_;
+};
+
+constexpr const char* all_effects = R"({"classes":[
+    {"name":"quick","repeat":"pure","slo":6000000,"giveUp":9000000,"worth":1},
+    {"name":"marked","repeat":"token","keyScope":"all","window":9000000,"slo":6000000,"giveUp":9000000,"worth":1},
+    {"name":"once","repeat":"side_effect","slo":6000000,"giveUp":9000000,"worth":1}],
+    "hostTypes":["std"],"failureDomains":["east"],"zone":"east","nInstances":1,
+    "familyInfo":{"coresByKind":[8],"sizeMb":[8000],"takesGrants":true,"takesPriority":true,"grantCap":0.5},
+    "limits":{"attemptsCap":2,"cancel":true,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":4,
+              "retryAfter":true,"maxRetryAfter":500000}})";
+
+class ManagerTest : public testing::Test {
+ protected:
+  ManagerTest() {
+    const std::string channel;
+    fixture_.configure(all_effects, known({{"s-1", engine_.address()}}));
+    std::ofstream(admin_file()) << "[admin]\nlisten = unix:" << fixture_.folder << "/admin.sock\n";
+    std::ofstream(fleet_file()) << "[instance n1]\nadmin = unix:" << fixture_.folder
+                                << "/admin.sock\nzone = hall-a\nlabels = rack=7\n";
+    fixture_.daemon =
+        lab::start_child({.program = PEARCHUTED,
+                          .arguments = {"--config", fixture_.configuration, "--admin", admin_file()},
+                          .environment = {},
+                          .log = "/dev/null",
+                          .inherits = true});
+  }
+  void SetUp() override {
+    ASSERT_TRUE(soon([&] { return fixture_.ready(); }));
+  }
+  ~ManagerTest() override {
+    for (const std::string& file : {admin_file(), fleet_file(), fixture_.folder + "/admin.sock"})
+      std::filesystem::remove(file);
+  }
+  std::string admin_file() const { return fixture_.folder + "/admin.ini"; }
+  std::string fleet_file() const { return fixture_.folder + "/fleet.ini"; }
+
+  static JobCall request(int number, const std::string& statement, const std::string& type = "quick",
+                         const std::string& headers = "") {
+    return {number, statement, 1500, type, headers};
+  }
+  std::string answer_to(const std::string& bytes) const { return call(fixture_.port, bytes); }
+  std::string answer_to(const JobCall& one) const { return answer_to(one.bytes()); }
+  // What the engine has been sent since the last call.
+  Lines sent() {
+    Lines lines = engine_.take();
+    for (std::string& line : lines) line = with_numbers_masked(line, "ms=");
+    return lines;
+  }
+
+  RecordingEngine engine_;
+  DaemonFixture fixture_;
+};
+
+std::string response(const std::string& first_line, const std::string& headers, const std::string& body) {
+  return "HTTP/1.1 " + first_line +
+         "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" +
+         headers + "\r\n" + body;
+}
+
+TEST_F(ManagerTest, AnswersWithAResult) {
+  EXPECT_EQ(answer_to(request(1, "page FROM a_1.t")),
+            response("200 OK", "", R"({"values":[["a","\"b\"","c"]]})"));
+  EXPECT_EQ(sent(), (Lines{"want 0000000000000001 kind=quick,ms=N,workmem=9,weight=2 page FROM a_1.t"}));
+  EXPECT_EQ(answer_to(request(2, "pages")),
+            response("200 OK", "", R"({"values":[["a","b","c"],["d","e","f"]]})"));
+  ASSERT_TRUE(soon([&] { return engine_.count() == 3; }));
+  EXPECT_EQ(sent(), (Lines{"want 0000000000000002 kind=quick,ms=N,workmem=9,weight=2 pages",
+                           "turn 0000000000000002 1", "shut 0000000000000002"}));
+}
+
+TEST_F(ManagerTest, AnswersWhatItCanNotTake) {
+  const std::pair<std::string, std::string> cases[] = {
+      {"GET /check HTTP/1.1\r\n\r\n", response("200 OK", "", R"({"up":true})")},
+      {request(1, "page", "nothing").bytes(),
+       response("404 Not Found", "", R"({"error":"no such reservation type"})")},
+      {request(1, "page", "marked").bytes(),
+       response("400 Bad Request", "", R"({"error":"Idempotency-Key is not usable"})")},
+      {JobCall{1, "page", 0}.bytes(),
+       response("400 Bad Request", "", R"({"error":"X-Timeout-Ms is not usable"})")},
+      {request(1, "").bytes(), response("400 Bad Request", "", R"({"error":"the body is no statement"})")},
+      {"POST /do/quick HTTP/1.1\r\nContent-Length: 1\r\n\r\nx",
+       response("400 Bad Request", "", R"({"error":"X-Request-Id is not 16 hex digits"})")},
+      {"GET /do/quick HTTP/1.1\r\n\r\n",
+       response("405 Method Not Allowed", "", R"({"error":"work is posted"})")},
+      {"GET /job/00000000000000ff HTTP/1.1\r\n\r\n",
+       response("404 Not Found", "", R"({"error":"nothing is here"})")},
+      {"DELETE /job/00000000000000ff HTTP/1.1\r\n\r\n",
+       response("404 Not Found", "", R"({"error":"nothing is here"})")},
+      {"POST /job/00000000000000ff HTTP/1.1\r\n\r\n",
+       response("404 Not Found", "", R"({"error":"nothing is here"})")},
+      {"GET /nothing HTTP/1.1\r\n\r\n", response("404 Not Found", "", R"({"error":"nothing is here"})")},
+      {"GET /check HTTP/1.1\r\nConnection: close\r\n\r\n",
+       response("200 OK", "Connection: close\r\n", R"({"up":true})")},
+      {"GET /check HTTP/1.0\r\n\r\n", response("200 OK", "Connection: close\r\n", R"({"up":true})")},
+      {"rubbish\r\n\r\n",
+       response("400 Bad Request", "Connection: close\r\n", R"({"error":"the call can't be read"})")},
+      {"POST /do/quick HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n",
+       response("413 Content Too Large", "Connection: close\r\n", R"({"error":"the call can't be read"})")},
+  };
+  for (const auto& [bytes, expected] : cases) EXPECT_EQ(answer_to(bytes), expected) << bytes;
+  EXPECT_EQ(sent(), Lines{});
+}
+
+TEST_F(ManagerTest, AnswersWhatFails) {
+  const std::string try_later =
+      response("503 Service Unavailable", "Retry-After-Ms: 500\r\n", R"({"abort":"TryLater"})");
+  const std::string pure = "want 0000000000000001 kind=quick,ms=N,workmem=9,weight=2 fault";
+  EXPECT_EQ(answer_to(request(1, "fault")), try_later);
+  EXPECT_EQ(sent(), (Lines{pure, pure}));
+  const std::string by_key = "want 0000000000000002 kind=marked,ms=N,token=key-1,workmem=9,weight=2 fault";
+  EXPECT_EQ(answer_to(request(2, "fault", "marked", "Idempotency-Key: key-1\r\n")), try_later);
+  EXPECT_EQ(sent(), (Lines{by_key, by_key}));
+  EXPECT_EQ(answer_to(request(3, "fault", "once")),
+            response("500 Internal Server Error", "", R"({"abort":"Aborted"})"));
+  EXPECT_EQ(sent(), (Lines{"want 0000000000000003 kind=once,ms=N,workmem=9,weight=2 fault"}));
+}
+
+TEST_F(ManagerTest, TellsWhenToComeAgain) {
+  EXPECT_EQ(with_numbers_masked(answer_to(request(1, "shed")), "Retry-After-Ms: "),
+            response("503 Service Unavailable", "Retry-After-Ms: N\r\n", R"({"abort":"TryLater"})"));
+  Lines lines = sent();
+  for (std::string& line : lines) line = with_numbers_masked(line, "workmem=");
+  const std::string turned_away = "want 0000000000000001 kind=quick,ms=N,workmem=N,weight=2 shed";
+  EXPECT_EQ(lines, (Lines{turned_away, turned_away}));
+}
+
+TEST_F(ManagerTest, CancelsAtTheEngine) {
+  const int fd = connect_to(fixture_.port);
+  say(fd, request(1, "never").bytes());
+  ASSERT_TRUE(soon([&] { return engine_.count() == 1; }));
+  EXPECT_EQ(answer_to(request(1, "never")),
+            response("409 Conflict", "", R"({"error":"this request is being served"})"));
+  close(fd);
+  ASSERT_TRUE(soon([&] { return engine_.count() >= 3; }));
+  EXPECT_EQ(sent(), (Lines{"want 0000000000000001 kind=quick,ms=N,workmem=9,weight=2 never",
+                           "never_mind 0000000000000001", "there 0"}));
+}
+
+TEST_F(ManagerTest, GivesAPathToALongRequest) {
+  JobCall long_request = request(1, "never");
+  long_request.patience_ms = 9000;
+  const int fd = connect_to(fixture_.port);
+  say(fd, long_request.bytes());
+  EXPECT_EQ(hear(fd), response("200 OK", "", R"({"link":"/job/0000000000000001"})"));
+  EXPECT_EQ(answer_to("DELETE /job/0000000000000001 HTTP/1.1\r\n\r\n"), response("200 OK", "", "{}"));
+  close(fd);
+}
+
+// ---- GET /counters
+
+// Those hold what has happened so far and is not zero; `NamesOfReasonsAreAsTheyWere` looks at their keys.
+const std::set<std::string> counts_by_name = {"clients_closed", "engines_closed",  "refused",     "given_up",
+                                              "retried",        "rules.held_back", "rules.broken"};
+
+void add_keys(const nlohmann::json& value, const std::string& path, Lines& keys) {
+  if (!value.is_object() || counts_by_name.contains(path)) return keys.push_back(path);
+  for (const auto& [key, within] : value.items()) {
+    add_keys(within, path.empty() ? key : path + "." + key, keys);
+  }
+}
+
+Lines keys_of(const nlohmann::json& value) {
+  Lines keys;
+  add_keys(value, "", keys);
+  std::ranges::sort(keys);
+  return keys;
+}
+
+TEST_F(ManagerTest, CountersHaveTheKeysThatTheyHad) {
+  const std::string answer = answer_to("GET /counters HTTP/1.1\r\n\r\n");
+  const std::size_t body = answer.find("\r\n\r\n");
+  ASSERT_NE(body, std::string::npos);
+  EXPECT_EQ(with_numbers_masked(answer.substr(0, body), "Content-Length: "),
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: N");
+  const Lines expected = {
+#include "data/characterization/counter_keys.inc"
+  };
+  EXPECT_EQ(keys_of(nlohmann::json::parse(answer.substr(body + 4))), expected);
+}
+
+// Counts that are zero are left out there, so that their names are looked at here.
+template <class Reason>
+std::string all_names(const std::array<std::string_view, net::ReasonCounts<Reason>::size>& names) {
+  net::ReasonCounts<Reason> counts;
+  for (std::size_t i = 0; i < names.size(); ++i) {
+    for (std::size_t n = 0; n <= i; ++n) counts.add(static_cast<Reason>(i));
+  }
+  return net::as_json_object(counts, names);
+}
+
+TEST(Counters, NamesOfReasonsAreAsTheyWere) {
+  EXPECT_EQ(all_names<net::ClientCloseReason>(net::client_close_names),
+            "{\"client_left\":1,\"last_answer\":2,\"idle\":3,\"call_incomplete\":4,\"call_unreadable\":5,"
+            "\"answer_unread\":6,\"table_full\":7,\"no_place\":8,\"too_much_unread\":9,\"came_again\":10,"
+            "\"manager_ends\":11}");
+  EXPECT_EQ(all_names<net::EngineCloseReason>(net::engine_close_names),
+            "{\"engine_ended\":1,\"not_up_in_time\":2,\"short_of_resources\":3,\"idle\":4,\"room_needed\":5,"
+            "\"silent\":6,\"answer_broken\":7,\"answer_stops\":8,\"in_doubt\":9,\"takes_nothing\":10,"
+            "\"engine_gone\":11}");
+  EXPECT_EQ(all_names<net::RefusalReason>(net::refusal_names),
+            "{\"ending\":1,\"draining\":2,\"too_many_open\":3,\"too_much_unread\":4,\"id_in_use\":5,"
+            "\"unusable\":6}");
+  EXPECT_EQ(all_names<GiveUpReason>(give_up_names),
+            "{\"costly\":1,\"hopeless\":2,\"queue_full\":3,\"time_is_up\":4,\"too_late\":5,\"spent\":6,\"not_"
+            "taken\":7,\"client_gone\":8,\"crammed\":9,\"ending\":10,\"order_unknown\":11}");
+  EXPECT_EQ(all_names<Outcome>(outcome_names),
+            "{\"done\":1,\"error\":2,\"full\":3,\"timed_out\":4,\"unreachable\":5,\"reset\":6,\"stopped\":7,"
+            "\"never_sent\":8}");
+  std::string rules;
+  for (const std::string_view name : rule_names) rules += std::string(name) + " ";
+  EXPECT_EQ(rules,
+            "one_answer answer_in_time no_silent_close client_is_there engine_takes_work time_is_left "
+            "runs_once one_attempt_out attempts_are_few not_while_ending order_by_key key_rests cold_budget "
+            "placement repeat_group attempt_budget time_told ");
+}
+
+// ---- The discovery service's stream
+
+TEST(Discovery, RequestIsAsItWas) {
+  std::mutex mutex;
+  std::string heard;
+  ScriptedDiscovery discovery([&](int peer) {
+    const std::string request = hear_request(peer);
+    {
+      const std::lock_guard lock(mutex);
+      if (heard.empty()) heard = request;
+    }
+    close(peer);
+  });
+  DaemonFixture fixture;
+  fixture.configure(usual_settings, known({{"s-1", "127.0.0.1:1"}}), discovery.address());
+  fixture.go();
+  ASSERT_TRUE(soon([&] {
+    const std::lock_guard lock(mutex);
+    return !heard.empty();
+  }));
+  const std::lock_guard lock(mutex);
+  EXPECT_EQ(heard, "GET /cmd/next HTTP/1.1\r\nHost: " + discovery.address() +
+                       "\r\nAccept: text/event-stream\r\nLast-Event-ID: 1\r\n\r\n");
+}
+
+}  // namespace
