--- a/tests/test_characterization_wire.cpp
+++ b/tests/test_characterization_wire.cpp
@@ -1,6 +1,7 @@
 // Characterization of the bytes on every connection of a manager: clients' HTTP, the engine protocol, the
-// stream of the discovery service, the frames of the admin channel, and the keys of GET /counters. Written
-// from the build of 2026-12-02 (commit 00483fc). Numbers that depend on the time it takes are written as N.
+// stream of the discovery service, the frames of the admin channel, and the keys of GET /counters
+// and of pearchutectl's JSON. Written from the build of 2026-12-02 (commit 00483fc). Numbers that depend on
+// the time it takes are written as N.
 //
 // The expected values are not changed in a sitting that renames: a difference there is a rename that clients,
 // engines or operators' scripts would notice.
@@ -419,4 +420,74 @@
                        "\r\nAccept: text/event-stream\r\nLast-Event-ID: 1\r\n\r\n");
 }
 
+// ---- pearchutectl's JSON
+
+class ControlTest : public ManagerTest {
+ protected:
+  // One line for each row of its output: the row's keys as they stand, each with its type.
+  Lines keys_printed_by(const Lines& arguments, int expected_status = 0) const {
+    const std::string output_file = fixture_.folder + "/output";
+    std::filesystem::remove(output_file);
+    Lines whole = {"--fleet", fleet_file(), "--output", "json"};
+    whole.insert(whole.end(), arguments.begin(), arguments.end());
+    const int output = open(output_file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+    const pid_t child = lab::start_child({.program = PEARCHUTECTL,
+                                          .arguments = whole,
+                                          .environment = {},
+                                          .log = "/dev/null",
+                                          .output = output});
+    close(output);
+    EXPECT_EQ(end_of(child), expected_status);
+    std::ifstream in(output_file);
+    const std::string text{std::istreambuf_iterator<char>(in), {}};
+    std::filesystem::remove(output_file);
+    Lines lines;
+    const auto rows = nlohmann::ordered_json::parse(text, nullptr, false);
+    if (rows.is_discarded()) return {text};
+    for (const auto& row : rows) {
+      std::string line;
+      for (const auto& [key, value] : row.items()) line += key + ":" + value.type_name() + " ";
+      lines.push_back(line);
+    }
+    return lines;
+  }
+};
+
+TEST_F(ControlTest, RowsHaveTheKeysThatTheyHad) {
+  const int fd = connect_to(fixture_.port);
+  say(fd, request(1, "never").bytes());
+  ASSERT_TRUE(soon([&] { return engine_.count() == 1; }));
+  EXPECT_EQ(
+      keys_printed_by({"status"}),
+      Lines{"instance:string zone:string state:string phase:string rest:string up:string jobs:number "
+            "held:number engines:string orders:number build:string digest:string started_unix_ms:number "
+            "pid:number memory_kb:number descriptors:number ending:boolean counters:object "});
+  EXPECT_EQ(keys_printed_by({"engines"}),
+            Lines{"instance:string zone:string engine:string address:string engine_zone:string kind:string "
+                  "state:string said:string live_mb:number capacity_mb:number threads:number slots:number "
+                  "pace:number errors:number cold:boolean connections:number out:number kept_back:number "
+                  "oldest:string "});
+  EXPECT_EQ(keys_printed_by({"jobs"}),
+            Lines{"instance:string zone:string job:string type:string age:string left_ms:number "
+                  "dispatches:number out:string waits_for:string "});
+  // It calls itself t and not n1.
+  EXPECT_EQ(keys_printed_by({"check"}, 4), Lines{"instance:string zone:string admin:string result:string "});
+  EXPECT_EQ(keys_printed_by({"engine", "list"}),
+            Lines{"engine:string zone:string address:string states:string one_mind:boolean held_by:string "});
+  EXPECT_EQ(keys_printed_by({"engine", "drain", "s-1", "--dry-run"}),
+            Lines{"instance:string zone:string subject:string result:string "});
+  EXPECT_EQ(keys_printed_by({"engine", "drain", "s-1", "--yes", "--as", "ann"}),
+            Lines{"instance:string zone:string subject:string result:string state:string generation:number "
+                  "in_force:array "});
+  EXPECT_EQ(keys_printed_by({"orders"}), Lines{"instance:string zone:string subject:string holder:string "
+                                               "generation:number left:string reason:string id:string "});
+  EXPECT_EQ(
+      keys_printed_by({"engine", "restore", "s-1", "--as", "ann"}),
+      Lines{"instance:string zone:string subject:string result:string state:string generation:number "});
+  EXPECT_EQ(keys_printed_by({"log-level", "warning"}), Lines{"instance:string zone:string result:string "});
+  EXPECT_EQ(keys_printed_by({"drain", "--dry-run"}),
+            Lines{"instance:string zone:string subject:string result:string "});
+  close(fd);
+}
+
 }  // namespace
