--- a/src/admin/caller.cpp
+++ b/src/admin/caller.cpp
@@ -16,11 +16,11 @@
   if (wire_) loop_.retire(std::move(wire_));
 }
 
-void Caller::call(v1::Call call, Span within, Heard heard) {
+void Caller::call(v1::Call call, Duration within, Heard heard) {
   send(call, within, {std::move(heard), {}, false});
 }
 
-void Caller::watch(std::uint64_t after, Span within, std::function<void(const v1::Event&)> event,
+void Caller::watch(std::uint64_t after, Duration within, std::function<void(const v1::Event&)> event,
                    Heard ended) {
   v1::Call call;
   call.mutable_watch()->set_after(after);
@@ -35,7 +35,7 @@
   wire_ = std::make_unique<net::Wire>(loop_, place_.address, *this);
 }
 
-std::uint64_t Caller::send(v1::Call& call, Span within, Waiting waiting) {
+std::uint64_t Caller::send(v1::Call& call, Duration within, Waiting waiting) {
   const std::uint64_t number = next_number_++;
   waiting_[number] = std::move(waiting);
   call.set_number(number);
--- a/src/admin/caller.h
+++ b/src/admin/caller.h
@@ -29,9 +29,9 @@
   Caller(net::Loop& loop, const Place& place);
   ~Caller() override;
   // `heard` comes exactly once, after this event. The call's number is set here.
-  void call(v1::Call call, Span within, Heard heard);
+  void call(v1::Call call, Duration within, Heard heard);
   // The events of a watch, and its end.
-  void watch(std::uint64_t after, Span within, std::function<void(const v1::Event&)> event, Heard ended);
+  void watch(std::uint64_t after, Duration within, std::function<void(const v1::Event&)> event, Heard ended);
 
  private:
   struct Waiting {
@@ -40,7 +40,7 @@
     bool watching = false;
   };
   void connect();  // unless a connection is there, or on its way
-  std::uint64_t send(v1::Call& call, Span within, Waiting waiting);
+  std::uint64_t send(v1::Call& call, Duration within, Waiting waiting);
   void wire_brought(std::string_view bytes) override;
   void wire_ended() override;
   void end_all(CallEnd end);
--- a/src/core/arrival_order.cpp
+++ b/src/core/arrival_order.cpp
@@ -13,21 +13,21 @@
 // Whether it can't be told which of the two came first.
 bool overlap(const ArrivalOrder::Call& one, const ArrivalOrder::Call& other) {
   const bool is_open = one.earliest < other.latest && other.earliest < one.latest;
-  const Span within = std::max(one.latest, other.latest) - std::min(one.earliest, other.earliest);
+  const Duration within = std::max(one.latest, other.latest) - std::min(one.earliest, other.earliest);
   return one.key == other.key && is_open && within >= closer_than_clients_write;
 }
 
 }  // namespace
 
-void ArrivalOrder::withdrawn(JobId id) {
+void ArrivalOrder::withdrawn(RequestId id) {
   std::erase_if(waiting_, [&](const Call& call) { return call.id == id; });
 }
 
-Span ArrivalOrder::needs_read_up_to() const {
-  return waiting_.empty() ? Span::max() : std::ranges::min(waiting_, {}, &Call::latest).latest;
+Duration ArrivalOrder::needs_read_up_to() const {
+  return waiting_.empty() ? Duration::max() : std::ranges::min(waiting_, {}, &Call::latest).latest;
 }
 
-std::vector<ArrivalOrder::Settled> ArrivalOrder::settle(Span now, Span read_up_to) {
+std::vector<ArrivalOrder::Settled> ArrivalOrder::settle(Duration now, Duration read_up_to) {
   // The middle of the bounds tells the order of all calls of a key whose bounds are apart.
   std::ranges::stable_sort(waiting_, {}, [](const Call& call) { return call.earliest + call.latest; });
   const auto is_overdue = [&](const Call& call) { return now - call.read >= waits_at_most; };
--- a/src/core/arrival_order.h
+++ b/src/core/arrival_order.h
@@ -14,25 +14,25 @@
 class ArrivalOrder {
  public:
   struct Call {
-    JobId id;
+    RequestId id;
     OrderKey key;
-    Span earliest{}, latest{};  // its last byte came between these
-    Span read{};                // when it was read
+    Duration earliest{}, latest{};  // its last byte came between these
+    Duration read{};                // when it was read
   };
   struct Settled {
-    JobId id;
-    bool order_is_known = true;
+    RequestId id;
+    bool arrival_order_known = true;
   };
   // How long a call waits for others to be read: what can't be accepted for so long is not waited for.
   static constexpr std::chrono::milliseconds waits_at_most{300};
 
   void came(const Call& call) { waiting_.push_back(call); }
-  void withdrawn(JobId id);
+  void withdrawn(RequestId id);
   // Those that go on now, in order. All that came before `read_up_to` has been read.
-  std::vector<Settled> settle(Span now, Span read_up_to);
+  std::vector<Settled> settle(Duration now, Duration read_up_to);
   bool empty() const { return waiting_.empty(); }
   // The moment up to which all has to be read for the first of them to go on.
-  Span needs_read_up_to() const;
+  Duration needs_read_up_to() const;
 
  private:
   std::vector<Call> waiting_;
--- a/src/core/attempt_budget.h
+++ b/src/core/attempt_budget.h
@@ -13,31 +13,33 @@
  public:
   AttemptBudget() = default;
   explicit AttemptBudget(const ServiceDefinition& service)
-      : window_(service.ration_window), few_(service.ration_few), share_(service.ration_share) {}
-  void request_taken(Span now) {
+      : window_(service.retry_budget_window),
+        few_(service.retry_budget_minimum),
+        share_(service.retry_budget_ratio) {}
+  void request_taken(Duration now) {
     if (window_) taken_.push_back(now), forget(now, taken_);
   }
-  bool forbids_further(Span now) const {
+  bool forbids_further(Duration now) const {
     if (!window_) return false;
-    const auto within = [&](const std::deque<Span>& times) {
+    const auto within = [&](const std::deque<Duration>& times) {
       std::size_t count = 0;
       for (auto at = times.rbegin(); at != times.rend() && *at >= now - *window_; ++at) ++count;
       return static_cast<double>(count);
     };
     return within(further_) + 1 > few_ + share_ * within(taken_);
   }
-  void further_left(Span now) {
+  void further_left(Duration now) {
     if (window_) further_.push_back(now), forget(now, further_);
   }
 
  private:
-  void forget(Span now, std::deque<Span>& times) const {
+  void forget(Duration now, std::deque<Duration>& times) const {
     while (!times.empty() && times.front() < now - *window_) times.pop_front();
   }
 
-  std::optional<Span> window_;
+  std::optional<Duration> window_;
   double few_ = 0, share_ = 0;
-  std::deque<Span> taken_, further_;
+  std::deque<Duration> taken_, further_;
 };
 
 }  // namespace pearchute
--- a/src/core/beat.cpp
+++ b/src/core/beat.cpp
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void WorkloadManager::beat(Span now) {
-  host_.wake_in(milliseconds(100), beat_mark);
+void WorkloadManager::beat(Duration now) {
+  host_.schedule_wakeup(milliseconds(100), beat_mark);
   note_beat(now);
   fade_figures();
   forget_what_is_over(now);
@@ -27,8 +27,9 @@
 }
 
 // Beats that come late again and again tell that this manager's own core is short.
-void WorkloadManager::note_beat(Span now) {
-  const bool behind = beat_due_ > Span(0) && now > beat_due_ + std::max<Span>(rules_.round, milliseconds(20));
+void WorkloadManager::note_beat(Duration now) {
+  const bool behind = beat_due_ > Duration(0) &&
+                      now > beat_due_ + std::max<Duration>(rules_.event_interval, milliseconds(20));
   beats_late_ = behind ? std::min(beats_late_ + 1, 10) : std::max(beats_late_ - 1, 0);
   beat_due_ = now + milliseconds(100);
 }
@@ -36,17 +37,17 @@
 // Rates over about five seconds, data sets over ten, the mean cost over a minute.
 void WorkloadManager::fade_figures() {
   job_rate_ *= 0.98, work_taken_ *= 0.998, value_taken_ *= 0.998, data_sets_drawn_ *= 0.99;
-  for (double& rate : customer_rate_) rate *= 0.98;
+  for (double& rate : tenant_rate_) rate *= 0.98;
   for (auto& [data_set, drawn] : data_sets_) drawn *= 0.99;
 }
 
-void WorkloadManager::forget_what_is_over(Span now) {
+void WorkloadManager::forget_what_is_over(Duration now) {
   std::erase_if(lines_, [&](auto& l) { return l.second.jobs.empty() && now >= l.second.rests_until; });
   std::erase_if(data_sets_, [](const auto& one) { return one.second < 0.001; });
   std::erase_if(engines_, [](const auto& one) { return one.second.has_gone(); });
 }
 
-void WorkloadManager::look_at_engine(Span now, Engine& engine) {
+void WorkloadManager::look_at_engine(Duration now, Engine& engine) {
   look_after(now, engine);
   if (now >= engine.closed_until && !engine.on_trial) let_go(engine, now);  // else it may stand still
   for (const auto& [sent, which] : engine.out) learn_from_open(now, engine, sent, which);
@@ -59,9 +60,10 @@
 }
 
 // Guards against learning too late: what is out and already far behind counts before its answer comes.
-void WorkloadManager::learn_from_open(Span now, Engine& engine, Span sent, std::pair<JobId, int> which) {
-  const HeldJob& held = jobs_.at(which.first);
-  const Dispatch& dispatch = held.dispatches[which.second];
+void WorkloadManager::learn_from_open(Duration now, Engine& engine, Duration sent,
+                                      std::pair<RequestId, int> which) {
+  const QueuedRequest& held = jobs_.at(which.first);
+  const Attempt& dispatch = held.dispatches[which.second];
   if (dispatch.behind_load || tiny(held)) return;
   const double best = ideal_ms(held) * types_[held.job.type.value].best_pace;
   const double sample = std::min(in_ms(now - sent) / std::max(best, 1.0), 10.0);
@@ -76,9 +78,9 @@
 // Where only probes tell the load: in turn, as many a job as cost half a point in a hundred by their price,
 // and none to an engine sooner than every half second, which is about how often reports change.
 void WorkloadManager::probe_in_turn() {
-  if (!rules_.may_probe || !rules_.reports_in_probes || engines_.empty()) return;
+  if (!rules_.allows_probes || !rules_.load_reports_in_probes || engines_.empty()) return;
   const double most = 0.2 * static_cast<double>(engines_.size());
-  const double earned = 0.005 / std::max(rules_.probe_price, 1e-4) * job_rate_ / 10;
+  const double earned = 0.005 / std::max(rules_.probe_cost, 1e-4) * job_rate_ / 10;
   probes_due_ += std::min(most, earned);
   for (; probes_due_ >= 1; probes_due_ -= 1) {
     auto next = engines_.upper_bound(last_probed_);
@@ -90,11 +92,11 @@
 
 // Down a tenth each beat while a job that may go has waited for room past a tenth of a second, up again
 // slower when not; never under the mean, where it would cut what pays best and leave engines idle.
-void WorkloadManager::move_cut(Span now) {
+void WorkloadManager::move_cut(Duration now) {
   largest_ = std::max(largest_ * 0.998, mean_cost_);
   bool crowded = false;
   for (const auto& [turn, id] : held_) {
-    const HeldJob& held = jobs_.at(id);
+    const QueuedRequest& held = jobs_.at(id);
     if (held.out == 0 && may_go(now, held) && now > held.taken + milliseconds(100)) crowded = true;
   }
   if (crowded) cut_ = std::max(std::min(cut_, largest_) * 0.9, mean_cost_);
@@ -102,21 +104,22 @@
 }
 
 // Held jobs that can no longer make it: an answer now is worth more than one at the end.
-void WorkloadManager::give_up_the_late(Span now) {
+void WorkloadManager::give_up_the_late(Duration now) {
   for (auto it = held_.begin(); it != held_.end();) {
-    HeldJob& held = jobs_.at((it++)->second);
+    QueuedRequest& held = jobs_.at((it++)->second);
     // A client whose connection broke calls again at once: after a second it does not come.
     const bool gone = held.away_since && now > *held.away_since + seconds(1);
     const bool late = now + from_ms(ideal_ms(held)) > held.sla_end;
     if (held.out > 0) continue;
-    if (gone) give_up(now, held, GiveUpReason::client_gone);
-    else if (late) give_up(now, held, GiveUpReason::too_late);
-    else if (spent(now, held)) give_up(now, held, GiveUpReason::spent);
+    if (gone) give_up(now, held, RejectionReason::client_disconnected);
+    else if (late) give_up(now, held, RejectionReason::queued_too_long);
+    else if (spent(now, held)) give_up(now, held, RejectionReason::attempts_exhausted);
   }
   for (auto it = turns_.begin(); crammed() && it != turns_.end();) {
-    HeldJob& held = jobs_.at((it++)->second);
-    const bool restartable = type_of(held).effect == Effect::restartable;
-    if (now >= held.sla_end && restartable && !held.streaming) give_up(now, held, GiveUpReason::crammed);
+    QueuedRequest& held = jobs_.at((it++)->second);
+    const bool restartable = type_of(held).idempotency == Idempotency::idempotent;
+    if (now >= held.sla_end && restartable && !held.streaming)
+      give_up(now, held, RejectionReason::table_full);
   }
 }
 
--- a/src/core/cold_budgets.cpp
+++ b/src/core/cold_budgets.cpp
@@ -6,37 +6,38 @@
 namespace pearchute {
 
 ColdBudgets::ColdBudgets(const ServiceDefinition& service)
-    : multiple_(service.tip_multiple),
-      cold_from_(service.cold_from),
-      window_(service.tip_window),
-      lasts_(service.cold_lasts),
+    : multiple_(service.slow_start_limit_multiple),
+      cold_from_(service.slow_start_initial_capacity),
+      window_(service.slow_start_window),
+      lasts_(service.slow_start_duration),
       managers_(std::max(1, service.managers)),
       kinds_(service.kinds) {}
 
-void ColdBudgets::list_came(Span now, ListNews news, const std::vector<ListedEngine>& engines) {
+void ColdBudgets::on_endpoint_update(Duration now, EndpointUpdate news,
+                                     const std::vector<EngineEndpoint>& engines) {
   std::set<EngineId> named;
-  for (const ListedEngine& listed : engines) {
+  for (const EngineEndpoint& listed : engines) {
     named.insert(listed.id);
     Start& start = engines_[listed.id];
-    const bool is_new = start.listed.id != listed.id || start.listed.online_since != listed.online_since;
+    const bool is_new = start.listed.id != listed.id || start.listed.started_at != listed.started_at;
     if (is_new) start.told = now;
     start.listed = listed;
   }
   std::erase_if(engines_, [&](const auto& one) {
-    const bool has_gone = one.second.listed.state == EngineState::gone;
-    return has_gone || (news != ListNews::changes && !named.contains(one.first));
+    const bool has_gone = one.second.listed.state == EngineState::removed;
+    return has_gone || (news != EndpointUpdate::delta && !named.contains(one.first));
   });
 }
 
-const ListedEngine* ColdBudgets::listed(EngineId engine) const {
+const EngineEndpoint* ColdBudgets::listed(EngineId engine) const {
   const auto at = engines_.find(engine);
   return at == engines_.end() ? nullptr : &at->second.listed;
 }
 
 // From the listed start, or from when the list told of it if that came late, by five seconds at most.
-bool ColdBudgets::cold(Span now, const Start& start) const {
-  if (multiple_ <= 0 || window_ <= Span(0) || !start.listed.online_since) return false;
-  const Span began = *start.listed.online_since;
+bool ColdBudgets::cold(Duration now, const Start& start) const {
+  if (multiple_ <= 0 || window_ <= Duration(0) || !start.listed.started_at) return false;
+  const Duration began = *start.listed.started_at;
   constexpr std::chrono::seconds told_late(5);
   return now < std::max(began, std::min(start.told, began + told_late)) + lasts_;
 }
@@ -52,7 +53,7 @@
   return largest_ms > even / 2 ? std::max(even, whole / 2) : even;
 }
 
-bool ColdBudgets::forbids(Span now, EngineId engine, double work_ms, double largest_ms) const {
+bool ColdBudgets::forbids(Duration now, EngineId engine, double work_ms, double largest_ms) const {
   const auto at = engines_.find(engine);
   if (at == engines_.end() || !cold(now, at->second)) return false;
   double sent = work_ms;
@@ -62,7 +63,7 @@
   return sent > own_part(at->second, largest_ms);
 }
 
-void ColdBudgets::attempt_left(Span now, EngineId engine, double work_ms) {
+void ColdBudgets::attempt_left(Duration now, EngineId engine, double work_ms) {
   const auto at = engines_.find(engine);
   if (at == engines_.end()) return;
   std::deque<Sent>& sent = at->second.sent;
--- a/src/core/cold_budgets.h
+++ b/src/core/cold_budgets.h
@@ -15,30 +15,30 @@
  public:
   ColdBudgets() = default;
   explicit ColdBudgets(const ServiceDefinition& service);
-  void list_came(Span now, ListNews news, const std::vector<ListedEngine>& engines);
+  void on_endpoint_update(Duration now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
   // Whether an attempt of that much work would be more than this manager's part.
   // `largest_ms` is the usual work of the class that needs most: where that is over an even part, managers
   // take turns.
-  bool forbids(Span now, EngineId engine, double work_ms, double largest_ms) const;
-  void attempt_left(Span now, EngineId engine, double work_ms);
+  bool forbids(Duration now, EngineId engine, double work_ms, double largest_ms) const;
+  void attempt_left(Duration now, EngineId engine, double work_ms);
   // Where it stands; nothing where the engine was never listed.
-  const ListedEngine* listed(EngineId engine) const;
+  const EngineEndpoint* listed(EngineId engine) const;
 
  private:
   struct Sent {
-    Span at{};
+    Duration at{};
     double work_ms = 0;
   };
   struct Start {
-    ListedEngine listed;
-    Span told{};  // when the list first told of this start
+    EngineEndpoint listed;
+    Duration told{};  // when the list first told of this start
     std::deque<Sent> sent;
   };
-  bool cold(Span now, const Start& start) const;
+  bool cold(Duration now, const Start& start) const;
   double own_part(const Start& start, double largest_ms) const;
 
   double multiple_ = 0, cold_from_ = 1;
-  Span window_{}, lasts_{};
+  Duration window_{}, lasts_{};
   int managers_ = 1;
   std::vector<MachineKind> kinds_;
   std::map<EngineId, Start> engines_;
--- a/src/core/control_math.h
+++ b/src/core/control_math.h
@@ -12,8 +12,10 @@
 
 inline constexpr double infinite = std::numeric_limits<double>::infinity();
 
-inline double in_ms(Span span) { return static_cast<double>(span.count()) / 1000; }
-inline Span from_ms(double ms) { return Span(static_cast<Span::rep>(std::clamp(ms, 0.0, 4e6) * 1000)); }
+inline double in_ms(Duration span) { return static_cast<double>(span.count()) / 1000; }
+inline Duration from_ms(double ms) {
+  return Duration(static_cast<Duration::rep>(std::clamp(ms, 0.0, 4e6) * 1000));
+}
 
 inline void take_in(double sample, Mean& mean) {
   mean.count = std::min(mean.count + 1, 1000.0);  // forgets, but is steady against any one job
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -16,21 +16,21 @@
 
 // A job that comes frees no room, so what waits goes on to wait: only its own place is looked for. Guards
 // against overload, in which a scan of the queue for each job that comes takes all of the processor.
-void WorkloadManager::place_newcomer(Span now, HeldJob& newcomer) {
+void WorkloadManager::place_newcomer(Duration now, QueuedRequest& newcomer) {
   if (!may_go(now, newcomer) || !place(now, newcomer)) return;
   bool over_budget = false;
   for (const auto& [turn, id] : held_) {
-    HeldJob& older = jobs_.at(id);
+    QueuedRequest& older = jobs_.at(id);
     if (may_go(now, older)) over_budget |= ++older.overtaken == overtake_budget + 1;
   }
   if (over_budget) release(now);
 }
 
-void WorkloadManager::release(Span now) {
-  std::vector<HeldJob*> passed;
-  std::map<std::pair<TypeId, int>, double> blocked;  // least need that found no room in this scan
+void WorkloadManager::release(Duration now) {
+  std::vector<QueuedRequest*> passed;
+  std::map<std::pair<RequestTypeId, int>, double> blocked;  // least need that found no room in this scan
   for (auto it = held_.begin(); it != held_.end();) {
-    HeldJob& held = jobs_.at(it->second);
+    QueuedRequest& held = jobs_.at(it->second);
     ++it;
     if (!may_go(now, held)) continue;
     // What asks no less than a like job just blocked is blocked too: long queues stay cheap to scan.
@@ -41,9 +41,9 @@
       if (!sure && held.dispatches.empty()) blocked[{held.job.type, priority(held)}] = need_mb(held);
       continue;
     }
-    for (HeldJob* older : passed) older->overtaken += 1;
+    for (QueuedRequest* older : passed) older->overtaken += 1;
   }
-  for (HeldJob* waiter : passed) {
+  for (QueuedRequest* waiter : passed) {
     if (waiter->overtaken <= overtake_budget) continue;
     Engine* chosen = nullptr;
     bool has_one = false;
@@ -61,7 +61,7 @@
   }
 }
 
-bool WorkloadManager::place(Span now, HeldJob& held) {
+bool WorkloadManager::place(Duration now, QueuedRequest& held) {
   const TypeFigures& type = types_[held.job.type.value];
   const bool full = pool_room(now, priority(held) == 3 ? 1.5 : 1) < type.type.threads;
   // Homes, agreed on without a word: the first engine of all by the data set's hash and the first of the own
@@ -90,7 +90,8 @@
   std::tuple<double, int, double, std::uint64_t> best_rank{};
   // Exception: ties go round from this manager's place in the list, lest fresh ledgers pick the lowest id.
   const std::uint64_t count = engines_.size();
-  std::uint64_t turn = count - 1 - count * static_cast<std::uint64_t>(rules_.own_number) / rules_.managers;
+  std::uint64_t turn =
+      count - 1 - count * static_cast<std::uint64_t>(rules_.instance_index) / rules_.managers;
   for (auto& [id, engine] : engines_) {
     turn = (turn + 1) % count;
     const bool by_turn = by_turns(now, engine);
@@ -104,19 +105,22 @@
     // crossing costs its work; where a load holds the data, last.
     const double whole = capacity(engine);
     double health = std::clamp(fleet_.stretch / engine.pace.stretch, 0.2, 1.1);
-    const double warmed = cold(now, engine) ? (now - engine.told) / (1.0 * rules_.cold_lasts) : 1;
-    health *= by_turn ? 2 : rules_.cold_from + (1 - rules_.cold_from) * std::min(warmed, 1.0);
+    const double warmed = cold(now, engine) ? (now - engine.told) / (1.0 * rules_.slow_start_duration) : 1;
+    health *= by_turn ? 2
+                      : rules_.slow_start_initial_capacity +
+                            (1 - rules_.slow_start_initial_capacity) * std::min(warmed, 1.0);
     double spare = whole * health - engine.live_bytes - *grant;
     const double size = held.work_ms / std::max(mean_work_ms_.value, 1e-6);
     const std::uint64_t hash = shared_hash(held.job.data_set, id);
     const bool home = hash >= least_home || hash == near_home;
-    if (!type.type.waits_for_load && home && (heeds_homes || !pooled(engine))) spare += 0.25 * whole;
-    const double crossing = std::min(0.25, rules_.crossing_price / std::max(size, 1e-3));
+    if (!type.type.waits_for_data_load && home && (heeds_homes || !pooled(engine))) spare += 0.25 * whole;
+    const double crossing = std::min(0.25, rules_.cross_zone_cost / std::max(size, 1e-3));
     if (engine.listed.zone != rules_.zone && !(anywhere && pooled(engine))) spare -= crossing * whole;
-    if ((type.type.waits_for_load || type.type.holds_data) && data_held(now, engine, held.job.data_set))
+    if ((type.type.waits_for_data_load || type.type.loads_data_set) &&
+        data_held(now, engine, held.job.data_set))
       spare -= whole;
     if (now < engine.last_full + seconds(2)) spare -= whole;  // others are tried first
-    for (const Dispatch& earlier : held.dispatches)
+    for (const Attempt& earlier : held.dispatches)
       if (earlier.engine == id) spare -= whole;  // one that has just failed the job comes last
     // Exception: in a pool a job's need sets all ledgers alike: machines are passed over as they are smaller.
     const double part = kind_of(engine).memory_mb / most_memory_;
@@ -129,32 +133,33 @@
   return best != nullptr;
 }
 
-void WorkloadManager::send(Span now, HeldJob& held, Engine& engine, double grant, bool home) {
+void WorkloadManager::send(Duration now, QueuedRequest& held, Engine& engine, double grant, bool home) {
   const TypeFigures& type = types_[held.job.type.value];
   held_.erase(held.turn), held.held = false, held.overtaken = 0;
   if (engine.protecting && engine.protected_for == held.job.id) engine.protecting = false;
-  if (!held.dispatches.empty() && rules_.ration_window) resent_.push_back(now);
+  if (!held.dispatches.empty() && rules_.retry_budget_window) resent_.push_back(now);
   const int number = static_cast<int>(held.dispatches.size());
-  Dispatch dispatch{engine.listed.id, now, now, grant, type.type.threads};
+  Attempt dispatch{engine.listed.id, now, now, grant, type.type.threads};
   engine.live_bytes += grant, engine.live_threads += dispatch.threads, engine.dispatches += 1;
   engine.out.insert({now, {held.job.id, number}});
-  if (type.type.holds_data) engine.loads[held.job.data_set] += 1;
+  if (type.type.loads_data_set) engine.loads[held.job.data_set] += 1;
   if (engine.on_trial) engine.trying = dispatch.trial = true;
   dispatch.home = home;
   // No turn looks back further.
-  std::erase_if(engine.cold_sends, [&](auto& s) { return s.first < now - 3 * rules_.tip_window; });
+  std::erase_if(engine.cold_sends, [&](auto& s) { return s.first < now - 3 * rules_.slow_start_window; });
   const double counted = by_turns(now, engine) ? cold_work(held) : usual_work(held);
   if (cold(now, engine)) engine.cold_sends.push_back({now, counted});
   held.out += 1, held.dispatches.push_back(dispatch);
-  if (rules_.takes_grants || rules_.takes_priority) {
-    host_.set_terms(held.job.id, rules_.takes_grants ? grant : 0, priority(held));
+  if (rules_.engines_take_grants || rules_.engines_take_priority) {
+    host_.set_execution_terms(held.job.id, rules_.engines_take_grants ? grant : 0, priority(held));
   }
   // Guards against repeats that wait for a connection and leave when they are not known as such any more.
-  if (held.first_doubt && type.type.effect == Effect::keyed) {
-    const Span last = *held.first_doubt + type.type.repeat_window - rules_.round;
-    host_.must_leave_within(held.job.id, std::max(last - now, Span(1)));
+  if (held.first_uncertain_attempt_at && type.type.idempotency == Idempotency::idempotent_by_key) {
+    const Duration last =
+        *held.first_uncertain_attempt_at + type.type.deduplication_window - rules_.event_interval;
+    host_.limit_send_delay(held.job.id, std::max(last - now, Duration(1)));
   }
-  host_.dispatch(held.job.id, engine.listed.id, Span(0));
+  host_.dispatch(held.job.id, engine.listed.id, Duration(0));
 }
 
 }  // namespace pearchute
--- a/src/core/health.cpp
+++ b/src/core/health.cpp
@@ -15,30 +15,31 @@
 }
 
 // A long dispatch tells more of an engine than a short one, which its priority hides from the crowd.
-double WorkloadManager::weight(const HeldJob& held) const {
+double WorkloadManager::weight(const QueuedRequest& held) const {
   return 0.01 + 0.19 * std::min(1.0, held.work_ms / std::max(2 * mean_work_ms_.value, 1e-6));
 }
 
 // What the job's type usually needs; until anything is known of it, its whole SLA time on all its threads.
 double WorkloadManager::usual_work(const TypeFigures& type) const {
-  const double learned = type.usual_work_ms.value * type.work_bias;
-  return learned > 0 ? learned : in_ms(type.type.sla_time) * type.type.threads;
+  const double learned = type.typical_work_ms.value * type.work_bias;
+  return learned > 0 ? learned : in_ms(type.type.latency_objective) * type.type.threads;
 }
 
 // Under a quarter of its type's usual work, most of a job's time is not work.
-bool WorkloadManager::tiny(const HeldJob& held) const {
+bool WorkloadManager::tiny(const QueuedRequest& held) const {
   return ideal_ms(held) <= 0 || ideal_ms(held) * type_of(held).threads < usual_work(held) / 4;
 }
 
 // Answers from homes beside others, and from the own zone beside others.
-void WorkloadManager::compare(const Engine& engine, const Dispatch& dispatch, double sample, double part) {
+void WorkloadManager::compare(const Engine& engine, const Attempt& dispatch, double sample, double part) {
   double& by_home = dispatch.home ? paces_.home : paces_.away;
   double& by_zone = engine.listed.zone == rules_.zone ? paces_.near : paces_.far;
   by_home += part * (std::min(sample, 2 * by_home) - by_home);
   by_zone += part * (std::min(sample, 2 * by_zone) - by_zone);
 }
 
-void WorkloadManager::learn(Engine& engine, const HeldJob& held, const Dispatch& dispatch, Span elapsed) {
+void WorkloadManager::learn(Engine& engine, const QueuedRequest& held, const Attempt& dispatch,
+                            Duration elapsed) {
   TypeFigures& type = types_[held.job.type.value];
   // Guards against slowness that is not the engine's: a job behind a load says nothing of it, nor does one
   // that is very short for its type, since most of its time is not work.
@@ -64,7 +65,7 @@
   follow(fleet_, fleet_even_, fleet_live_);
 }
 
-void WorkloadManager::sign_of_trouble(Span now, Engine& engine, Trouble why) {
+void WorkloadManager::sign_of_trouble(Duration now, Engine& engine, Trouble why) {
   if (now < engine.closed_until) return;
   const bool sure = why == Trouble::unreachable;
   // Never more than a third of the fleet on suspicion alone: the rest would be overrun by what all share.
@@ -78,22 +79,23 @@
   // Half a second, doubled with each failed trial up to eight: soon back from a blip, cheap on a dead engine.
   engine.closed_until = now + milliseconds(250) * (1 << engine.strikes), engine.on_trial = true;
   engine.trouble = why;
-  host_.remark("engine " + std::to_string(engine.listed.id.value) + " is left out");
+  host_.trace_event("engine " + std::to_string(engine.listed.id.value) + " is left out");
 }
 
 // Looks for dispatches that are overdue, on an engine that says nothing or by themselves.
-void WorkloadManager::look_after(Span now, Engine& engine) {
+void WorkloadManager::look_after(Duration now, Engine& engine) {
   int silent = 0;
-  std::vector<std::pair<JobId, int>> lost;
+  std::vector<std::pair<RequestId, int>> lost;
   for (const auto& [sent, which] : engine.out) {
-    const HeldJob& held = jobs_.at(which.first);
-    const Dispatch& dispatch = held.dispatches[which.second];
+    const QueuedRequest& held = jobs_.at(which.first);
+    const Attempt& dispatch = held.dispatches[which.second];
     // Twice what all but one in twenty take. Where notes tell of progress, they have to be missing, too.
-    const Span usual = from_ms(std::max(2 * ideal_ms(held) * types_[held.job.type.value].slow_pace, 150.0));
-    const Span quiet = now - dispatch.last_note, notes = rules_.tells_every;
-    const bool late =
-        now - sent > usual && (notes <= Span(0) || quiet > std::min(3 * notes / 2, now - sent - Span(1)));
-    if (!late && (notes <= Span(0) || quiet < 5 * notes / 2)) continue;
+    const Duration usual =
+        from_ms(std::max(2 * ideal_ms(held) * types_[held.job.type.value].slow_pace, 150.0));
+    const Duration quiet = now - dispatch.last_note, notes = rules_.progress_interval;
+    const bool late = now - sent > usual &&
+                      (notes <= Duration(0) || quiet > std::min(3 * notes / 2, now - sent - Duration(1)));
+    if (!late && (notes <= Duration(0) || quiet < 5 * notes / 2)) continue;
     lost.push_back(which);
     // One is a sign by itself only when twice as late: a quiet manager hears too little to tell.
     if (engine.last_word <= sent + milliseconds(20)) silent += now - sent > 2 * usual ? 2 : 1;
@@ -104,24 +106,24 @@
     if (now < engine.closed_until) lost.push_back(which);
   // Guards against engines that answer nothing, and answers that get lost while the engine looks well.
   for (const auto& [id, number] : lost) {
-    HeldJob& held = jobs_.at(id);
-    Dispatch& dispatch = held.dispatches[number];
-    const Effect effect = type_of(held).effect;
+    QueuedRequest& held = jobs_.at(id);
+    Attempt& dispatch = held.dispatches[number];
+    const Idempotency idempotency = type_of(held).idempotency;
     if (held.over || held.held || held.streaming || dispatch.stopping || dispatch.overdue) continue;
-    if (effect == Effect::run_once || !may_begin(held)) continue;
+    if (idempotency == Idempotency::non_idempotent || !may_begin(held)) continue;
     // No storm: rescues from engines that answer others are earned, one by ten jobs taken.
     if (now >= engine.closed_until && rescues_due_ < 1) continue;
-    const bool copy = rules_.second_copies && effect == Effect::restartable;
-    if (!copy && !rules_.may_stop) continue;
+    const bool copy = rules_.allows_hedging && idempotency == Idempotency::idempotent;
+    if (!copy && !rules_.allows_cancel) continue;
     (copy ? dispatch.overdue : dispatch.stopping) = true;
     if (copy) held.held = true, held_[held.turn] = id;
-    else host_.stop_dispatch(id, number);
+    else host_.cancel_attempt(id, number);
     if (now >= engine.closed_until) rescues_due_ -= 1;
   }
 }
 
 // Others' part of the engine's memory, where it tells: the one thing that separate ledgers cannot add up.
-void WorkloadManager::heed(Span now, Engine& engine, const LoadReport& load) {
+void WorkloadManager::heed(Duration now, Engine& engine, const LoadReport& load) {
   if (engine.listed.kind.value < 0) return;
   // Exception: where engines tell how many jobs they hold, this manager may also use half of the threads
   // that are free there, up to one and a half a core (the least that engines do before they get less done).
--- a/src/core/key_order.cpp
+++ b/src/core/key_order.cpp
@@ -4,7 +4,7 @@
 
 namespace pearchute {
 
-KeyOrder::Found KeyOrder::find(JobId id) {
+KeyOrder::Found KeyOrder::find(RequestId id) {
   const auto key = keys_.find(id);
   if (key == keys_.end()) return {};
   Line& line = lines_.at(key->second);
@@ -12,12 +12,12 @@
   return {&line, &*entry};
 }
 
-void KeyOrder::taken(JobId id, OrderKey key) {
+void KeyOrder::taken(RequestId id, OrderKey key) {
   if (!keys_.emplace(id, key).second) return;
   lines_[key].entries.push_back({.id = id});
 }
 
-std::optional<KeyOrder::Break> KeyOrder::forbids(Span now, JobId id) const {
+std::optional<KeyOrder::Break> KeyOrder::forbids(Duration now, RequestId id) const {
   const auto key = keys_.find(id);
   if (key == keys_.end()) return std::nullopt;
   const Line& line = lines_.at(key->second);
@@ -28,7 +28,7 @@
   return std::nullopt;
 }
 
-void KeyOrder::attempt_left(JobId id) {
+void KeyOrder::attempt_left(RequestId id) {
   const Found found = find(id);
   if (!found.entry) return;
   found.entry->attempts += 1;
@@ -36,7 +36,7 @@
   found.entry->called_off = false;
 }
 
-void KeyOrder::attempt_taken_back(JobId id) {
+void KeyOrder::attempt_taken_back(RequestId id) {
   const Found found = find(id);
   if (!found.entry || found.entry->out == 0) return;
   found.entry->attempts -= 1;
@@ -44,46 +44,47 @@
   drop_if_done(id);
 }
 
-void KeyOrder::rest(Span now, Line& line) const {
+void KeyOrder::rest(Duration now, Line& line) const {
   line.rests_until = std::max(line.rests_until, now + rest_);
 }
 
-void KeyOrder::attempt_called_off(Span now, JobId id) {
+void KeyOrder::attempt_called_off(Duration now, RequestId id) {
   const Found found = find(id);
   if (!found.entry || found.entry->out == 0) return;
   found.entry->called_off = true;
   rest(now, *found.line);
 }
 
-void KeyOrder::attempt_ended(Span now, JobId id, Outcome outcome) {
+void KeyOrder::attempt_ended(Duration now, RequestId id, Outcome outcome) {
   const Found found = find(id);
   if (!found.entry || found.entry->out == 0) return;
   found.entry->out -= 1;
-  const bool end_is_sure = proves_not_run(outcome) || outcome == Outcome::done || outcome == Outcome::error;
+  const bool end_is_sure =
+      proves_not_executed(outcome) || outcome == Outcome::succeeded || outcome == Outcome::engine_error;
   if (!end_is_sure || found.entry->called_off) rest(now, *found.line);
   drop_if_done(id);
 }
 
-void KeyOrder::over(JobId id) {
+void KeyOrder::over(RequestId id) {
   const Found found = find(id);
   if (!found.entry) return;
   found.entry->over = true;
   drop_if_done(id);
 }
 
-void KeyOrder::drop_if_done(JobId id) {
+void KeyOrder::drop_if_done(RequestId id) {
   const Found found = find(id);
   if (!found.entry->over || found.entry->out > 0) return;
   std::erase_if(found.line->entries, [&](const Entry& entry) { return entry.id == id; });
   keys_.erase(id);
 }
 
-Span KeyOrder::rest_left(Span now, OrderKey key) const {
+Duration KeyOrder::rest_left(Duration now, OrderKey key) const {
   const auto line = lines_.find(key);
-  return line == lines_.end() ? Span(0) : std::max(line->second.rests_until - now, Span(0));
+  return line == lines_.end() ? Duration(0) : std::max(line->second.rests_until - now, Duration(0));
 }
 
-void KeyOrder::forget_rested(Span now) {
+void KeyOrder::forget_rested(Duration now) {
   std::erase_if(lines_,
                 [&](const auto& one) { return one.second.entries.empty() && now >= one.second.rests_until; });
 }
--- a/src/core/key_order.h
+++ b/src/core/key_order.h
@@ -20,41 +20,41 @@
     no_rest,      // the key has to rest
   };
 
-  explicit KeyOrder(Span rest = {}) : rest_(rest) {}
-  void taken(JobId id, OrderKey key);
-  std::optional<Break> forbids(Span now, JobId id) const;
-  void attempt_left(JobId id);
-  void attempt_taken_back(JobId id);  // no byte of it has left this machine after all
+  explicit KeyOrder(Duration rest = {}) : rest_(rest) {}
+  void taken(RequestId id, OrderKey key);
+  std::optional<Break> forbids(Duration now, RequestId id) const;
+  void attempt_left(RequestId id);
+  void attempt_taken_back(RequestId id);  // no byte of it has left this machine after all
   // The manager has called it off; whatever its engine says from then on, its end is not sure.
-  void attempt_called_off(Span now, JobId id);
-  void attempt_ended(Span now, JobId id, Outcome outcome);  // of one that had left
-  void over(JobId id);                                      // it has its final answer, or its client has gone
+  void attempt_called_off(Duration now, RequestId id);
+  void attempt_ended(Duration now, RequestId id, Outcome outcome);  // of one that had left
+  void over(RequestId id);  // it has its final answer, or its client has gone
   // How long the key of that request has to rest from now on; zero where it need not.
-  Span rest_left(Span now, OrderKey key) const;
-  void forget_rested(Span now);
+  Duration rest_left(Duration now, OrderKey key) const;
+  void forget_rested(Duration now);
   std::size_t keys() const { return lines_.size(); }
 
  private:
   struct Entry {
-    JobId id;
+    RequestId id;
     int attempts = 0, out = 0;
     bool called_off = false, over = false;
   };
   struct Line {
     std::deque<Entry> entries;  // in the order in which they were taken
-    Span rests_until{};
+    Duration rests_until{};
   };
   struct Found {
     Line* line = nullptr;
     Entry* entry = nullptr;
   };
-  Found find(JobId id);
-  void rest(Span now, Line& line) const;
-  void drop_if_done(JobId id);
+  Found find(RequestId id);
+  void rest(Duration now, Line& line) const;
+  void drop_if_done(RequestId id);
 
-  Span rest_;
+  Duration rest_;
   std::map<OrderKey, Line> lines_;
-  std::unordered_map<JobId, OrderKey> keys_;
+  std::unordered_map<RequestId, OrderKey> keys_;
 };
 
 }  // namespace pearchute
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -12,7 +12,7 @@
   const double memory = kind_of(engine).memory_mb;
   double usual = 0;
   for (const TypeFigures& type : types_)
-    usual = std::max(usual, type.usual_memory_mb.value * type.memory_bias);
+    usual = std::max(usual, type.typical_memory_mb.value * type.memory_bias);
   double most = std::max(memory * share_, std::min(memory, 2 * usual));
   // Exception: where engines tell the share of memory granted, the ledger goes by what the others leave. Half
   // of what is free beyond its own part is this manager's, since others read the same report.
@@ -23,19 +23,19 @@
   return most;
 }
 
-double WorkloadManager::ideal_ms(const HeldJob& held) const {
+double WorkloadManager::ideal_ms(const QueuedRequest& held) const {
   const TypeFigures& type = types_[held.job.type.value];
   return held.work_ms * type.work_bias / type.type.threads;
 }
 
-double WorkloadManager::need_mb(const HeldJob& held) const {
+double WorkloadManager::need_mb(const QueuedRequest& held) const {
   const TypeFigures& type = types_[held.job.type.value];
   const double estimate = held.job.memory_mb.value_or(0);
   // An eighth over the estimate: half of what engines choose by themselves, since the bias is learned.
-  return estimate > 0 ? 1.125 * type.memory_bias * estimate : type.usual_memory_mb.value;
+  return estimate > 0 ? 1.125 * type.memory_bias * estimate : type.typical_memory_mb.value;
 }
 
-double WorkloadManager::slots(Span now, const Engine& engine) const {
+double WorkloadManager::slots(Duration now, const Engine& engine) const {
   const double learned = engine.even_slots * (pooled(engine) ? fleet_.open : engine.pace.open);
   return now < engine.told_at + seconds(2) ? std::max(learned, engine.told_slots) : learned;
 }
@@ -43,7 +43,7 @@
 // Exception: where engines' slots are less than one job of the largest type, such parts make one pool,
 // lest many managers' single jobs add up past what the engines bear. Cold engines with turns stand outside: a
 // turn is all that a manager may use of them, else their parts would go to the warm ones beside.
-double WorkloadManager::pool_room(Span now, double part) const {
+double WorkloadManager::pool_room(Duration now, double part) const {
   double room = 0;
   int live = 0;
   for (const auto& [id, engine] : engines_) {
@@ -56,9 +56,10 @@
 }
 
 // The grant that the job would get there, or nothing where the ledger has no room.
-std::optional<double> WorkloadManager::grant_on(Span now, const Engine& engine, const HeldJob& held) const {
+std::optional<double> WorkloadManager::grant_on(Duration now, const Engine& engine,
+                                                const QueuedRequest& held) const {
   const double whole = capacity(engine), open = slots(now, engine);
-  const double cap = rules_.grant_cap * kind_of(engine).memory_mb;
+  const double cap = rules_.max_grant_share * kind_of(engine).memory_mb;
   const double need = std::min(need_mb(held), cap);
   const int threads = engine.live_threads + type_of(held).threads;
   // The ledger binds from twice the best, where SLA times are at risk, after full, and at the last slots.
@@ -83,31 +84,31 @@
   return std::clamp(need, floor, std::min(bare, cap));
 }
 
-double WorkloadManager::density(const HeldJob& held) const {
+double WorkloadManager::density(const QueuedRequest& held) const {
   const TypeFigures& type = types_[held.job.type.value];
-  double value = std::max(type.type.billed_value, 1e-9);
-  // No manager knows all of a customer's traffic: its part of this manager's is held against its share.
-  if (const int customer = held.job.customer.value; customer >= 0) {
-    const double fair = customer_portion_[customer] * job_rate_;
-    const double beyond = std::max(0.0, 1 - fair / std::max(customer_rate_[customer], 1e-9));
-    value *= 1 - beyond * (1 - rules_.over_share_value);
+  double value = std::max(type.type.priority_weight, 1e-9);
+  // No manager knows all of a tenant's traffic: its part of this manager's is held against its share.
+  if (const int tenant = held.job.tenant.value; tenant >= 0) {
+    const double fair = tenant_share_[tenant] * job_rate_;
+    const double beyond = std::max(0.0, 1 - fair / std::max(tenant_rate_[tenant], 1e-9));
+    value *= 1 - beyond * (1 - rules_.over_quota_weight);
   }
   return value / std::max(held.work_ms * type.work_bias, 1e-3);
 }
 
 // Short work first on scarce cores and disks: more is answered in time. Steps follow the ranks' scale.
-int WorkloadManager::priority(const HeldJob& held) const {
+int WorkloadManager::priority(const QueuedRequest& held) const {
   const double size = held.work_ms / std::max(mean_work_ms_.value, 1e-6);
   return size < 0.5 ? 3 : size < 2 ? 2 : size < 6 ? 1 : 0;
 }
 
-bool WorkloadManager::data_held(Span now, const Engine& engine, DataSetId data_set) const {
+bool WorkloadManager::data_held(Duration now, const Engine& engine, DataSetId data_set) const {
   const auto told = engine.told_held.find(data_set);
   return engine.loads.contains(data_set) || (told != engine.told_held.end() && now < told->second);
 }
 
 // What runs on up to `until` no longer has its grant.
-void WorkloadManager::let_go(Engine& engine, Span until) {
+void WorkloadManager::let_go(Engine& engine, Duration until) {
   std::erase_if(engine.runs_on, [&](const Engine::RunsOn& one) {
     if (one.until > until) return false;
     engine.live_bytes -= one.grant, engine.live_threads -= one.threads;
--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -17,18 +17,19 @@
 
 void RuleGuard::serve(const ServiceDefinition& service) {
   types_ = service.types;
-  most_attempts_ = service.most_dispatches;
-  second_copies_ = service.second_copies;
-  order_ = KeyOrder(service.order_rest);
+  most_attempts_ = service.max_attempts;
+  second_copies_ = service.allows_hedging;
+  order_ = KeyOrder(service.key_quiet_period);
   cold_ = ColdBudgets(service);
   attempts_ = AttemptBudget(service);
 }
 
-void RuleGuard::list_came(Span now, ListNews news, const std::vector<ListedEngine>& engines) {
-  cold_.list_came(now, news, engines);
+void RuleGuard::on_endpoint_update(Duration now, EndpointUpdate news,
+                                   const std::vector<EngineEndpoint>& engines) {
+  cold_.on_endpoint_update(now, news, engines);
 }
 
-void RuleGuard::taken(Span now, const TakenRequest& request) {
+void RuleGuard::taken(Duration now, const TakenRequest& request) {
   Record record;
   record.type = request.type;
   records_.emplace(request.id, record);
@@ -36,7 +37,7 @@
   if (request.order_key) order_.taken(request.id, *request.order_key);
 }
 
-void RuleGuard::attempt_left(Span now, const Attempt& attempt) {
+void RuleGuard::attempt_left(Duration now, const AttemptFacts& attempt) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
@@ -47,7 +48,7 @@
   cold_.attempt_left(now, attempt.engine, attempt.work_ms);
 }
 
-void RuleGuard::attempt_taken_back(JobId request) {
+void RuleGuard::attempt_taken_back(RequestId request) {
   const auto at = records_.find(request);
   if (at == records_.end()) return;
   at->second.attempts -= 1, at->second.out -= 1;
@@ -55,23 +56,25 @@
   drop_if_done(request);
 }
 
-void RuleGuard::attempt_called_off(Span now, JobId request) { order_.attempt_called_off(now, request); }
+void RuleGuard::attempt_called_off(Duration now, RequestId request) {
+  order_.attempt_called_off(now, request);
+}
 
-void RuleGuard::attempt_ended(Span now, const Attempt& attempt, Outcome outcome) {
+void RuleGuard::attempt_ended(Duration now, const AttemptFacts& attempt, Outcome outcome) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
   record.out -= 1;
-  if (!proves_not_run(outcome) && outcome != Outcome::done && !record.first_doubt) {
-    record.first_doubt = record.last_left;
-    if (const ListedEngine* listed = cold_.listed(attempt.engine))
-      record.doubt_zone = listed->zone, record.doubt_cell = listed->cell;
+  if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !record.first_uncertain_attempt_at) {
+    record.first_uncertain_attempt_at = record.last_left;
+    if (const EngineEndpoint* listed = cold_.listed(attempt.engine))
+      record.uncertain_zone = listed->zone, record.uncertain_cell = listed->cell;
   }
   order_.attempt_ended(now, attempt.request, outcome);
   drop_if_done(attempt.request);
 }
 
-void RuleGuard::over(JobId request) {
+void RuleGuard::over(RequestId request) {
   const auto at = records_.find(request);
   if (at == records_.end()) return;
   at->second.over = true;
@@ -79,41 +82,44 @@
   drop_if_done(request);
 }
 
-void RuleGuard::drop_if_done(JobId request) {
+void RuleGuard::drop_if_done(RequestId request) {
   const auto at = records_.find(request);
   if (at->second.over && at->second.out <= 0) records_.erase(at);
 }
 
-void RuleGuard::forget_old(Span now) { order_.forget_rested(now); }
+void RuleGuard::forget_old(Duration now) { order_.forget_rested(now); }
 
-std::optional<Rule> RuleGuard::broken_by_place(const ReservationType& type, const Record& record,
-                                               const ListedEngine& engine) const {
+std::optional<Rule> RuleGuard::broken_by_place(const RequestType& type, const Record& record,
+                                               const EngineEndpoint& engine) const {
   const auto is_named = [](const auto& allowed, auto id) {
     return !allowed || std::ranges::count(*allowed, id) > 0;
   };
   if (!is_named(type.zones, engine.zone) || !is_named(type.kinds, engine.kind)) return Rule::placement;
-  if (!record.first_doubt || type.effect != Effect::keyed) return std::nullopt;
-  const bool is_known_there = type.reach == Reach::all ||
-                              (type.reach == Reach::zone && engine.zone == record.doubt_zone) ||
-                              (type.reach == Reach::cell && engine.cell == record.doubt_cell);
+  if (!record.first_uncertain_attempt_at || type.idempotency != Idempotency::idempotent_by_key)
+    return std::nullopt;
+  const bool is_known_there =
+      type.deduplication_scope == DeduplicationScope::fleet ||
+      (type.deduplication_scope == DeduplicationScope::zone && engine.zone == record.uncertain_zone) ||
+      (type.deduplication_scope == DeduplicationScope::cell && engine.cell == record.uncertain_cell);
   return is_known_there ? std::nullopt : std::optional(Rule::repeat_group);
 }
 
-std::optional<Rule> RuleGuard::broken_by_attempt(Span now, const Attempt& attempt) const {
+std::optional<Rule> RuleGuard::broken_by_attempt(Duration now, const AttemptFacts& attempt) const {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return Rule::one_answer;
   const Record& record = at->second;
-  const ReservationType& type = types_.at(static_cast<std::size_t>(record.type.value));
-  const auto repeat = broken_by(RepeatFacts{now, type.effect, type.repeat_window, record.attempts,
-                                            most_attempts_, record.out, second_copies_, record.first_doubt});
+  const RequestType& type = types_.at(static_cast<std::size_t>(record.type.value));
+  const auto repeat =
+      broken_by(RepeatFacts{now, type.idempotency, type.deduplication_window, record.attempts, most_attempts_,
+                            record.out, second_copies_, record.first_uncertain_attempt_at});
   if (repeat) return repeat;
-  if (const ListedEngine* listed = cold_.listed(attempt.engine)) {
+  if (const EngineEndpoint* listed = cold_.listed(attempt.engine)) {
     if (const auto rule = broken_by_place(type, record, *listed)) return rule;
   }
   if (record.attempts > 0 && attempts_.forbids_further(now)) return Rule::attempt_budget;
   if (const auto order = order_.forbids(now, attempt.request))
     return *order == KeyOrder::Break::out_of_turn ? Rule::order_by_key : Rule::key_rests;
-  if (cold_.forbids(now, attempt.engine, attempt.work_ms, attempt.largest_usual_work_ms))
+  if (cold_.forbids(now, attempt.engine, attempt.work_ms, attempt.largest_typical_work_ms))
     return Rule::cold_budget;
   return std::nullopt;
 }
@@ -130,7 +136,7 @@
   if (facts.now >= facts.end) return Rule::time_is_left;
   if (!facts.client_is_there) return Rule::client_is_there;
   if (facts.engine != EngineState::up) return Rule::engine_takes_work;
-  const Span left = facts.end - facts.now;
+  const Duration left = facts.end - facts.now;
   if (facts.time_told && *facts.time_told > left + time_told_slack) return Rule::time_told;
   return std::nullopt;
 }
@@ -141,7 +147,7 @@
   return rule ? hold_back(*rule) : rule;
 }
 
-std::optional<Rule> RuleGuard::forbids_sending(const SendingFacts& facts, const Attempt& attempt) {
+std::optional<Rule> RuleGuard::forbids_sending(const SendingFacts& facts, const AttemptFacts& attempt) {
   ++checked_;
   std::optional<Rule> rule = broken_by(facts);
   if (!rule) rule = broken_by_attempt(facts.now, attempt);
@@ -150,11 +156,11 @@
 
 std::optional<Rule> RuleGuard::broken_by(const RepeatFacts& facts) const {
   if (facts.attempts >= facts.most_attempts) return Rule::attempts_are_few;
-  const bool may_be_copied = facts.effect == Effect::restartable && facts.second_copies;
+  const bool may_be_copied = facts.idempotency == Idempotency::idempotent && facts.allows_hedging;
   if (facts.out > 0 && !may_be_copied) return Rule::one_attempt_out;
-  if (!facts.first_doubt || facts.effect == Effect::restartable) return std::nullopt;
-  if (facts.effect == Effect::run_once) return Rule::runs_once;
-  if (facts.now >= *facts.first_doubt + facts.repeat_window) return Rule::runs_once;
+  if (!facts.first_uncertain_attempt_at || facts.idempotency == Idempotency::idempotent) return std::nullopt;
+  if (facts.idempotency == Idempotency::non_idempotent) return Rule::runs_once;
+  if (facts.now >= *facts.first_uncertain_attempt_at + facts.deduplication_window) return Rule::runs_once;
   return std::nullopt;
 }
 
--- a/src/core/rule_guard.h
+++ b/src/core/rule_guard.h
@@ -49,39 +49,39 @@
 
 // An attempt whose first byte is about to go.
 struct SendingFacts {
-  Span now{};
-  Span end{};  // of the client's time
+  Duration now{};
+  Duration end{};  // of the client's time
   bool answered = false;
   bool client_is_there = true;
   EngineState engine = EngineState::up;
-  std::optional<Span> time_told = std::nullopt;  // to the engine
+  std::optional<Duration> time_told = std::nullopt;  // to the engine
 };
 
 // A request as it is taken.
 struct TakenRequest {
-  JobId id;
-  TypeId type;
+  RequestId id;
+  RequestTypeId type;
   std::optional<OrderKey> order_key;  // in a class that keeps order
 };
 
 // Which attempt of which request goes where, and what it counts against the part of a cold engine.
-struct Attempt {
-  JobId request;
+struct AttemptFacts {
+  RequestId request;
   EngineId engine;
   double work_ms = 0;
-  double largest_usual_work_ms = 0;  // of any class
+  double largest_typical_work_ms = 0;  // of any class
 };
 
 // An attempt that has been decided on, and those before it.
 struct RepeatFacts {
-  Span now{};
-  Effect effect = Effect::restartable;
-  Span repeat_window{};
+  Duration now{};
+  Idempotency idempotency = Idempotency::idempotent;
+  Duration deduplication_window{};
   int attempts = 0;  // so far
   int most_attempts = 1;
   int out = 0;
-  bool second_copies = false;       // allowed by the settings
-  std::optional<Span> first_doubt;  // when the first attempt that may have run was sent
+  bool allows_hedging = false;                         // allowed by the settings
+  std::optional<Duration> first_uncertain_attempt_at;  // when the first attempt that may have run was sent
 };
 
 // A client's connection that is about to be closed, by this side.
@@ -93,8 +93,8 @@
 
 // A final answer that is about to go out.
 struct AnsweringFacts {
-  Span now{};
-  Span end{};
+  Duration now{};
+  Duration end{};
   bool answered = false;
 };
 
@@ -104,19 +104,19 @@
   void serve(const ServiceDefinition& service);
 
   // What happens at the sockets, as it happens.
-  void list_came(Span now, ListNews news, const std::vector<ListedEngine>& engines);
-  void taken(Span now, const TakenRequest& request);
-  void attempt_left(Span now, const Attempt& attempt);
-  void attempt_taken_back(JobId request);            // no byte of it has left this machine after all
-  void attempt_called_off(Span now, JobId request);  // of one that has left
-  void attempt_ended(Span now, const Attempt& attempt, Outcome outcome);
-  void over(JobId request);  // it has its final answer, or its client has gone
-  void forget_old(Span now);
-  Span rest_left(Span now, OrderKey key) const { return order_.rest_left(now, key); }
+  void on_endpoint_update(Duration now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
+  void taken(Duration now, const TakenRequest& request);
+  void attempt_left(Duration now, const AttemptFacts& attempt);
+  void attempt_taken_back(RequestId request);                // no byte of it has left this machine after all
+  void attempt_called_off(Duration now, RequestId request);  // of one that has left
+  void attempt_ended(Duration now, const AttemptFacts& attempt, Outcome outcome);
+  void over(RequestId request);  // it has its final answer, or its client has gone
+  void forget_old(Duration now);
+  Duration rest_left(Duration now, OrderKey key) const { return order_.rest_left(now, key); }
 
   // The rule that forbids it; it is counted as held back.
   std::optional<Rule> forbids_sending(const SendingFacts& facts);
-  std::optional<Rule> forbids_sending(const SendingFacts& facts, const Attempt& attempt);
+  std::optional<Rule> forbids_sending(const SendingFacts& facts, const AttemptFacts& attempt);
   // The same; whoever decided on it has broken the rule, so it is counted as broken, too.
   std::optional<Rule> forbids_repeating(const RepeatFacts& facts);
   std::optional<Rule> forbids_taking(bool answers_all);
@@ -134,27 +134,27 @@
  private:
   // What is known of a request that has not been answered, or has an attempt out.
   struct Record {
-    TypeId type;
+    RequestTypeId type;
     int attempts = 0, out = 0;
-    std::optional<Span> first_doubt;  // when the first attempt that may have run left
-    Span last_left{};
-    ZoneId doubt_zone{-1};
-    CellId doubt_cell{};
+    std::optional<Duration> first_uncertain_attempt_at;  // when the first attempt that may have run left
+    Duration last_left{};
+    ZoneId uncertain_zone{-1};
+    CellId uncertain_cell{};
     bool over = false;
   };
   std::optional<Rule> broken_by(const SendingFacts& facts) const;
   std::optional<Rule> broken_by(const RepeatFacts& facts) const;
-  std::optional<Rule> broken_by_attempt(Span now, const Attempt& attempt) const;
-  std::optional<Rule> broken_by_place(const ReservationType& type, const Record& record,
-                                      const ListedEngine& engine) const;
+  std::optional<Rule> broken_by_attempt(Duration now, const AttemptFacts& attempt) const;
+  std::optional<Rule> broken_by_place(const RequestType& type, const Record& record,
+                                      const EngineEndpoint& engine) const;
   std::optional<Rule> hold_back(Rule rule);
   void note_broken(Rule rule);
-  void drop_if_done(JobId request);
+  void drop_if_done(RequestId request);
 
-  std::vector<ReservationType> types_;
+  std::vector<RequestType> types_;
   int most_attempts_ = 1;
   bool second_copies_ = false;
-  std::unordered_map<JobId, Record> records_;
+  std::unordered_map<RequestId, Record> records_;
   KeyOrder order_;
   ColdBudgets cold_;
   AttemptBudget attempts_;
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -9,59 +9,62 @@
 using std::chrono::seconds;
 
 // Cold counts from the listed start, or from when the list told of it if that came late.
-bool WorkloadManager::cold(Span now, const Engine& engine) const {
-  if (rules_.tip_multiple <= 0 || rules_.tip_window <= Span(0) || !engine.listed.online_since) return false;
+bool WorkloadManager::cold(Duration now, const Engine& engine) const {
+  if (rules_.slow_start_limit_multiple <= 0 || rules_.slow_start_window <= Duration(0) ||
+      !engine.listed.started_at)
+    return false;
   if (now < engine.doubted_until) return true;
-  const Span start = *engine.listed.online_since;
-  return now < std::max(start, std::min(engine.told, start + seconds(5))) + rules_.cold_lasts;
+  const Duration start = *engine.listed.started_at;
+  return now < std::max(start, std::min(engine.told, start + seconds(5))) + rules_.slow_start_duration;
 }
 
 // What all managers may send it in a window. Four fifths of the stated budget: speeds and learned means are
 // uncertain, but not all managers send at once, and an engine soon does more than it starts with.
 double WorkloadManager::cold_budget(const Engine& engine) const {
-  return 0.8 * rules_.tip_multiple * rules_.cold_from * kind_of(engine).cores * in_ms(rules_.tip_window);
+  return 0.8 * rules_.slow_start_limit_multiple * rules_.slow_start_initial_capacity * kind_of(engine).cores *
+         in_ms(rules_.slow_start_window);
 }
 
 // Whether an engine is cold, and an even part of its budget less than a job of some type.
-bool WorkloadManager::by_turns(Span now, const Engine& engine) const {
+bool WorkloadManager::by_turns(Duration now, const Engine& engine) const {
   if (!cold(now, engine)) return false;
   const double part = cold_budget(engine) / rules_.managers;
   return std::ranges::any_of(types_, [&](const TypeFigures& one) { return usual_work(one) > part; });
 }
 
 // What counts against a turn at a cold engine: the estimate, or without one what its type usually needs.
-double WorkloadManager::cold_work(const HeldJob& held) const {
+double WorkloadManager::cold_work(const QueuedRequest& held) const {
   const double estimate = held.work_ms * std::max(1.0, types_[held.job.type.value].work_bias);
   return held.job.work_ms ? estimate : std::max(estimate, usual_work(held));
 }
 
 // The number of the own turn that lasts now, where all managers have theirs in the order of their numbers, so
 // many new ones a window, from the engine's listed start, which all know.
-std::optional<std::uint64_t> WorkloadManager::own_turn(Span now, const Engine& engine, int a_window,
-                                                       Span lasts) const {
-  const Span since_start = now - *engine.listed.online_since;
-  if (since_start < Span(0)) return std::nullopt;
-  const auto passed = static_cast<std::uint64_t>(since_start * a_window / rules_.tip_window);
+std::optional<std::uint64_t> WorkloadManager::own_turn(Duration now, const Engine& engine, int a_window,
+                                                       Duration lasts) const {
+  const Duration since_start = now - *engine.listed.started_at;
+  if (since_start < Duration(0)) return std::nullopt;
+  const auto passed = static_cast<std::uint64_t>(since_start * a_window / rules_.slow_start_window);
   const auto all = static_cast<std::uint64_t>(rules_.managers);
   // Whose turn is number 0, backwards.
   const auto first = shared_hash(DataSetId{a_window}, engine.listed.id) % all;
-  const auto own = (first + static_cast<std::uint64_t>(rules_.own_number)) % all;
+  const auto own = (first + static_cast<std::uint64_t>(rules_.instance_index)) % all;
   const std::uint64_t back = (passed + all - own) % all;  // how many turns ago the own one began
   if (back > passed) return std::nullopt;
-  const auto number = static_cast<Span::rep>(passed - back);
-  const Span began = *engine.listed.online_since + number * rules_.tip_window / a_window;
+  const auto number = static_cast<Duration::rep>(passed - back);
+  const Duration began = *engine.listed.started_at + number * rules_.slow_start_window / a_window;
   // A turn that began before this manager did may have been used by its last life.
-  if (began < Span(0) || now - began > lasts) return std::nullopt;
+  if (began < Duration(0) || now - began > lasts) return std::nullopt;
   return passed - back;
 }
 
 // Whether a cold engine may be sent this job: any warm one may.
-bool WorkloadManager::cold_allows(Span now, const Engine& engine, const HeldJob& held) const {
+bool WorkloadManager::cold_allows(Duration now, const Engine& engine, const QueuedRequest& held) const {
   if (!cold(now, engine)) return true;
-  const Span window = rules_.tip_window;
-  const auto room = [&](double most, Span within, double work) {
+  const Duration window = rules_.slow_start_window;
+  const auto room = [&](double most, Duration within, double work) {
     for (const auto& [sent, counted] : engine.cold_sends)
-      if (sent >= now - within - rules_.round) work += counted;
+      if (sent >= now - within - rules_.event_interval) work += counted;
     return work <= most;
   };
   const bool turns = by_turns(now, engine);
@@ -82,15 +85,15 @@
 // latest has started by now, and the others as long before it as they say. Guards against cold engines that
 // are pushed over by restarted managers; harms by engines that are less used than they may be for the cold
 // time after a start.
-void WorkloadManager::doubt_starts(Span now, const std::vector<ListedEngine>& engines) {
-  std::optional<Span> latest;
-  for (const ListedEngine& listed : engines) {
-    if (listed.online_since) latest = std::max(latest.value_or(Span::min()), *listed.online_since);
+void WorkloadManager::doubt_starts(Duration now, const std::vector<EngineEndpoint>& engines) {
+  std::optional<Duration> latest;
+  for (const EngineEndpoint& listed : engines) {
+    if (listed.started_at) latest = std::max(latest.value_or(Duration::min()), *listed.started_at);
   }
-  for (const ListedEngine& listed : engines) {
-    if (!listed.online_since) continue;
-    const Span before_latest = *latest - *listed.online_since;
-    engines_.at(listed.id).doubted_until = now + rules_.cold_lasts - before_latest;
+  for (const EngineEndpoint& listed : engines) {
+    if (!listed.started_at) continue;
+    const Duration before_latest = *latest - *listed.started_at;
+    engines_.at(listed.id).doubted_until = now + rules_.slow_start_duration - before_latest;
   }
 }
 
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -12,10 +12,10 @@
 
 namespace pearchute {
 
-struct Dispatch {
+struct Attempt {
   EngineId engine;
-  Span sent{};
-  Span last_note{};
+  Duration sent{};
+  Duration last_note{};
   double grant = 0;
   int threads = 0;
   bool out = true;
@@ -27,20 +27,20 @@
   double fault = 0;   // what it counts against its engine; negative where the job was at fault
 };
 
-struct HeldJob {
-  Job job;
+struct QueuedRequest {
+  Request job;
   std::uint64_t turn = 0;  // order of arrival
-  Span taken{};
-  Span sla_end{};
-  Span end{};  // the final answer goes out by then
+  Duration taken{};
+  Duration sla_end{};
+  Duration end{};  // the final answer goes out by then
   double work_ms = 0;
-  std::vector<Dispatch> dispatches;
+  std::vector<Attempt> dispatches;
   int out = 0;
   int overtaken = 0;
-  std::optional<Span> away_since;   // its client has gone, and may come again
-  std::optional<Span> first_doubt;  // when the first dispatch that may have run was sent
-  ZoneId doubt_zone{-1};
-  CellId doubt_cell{};
+  std::optional<Duration> away_since;                  // its client has gone, and may come again
+  std::optional<Duration> first_uncertain_attempt_at;  // when the first dispatch that may have run was sent
+  ZoneId uncertain_zone{-1};
+  CellId uncertain_cell{};
   bool held = false;
   bool over = false;
   bool streaming = false;
@@ -62,40 +62,40 @@
 };
 
 struct Engine {
-  ListedEngine listed;
+  EngineEndpoint listed;
   bool known_up = false;
-  Span told{};           // when it was first listed, or listed with a new start
-  Span doubted_until{};  // its start may be later than it seems; until then it counts as cold
+  Duration told{};           // when it was first listed, or listed with a new start
+  Duration doubted_until{};  // its start may be later than it seems; until then it counts as cold
   double live_bytes = 0;
   int live_threads = 0;
   int dispatches = 0;
   double even_slots = 0;  // threads, this manager's part of the stated start
   Pace pace;
   double told_slots = 0;  // what its load report leaves open
-  Span told_at{-1'000'000'000};
+  Duration told_at{-1'000'000'000};
   double error_rate = 0;
   int strikes = 0;  // signs of trouble in a row
-  Span closed_until{};
+  Duration closed_until{};
   Trouble trouble = Trouble::none;
   bool on_trial = false;
   bool trying = false;  // a trial is out
-  Span last_word{};
-  Span last_full{-1'000'000'000};
+  Duration last_word{};
+  Duration last_full{-1'000'000'000};
   struct RunsOn {
-    Span until{};
+    Duration until{};
     double grant = 0;
     int threads = 0;
   };
   std::deque<RunsOn> runs_on;  // what has timed out here, and can't be called off there
-  JobId protected_for{};
+  RequestId protected_for{};
   bool protecting = false;
   double protected_bytes = 0;
-  std::deque<std::pair<Span, double>> cold_sends;
+  std::deque<std::pair<Duration, double>> cold_sends;
   std::optional<double> others_bytes;
-  std::map<DataSetId, int> loads;                        // own loads that hold a data set there
-  std::map<DataSetId, Span> told_held;                   // until when others' are taken to, as notes told
-  std::set<std::pair<Span, std::pair<JobId, int>>> out;  // own dispatches, oldest first
-  bool has_gone() const { return listed.state == EngineState::gone && out.empty(); }
+  std::map<DataSetId, int> loads;           // own loads that hold a data set there
+  std::map<DataSetId, Duration> told_held;  // until when others' are taken to, as notes told
+  std::set<std::pair<Duration, std::pair<RequestId, int>>> out;  // own dispatches, oldest first
+  bool has_gone() const { return listed.state == EngineState::removed && out.empty(); }
 };
 
 struct Mean {
@@ -104,9 +104,9 @@
 };
 
 struct TypeFigures {
-  ReservationType type;
-  Mean usual_work_ms;    // of the estimates, or of what is learned
-  Mean usual_memory_mb;  // the same
+  RequestType type;
+  Mean typical_work_ms;    // of the estimates, or of what is learned
+  Mean typical_memory_mb;  // the same
   double work_bias = 1;
   double memory_bias = 1;
   double best_pace = 0;  // low quantile of time taken over ideal time
@@ -115,8 +115,8 @@
 
 // The jobs of one order key, in turn.
 struct OrderLine {
-  std::deque<JobId> jobs;
-  Span rests_until{};
+  std::deque<RequestId> jobs;
+  Duration rests_until{};
 };
 
 }  // namespace pearchute
--- a/src/ctl/restarts.cpp
+++ b/src/ctl/restarts.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-pearchute::Span steady() {
-  return std::chrono::duration_cast<pearchute::Span>(std::chrono::steady_clock::now().time_since_epoch());
+pearchute::Duration steady() {
+  return std::chrono::duration_cast<pearchute::Duration>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
 constexpr int status_no_process = 1;
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -22,14 +22,14 @@
 using net::Member;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
-using Waits = WorkloadManager::Waits;
+using QueuedFor = WorkloadManager::QueuedFor;
 
 milliseconds unix_now() {
   return duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-std::uint64_t in_ms(Span span) {
-  return static_cast<std::uint64_t>(std::max<Span::rep>(span.count() / 1000, 0));
+std::uint64_t in_ms(Duration span) {
+  return static_cast<std::uint64_t>(std::max<Duration::rep>(span.count() / 1000, 0));
 }
 
 Standing standing_of(EngineState state) {
@@ -41,7 +41,7 @@
 EngineState state_of(Standing standing) {
   return standing == Standing::up         ? EngineState::up
          : standing == Standing::draining ? EngineState::draining
-                                          : EngineState::gone;
+                                          : EngineState::removed;
 }
 
 std::string_view word_for(Trouble trouble) {
@@ -49,7 +49,7 @@
   return words[static_cast<int>(trouble)];
 }
 
-std::string_view word_for(Waits waits) {
+std::string_view word_for(QueuedFor waits) {
   constexpr std::string_view words[] = {"", "its turn in the order of its key", "its key to rest",
                                         "the ration of further dispatches", "room on an engine"};
   return words[static_cast<int>(waits)];
@@ -101,8 +101,8 @@
 
   // ---- The program and the list of engines
 
-  void list_changed(ListNews news, const std::vector<Member>& members) override {
-    const Span now = parts_.loop.now();
+  void list_changed(EndpointUpdate news, const std::vector<Member>& members) override {
+    const Duration now = parts_.loop.now();
     std::vector<Member> merged = members;
     std::set<std::string> named;
     for (Member& member : merged) {
@@ -113,7 +113,7 @@
       const Standing standing = drains_.channel_said(now, member.name, member.address, standing_of(said));
       if (!before || before->engine.state != said)
         tell("engine", member.name, "the channel says " + std::string(fleet::word_for(standing_of(said))));
-      if (said == EngineState::gone) {
+      if (said == EngineState::removed) {
         members_.erase(member.name);
       } else {
         Member& kept = members_[member.name];
@@ -123,7 +123,7 @@
       }
       member.engine.state = state_of(standing);
     }
-    if (news != ListNews::changes) {
+    if (news != EndpointUpdate::delta) {
       std::erase_if(members_, [&](const auto& one) { return !named.contains(one.first); });
       drains_.channel_told_all(now, named);
     }
@@ -133,7 +133,7 @@
     phase_ = phase;
     tell("phase", "", net::Program::word_for(phase));
   }
-  void looked(Span now) override {
+  void looked(Duration now) override {
     configuration_.looked();
     if (phase_ < net::Program::Phase::leaving) rest_.looked(now, parts_.front.idle());
   }
@@ -146,12 +146,12 @@
     Member member = at->second;
     member.engine.state = state_of(standing);
     tell("engine", engine, "by orders it is " + std::string(fleet::word_for(standing)));
-    parts_.front.list_changed(ListNews::changes, {member});
+    parts_.front.list_changed(EndpointUpdate::delta, {member});
   }
   void manager_drains(bool drains) override {
     rest_.drain_ordered(parts_.loop.now(), drains, parts_.front.idle());
   }
-  void wake_at(Span when) override {
+  void wake_at(Duration when) override {
     if (wake_ && *wake_ <= when && *wake_ > parts_.loop.now()) return;
     wake_ = when;
     parts_.loop.at(when, [this] {
@@ -240,12 +240,12 @@
     identify(*status.mutable_identity());
     status.set_counters(parts_.counters());
     status.set_open_jobs(parts_.front.open_jobs());
-    status.set_held_jobs(parts_.front.held_jobs());
+    status.set_held_jobs(parts_.front.queued_requests());
     for (const auto& [waits, count] : parts_.front.tell_waits())
       (*status.mutable_held_by_reason())[std::string(word_for(waits))] = count;
     std::uint64_t up = 0, draining = 0, left_out = 0;
-    const Span now = parts_.loop.now();
-    parts_.front.tell_engines([&](const Engine& engine, const auto&, const auto&, Span) {
+    const Duration now = parts_.loop.now();
+    parts_.front.tell_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
       up += engine.known_up;
       draining += engine.listed.state == EngineState::draining;
       left_out += engine.known_up && now < engine.closed_until;
@@ -259,7 +259,7 @@
     configuration_.tell(status);
   }
 
-  static void fill(admin::v1::Order& to, const fleet::Held& held, Span now) {
+  static void fill(admin::v1::Order& to, const fleet::Held& held, Duration now) {
     to.set_id(held.order.id), to.set_subject(held.order.subject), to.set_holder(held.order.holder);
     to.set_generation(held.order.generation), to.set_drains(held.order.drains);
     to.set_reason(held.order.reason), to.set_lease_ms(in_ms(held.until - now));
@@ -277,10 +277,10 @@
       }
       shown[at->second.engine.id] = &at->second;
     }
-    const Span now = parts_.loop.now();
+    const Duration now = parts_.loop.now();
     std::map<std::string, admin::v1::Engine> by_name;
-    parts_.front.tell_engines([&](const Engine& engine, const WorkloadManager::Belief& belief,
-                                  const net::Engines::Shown& sockets, Span oldest) {
+    parts_.front.tell_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& belief,
+                                  const net::Engines::Shown& sockets, Duration oldest) {
       const auto at = shown.find(engine.listed.id);
       if (at == shown.end()) return;
       const Member& member = *at->second;
@@ -334,7 +334,7 @@
   }
 
   void take_order(const admin::v1::Order& from, admin::v1::Reply& reply) {
-    const Span now = parts_.loop.now();
+    const Duration now = parts_.loop.now();
     const auto came = std::chrono::steady_clock::now().time_since_epoch();
     fleet::Order order;
     order.id = from.id(), order.subject = from.subject(), order.holder = from.holder();
@@ -376,7 +376,7 @@
   }
 
   void end_asked(const admin::v1::End& end, admin::v1::Reply& reply) {
-    const Span now = parts_.loop.now();
+    const Duration now = parts_.loop.now();
     if (phase_ >= net::Program::Phase::leaving) {
       reply.set_outcome(admin::v1::refused);
       reply.set_fault("the manager is ending already");
@@ -434,7 +434,7 @@
   std::map<std::string, Member> members_;  // as the channel says
   std::deque<admin::v1::Event> events_;
   std::uint64_t last_event_ = 0;
-  std::optional<Span> wake_;
+  std::optional<Duration> wake_;
   std::string damage_, unwritten_;
   admin::OrdersFile orders_file_;
   fleet::Drains drains_;
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -126,11 +126,11 @@
   start_log(name_.empty() ? "pearchuted" : name_, std::move(log));
   const std::string address = address_in(configuration);
   deployment_ = decode_settings(configuration);
-  for (const ReservationType& type : deployment_.service.types)
-    give_up_after_ = std::max(give_up_after_, type.job_timeout);
+  for (const RequestType& type : deployment_.service.types)
+    give_up_after_ = std::max(give_up_after_, type.request_timeout);
   // The platform ends the program no sooner than the longest job timeout, or three seconds, and 0.7 s more
   // after it asked: what is open a fifth of a second before that gets its answer.
-  give_up_after_ = std::min<Span>(give_up_after_, seconds(3)) + milliseconds(500);
+  give_up_after_ = std::min<Duration>(give_up_after_, seconds(3)) + milliseconds(500);
 
   std::size_t descriptors = 256, memory_mb = 32;  // the least that managers get
   if (const auto limits = configuration.find("limits"); limits != configuration.end()) {
@@ -143,7 +143,8 @@
     setrlimit(RLIMIT_NOFILE, &limit);
     descriptors = std::min<std::size_t>(descriptors, limit.rlim_cur);
   }
-  const Span unix_now = std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
+  const Duration unix_now =
+      std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   list_ = std::make_unique<EngineList>(deployment_,
                                        std::chrono::duration_cast<milliseconds>(unix_now - loop_.now()));
   front_ = std::make_unique<Front>(loop_, deployment_, seed_in(configuration), descriptors, memory_mb << 20,
@@ -191,7 +192,7 @@
 void Program::read_again() {
   constexpr seconds at_most(5);
   constexpr milliseconds between(50);
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   if (!reload_until_) reload_until_ = now + at_most;
   try {
     apply_configuration();
@@ -239,7 +240,7 @@
 
 // Looks, at short intervals, whether the next phase has come.
 void Program::watch() {
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   constexpr seconds counters_every(10);  // what has changed when is seen without asking
   if (asked_for_counters || now - counters_at_ >= counters_every) {
     asked_for_counters = 0, counters_at_ = now;
--- a/src/drill/session.cpp
+++ b/src/drill/session.cpp
@@ -18,14 +18,14 @@
 
 Outcome outcome_of(std::string_view word) {
   return one_of<Outcome>("stateCode", word,
-                         {{"OK", Outcome::done},
-                          {"INTERNAL", Outcome::error},
-                          {"RESOURCE_EXHAUSTED", Outcome::full},
+                         {{"OK", Outcome::succeeded},
+                          {"INTERNAL", Outcome::engine_error},
+                          {"RESOURCE_EXHAUSTED", Outcome::engine_full},
                           {"DEADLINE_EXCEEDED", Outcome::timed_out},
                           {"UNAVAILABLE", Outcome::unreachable},
-                          {"ABORTED", Outcome::reset},
-                          {"CANCELLED", Outcome::stopped},
-                          {"TOO_LATE", Outcome::never_sent}});
+                          {"ABORTED", Outcome::connection_reset},
+                          {"CANCELLED", Outcome::cancelled},
+                          {"TOO_LATE", Outcome::not_sent}});
 }
 
 LoadReport report_of(const Fields& fields) {
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-// One workload manager and its Host; the names of its settings become positions and back.
-class Instance final : public Host {
+// One workload manager and its DecisionSink; the names of its settings become positions and back.
+class Instance final : public DecisionSink {
  public:
   Instance(Session& session, std::int64_t number, const Fields& fields)
       : session_(session),
@@ -61,43 +61,43 @@
   }
 
   WorkloadManager& manager() { return *manager_; }
-  Span now() const { return session_.clock_ - start_; }
-  Span start() const { return start_; }
+  Duration now() const { return session_.clock_ - start_; }
+  Duration start() const { return start_; }
   const service::Deployment& deployment() const { return deployment_; }
-  TypeId type(std::string_view name) const {
-    const TypeId type = deployment_.type(name);
+  RequestTypeId type(std::string_view name) const {
+    const RequestTypeId type = deployment_.type(name);
     if (type.value < 0)
       throw Malformed("'type' is '" + std::string(name) + "', which the settings do not name");
     return type;
   }
 
-  void dispatch(JobId job, EngineId engine, Span time_limit) override {
+  void dispatch(RequestId job, EngineId engine, Duration time_limit) override {
     begin("TRANSMIT").add("handle", job.value).add("engine", engine.value);
-    if (time_limit > Span(0)) add("giveUpAfter", time_limit.count());
+    if (time_limit > Duration(0)) add("giveUpAfter", time_limit.count());
     end();
   }
-  void set_terms(JobId job, double grant_mb, int priority) override {
+  void set_execution_terms(RequestId job, double grant_mb, int priority) override {
     begin("ASSIGN_TERMS")
         .add("handle", job.value)
         .add("memoryGrant", grant_mb)
         .add("weightClass", priority)
         .end();
   }
-  void stop_dispatch(JobId job, int number) override {
+  void cancel_attempt(RequestId job, int number) override {
     begin("STOP_ATTEMPT").add("handle", job.value).add("copy", number).end();
   }
-  void throttle(JobId job, Span come_back_in) override {
+  void throttle(RequestId job, Duration come_back_in) override {
     begin("REJECT").add("handle", job.value);
-    if (come_back_in > Span(0)) add("retryIn", come_back_in.count());
+    if (come_back_in > Duration(0)) add("retryIn", come_back_in.count());
     end();
   }
-  void cancel_for_good(JobId job) override { begin("END_FAILED").add("handle", job.value).end(); }
-  void wake_in(Span span, std::uint64_t mark) override {
+  void fail(RequestId job) override { begin("END_FAILED").add("handle", job.value).end(); }
+  void schedule_wakeup(Duration span, std::uint64_t mark) override {
     begin("NOTIFY_ME").add("in", span.count()).add("mark", mark).end();
   }
   void probe(EngineId engine) override { begin("PROBE").add("engine", engine.value).end(); }
-  void subscribe_list() override { begin("TRACK").add("on", 1).end(); }
-  void remark(std::string_view text) override { begin("REMARK").add("noteText", text).end(); }
+  void subscribe_endpoints() override { begin("TRACK").add("on", 1).end(); }
+  void trace_event(std::string_view text) override { begin("REMARK").add("noteText", text).end(); }
 
  private:
   Instance& begin(std::string_view action) {
@@ -121,7 +121,7 @@
 
   Session& session_;
   std::int64_t number_;
-  Span start_;
+  Duration start_;
   service::Deployment deployment_;
   std::unique_ptr<WorkloadManager> manager_;
 };
@@ -144,7 +144,7 @@
       fields_.read(line_);
       if (fields_.message() == "MARK") {
         if (in_batch) throw Malformed("MARK before the END of the last batch");
-        const Span clock(fields_.required_whole("simTime"));
+        const Duration clock(fields_.required_whole("simTime"));
         if (clock < clock_) throw Malformed("the clock goes back");
         clock_ = clock;
         in_batch = true;
@@ -210,81 +210,83 @@
     entry.engine.id = EngineId{static_cast<std::uint32_t>(fields_.required_whole("engine"))};
     entry.engine.state = one_of<EngineState>(
         "mode", fields_.text("mode").value_or("up"),
-        {{"up", EngineState::up}, {"draining", EngineState::draining}, {"removed", EngineState::gone}});
+        {{"up", EngineState::up}, {"draining", EngineState::draining}, {"removed", EngineState::removed}});
     entry.engine.cell = CellId{fields_.whole("unitGroup").value_or(0)};
     entry.zone = fields_.text("failureDomain").value_or("");
     entry.kind = fields_.text("familyType").value_or("");
-    entry.online_since = fields_.whole("onlineSince");
+    entry.started_at = fields_.whole("onlineSince");
   }
   pools_[bank] = std::move(entries);
 }
 
 void Session::decode_event(Instance& instance, std::string_view message) {
   WorkloadManager& manager = instance.manager();
-  const Span now = instance.now();
-  const auto job = [&] { return JobId{static_cast<std::uint64_t>(fields_.required_whole("handle"))}; };
+  const Duration now = instance.now();
+  const auto job = [&] { return RequestId{static_cast<std::uint64_t>(fields_.required_whole("handle"))}; };
   const auto copy = [&] {
     const std::int64_t number = fields_.required_whole("copy");
     if (number < 0 || number > 1'000'000) throw Malformed("'copy' is out of range");
     return static_cast<int>(number);
   };
-  const auto elapsed = [&] { return Span(fields_.whole("elapsed").value_or(0)); };
+  const auto elapsed = [&] { return Duration(fields_.whole("elapsed").value_or(0)); };
 
   if (message == "REQ") {
-    Job taken;
+    Request taken;
     taken.id = job();
     taken.type = instance.type(fields_.required_text("type"));
-    taken.customer = instance.deployment().customer(fields_.text("party").value_or(""));
+    taken.tenant = instance.deployment().tenant(fields_.text("party").value_or(""));
     if (const auto key = fields_.whole("target")) taken.key = OrderKey{static_cast<std::uint64_t>(*key)};
-    taken.time_left = Span(fields_.required_whole("expiresIn"));
+    taken.time_left = Duration(fields_.required_whole("expiresIn"));
     const std::int64_t flags = fields_.whole("flags").value_or(0);
     if (const auto work = fields_.number("guess"); work && *work > 0 && (flags & 1))
       taken.work_ms = *work / 1000;
     if (const auto need = fields_.number("needMb"); need && *need > 0) taken.memory_mb = *need;
     taken.data_set = DataSetId{static_cast<std::int64_t>(fields_.number("sourceSet").value_or(0))};
-    manager.job_taken(now, taken);
+    manager.on_request(now, taken);
   } else if (message == "ANSWER") {
     std::optional<double> work, memory;
     if (const std::int64_t bill = fields_.whole("bill").value_or(0); bill > 0) {
       work = static_cast<double>(bill / 4096);
       memory = static_cast<double>(bill % 4096) * 4;
     }
-    manager.dispatch_ended(now, job(), copy(), outcome_of(fields_.required_text("stateCode")), elapsed(),
-                           fields_.flag("finished"), work, memory, report_of(fields_));
+    manager.on_attempt_ended(now, job(), copy(), outcome_of(fields_.required_text("stateCode")), elapsed(),
+                             fields_.flag("finished"), work, memory, report_of(fields_));
   } else if (message == "WAKE") {
-    manager.woken(now, static_cast<std::uint64_t>(fields_.required_whole("mark")));
+    manager.on_wakeup(now, static_cast<std::uint64_t>(fields_.required_whole("mark")));
   } else if (message == "NOTE") {
     const std::int64_t kind = fields_.required_whole("kind");
     const double amount = fields_.number("amount").value_or(0);
-    if (kind == 1) manager.progress_told(now, job(), copy(), amount);
-    else if (kind == 2) manager.spill_told(now, job(), copy(), amount);
-    else if (kind == 3) manager.wait_told(now, job(), copy(), amount == 2 ? Wait::load : Wait::memory);
+    if (kind == 1) manager.on_progress(now, job(), copy(), amount);
+    else if (kind == 2) manager.on_spill(now, job(), copy(), amount);
+    else if (kind == 3)
+      manager.on_engine_wait(now, job(), copy(), amount == 2 ? WaitCause::data_load : WaitCause::memory);
     else throw Malformed("'kind' is not 1, 2 or 3");
   } else if (message == "MEMBERSHIP") {
     const std::string_view mode = fields_.required_text("mode");
-    if (mode == "refused") return manager.list_refused(now);
-    const ListNews news = one_of<ListNews>(
-        "mode", mode,
-        {{"changes", ListNews::changes}, {"all", ListNews::complete}, {"remembered", ListNews::remembered}});
+    if (mode == "refused") return manager.on_endpoints_refused(now);
+    const EndpointUpdate news = one_of<EndpointUpdate>("mode", mode,
+                                                       {{"changes", EndpointUpdate::delta},
+                                                        {"all", EndpointUpdate::snapshot},
+                                                        {"remembered", EndpointUpdate::cached}});
     const std::int64_t bank = fields_.required_whole("bank");
     const auto pool = pools_.find(bank);
     if (pool == pools_.end()) throw Malformed("list " + std::to_string(bank) + " has not been given");
-    std::vector<ListedEngine> engines;
+    std::vector<EngineEndpoint> engines;
     for (const PoolEntry& entry : pool->second) {
-      ListedEngine& engine = engines.emplace_back(entry.engine);
+      EngineEndpoint& engine = engines.emplace_back(entry.engine);
       engine.zone = instance.deployment().zone(entry.zone);
       engine.kind = instance.deployment().kind(entry.kind);
-      if (entry.online_since && *entry.online_since > 0)
-        engine.online_since = Span(*entry.online_since) - instance.start();
+      if (entry.started_at && *entry.started_at > 0)
+        engine.started_at = Duration(*entry.started_at) - instance.start();
     }
-    manager.list_came(now, news, engines);
+    manager.on_endpoint_update(now, news, engines);
   } else if (message == "PING_RESULT") {
-    manager.probe_ended(now, EngineId{static_cast<std::uint32_t>(fields_.required_whole("engine"))},
-                        outcome_of(fields_.required_text("stateCode")), elapsed(), report_of(fields_));
+    manager.on_probe_ended(now, EngineId{static_cast<std::uint32_t>(fields_.required_whole("engine"))},
+                           outcome_of(fields_.required_text("stateCode")), elapsed(), report_of(fields_));
   } else if (message == "STREAMING") {
-    manager.stream_started(now, job(), copy());
+    manager.on_stream_started(now, job(), copy());
   } else if (message == "WITHDRAWN") {
-    manager.job_withdrawn(now, job());
+    manager.on_request_cancelled(now, job());
   } else if (message != "DATAGRAM") {  // managers have nothing to say to each other
     throw Malformed("'" + std::string(message) + "' is not a message of this wire");
   }
--- a/src/drill/session.h
+++ b/src/drill/session.h
@@ -29,9 +29,9 @@
   void decode_event(Instance& instance, std::string_view message);
 
   struct PoolEntry {
-    ListedEngine engine;
+    EngineEndpoint engine;
     std::string zone, kind;
-    std::optional<std::int64_t> online_since;
+    std::optional<std::int64_t> started_at;
   };
 
   std::istream& in_;
@@ -39,7 +39,7 @@
   std::string line_;
   std::uint64_t line_number_ = 0;
   Fields fields_;
-  Span clock_{};
+  Duration clock_{};
   std::string reply_;
   std::optional<std::int64_t> reply_for_;  // whose actions the reply's last lines are
   std::optional<std::int64_t> addressed_;
--- a/src/engines/engines.cpp
+++ b/src/engines/engines.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // At least one, since none would mean the engine's own choice.
-std::int64_t ms_left(Span span) {
+std::int64_t ms_left(Duration span) {
   return std::max<std::int64_t>(1, std::chrono::duration_cast<milliseconds>(span).count());
 }
 
@@ -33,7 +33,7 @@
   std::size_t busy() const { return talk_.open() + kept_back_.size(); }
   bool opened() const { return wire_->opened(); }
   bool knows(std::string_view id) const { return talk_.knows(id); }
-  Span idle_since() const { return idle_since_; }
+  Duration idle_since() const { return idle_since_; }
   bool in_doubt() const { return in_doubt_; }
   // It carries nothing new, and what it still has no longer than it takes to end.
   void doubt() {
@@ -42,10 +42,10 @@
   }
 
   // What no longer works without having ended.
-  void look(Span now) {
+  void look(Duration now) {
     if (!opened()) {
-      const Span limit = owner_.limits_.connect_within;
-      if (limit > Span(0) && now - opened_at_ >= limit)
+      const Duration limit = owner_.limits_.connect_timeout;
+      if (limit > Duration(0) && now - opened_at_ >= limit)
         lost(wire_->short_of_resources() ? EngineCloseReason::short_of_resources
                                          : EngineCloseReason::not_up_in_time);
       return;
@@ -71,14 +71,14 @@
       asked_at_ = now;
       // Where signs have a price, one that came makes the next less needed: a long job is asked for at
       // 0.4, 1.2, 2.8 s and so on.
-      if (owner_.limits_.sign_price > 0) quiet_ *= 2;
+      if (owner_.limits_.liveness_probe_cost > 0) quiet_ *= 2;
       std::string out;
       talk_.ask_for_a_sign(out);
       wire_->send(out);
     }
   }
 
-  void want(DispatchKey key, const Want& want, std::optional<Span> leave_by, bool again = false) {
+  void want(AttemptId key, const Want& want, std::optional<Duration> leave_by, bool again = false) {
     owner_.on_[key] = this;
     if (busy() == 0) idle_until_ = owner_.loop_.now(), quiet_ = first_quiet;
     // Kept back until the connection is up and its socket takes it, so that one given up by then never
@@ -89,27 +89,27 @@
   }
 
   // False where it has left, so that the engine has to hear of it.
-  bool take_back(DispatchKey key) {
+  bool take_back(AttemptId key) {
     if (std::erase_if(kept_back_, [&](const Kept& kept) { return kept.key == key; }) > 0) return true;
     const auto unsent = wire_->waiting() > 0 ? talk_.take_back(wire_->written(), key) : std::nullopt;
     if (unsent) wire_->skip(unsent->second);
     return unsent.has_value();
   }
-  void never_mind(DispatchKey key) {
+  void never_mind(AttemptId key) {
     std::string out;
     talk_.never_mind(key, out);
     wire_->send(out);
   }
   // Guards against a request that comes to its engine long after it was given up, because the engine takes
   // nothing meanwhile: what has not left this machine by now never does.
-  void lose_patience(DispatchKey key) {
+  void lose_patience(AttemptId key) {
     in_doubt_ = true;
     const bool engine_takes_nothing = wire_->unsent() > 0;
     talk_.lose_patience(key);
     if (engine_takes_nothing && busy() > 0) lost(EngineCloseReason::takes_nothing);
   }
 
-  void hurry(DispatchKey key, int priority) {
+  void hurry(AttemptId key, int priority) {
     for (Kept& kept : kept_back_) {
       if (kept.key == key) kept.want.priority = priority;
     }
@@ -198,14 +198,14 @@
       // same dispatch tries once more. What refuses or does not come up in time is unreachable.
       Link* other = wire_->reset_as_it_opened() && !one.again ? owner_.link_for(engine_, one.id) : nullptr;
       // Guards against engines that are blamed for what ran short here.
-      const Outcome ends_as = wire_->short_of_resources() ? Outcome::full : Outcome::unreachable;
+      const Outcome ends_as = wire_->short_of_resources() ? Outcome::engine_full : Outcome::unreachable;
       if (other) other->want(one.key, one.want_again(), one.leave_by, true);
       else talk_ended(one.key, ends_as, {});
     }
     talk_.broke(left);
   }
 
-  void talk_ended(DispatchKey key, Outcome outcome, std::vector<std::string> pages) override {
+  void talk_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) override {
     owner_.on_.erase(key);
     if (busy() == 0) {
       idle_since_ = owner_.loop_.now();
@@ -214,19 +214,19 @@
     }
     owner_.listener_.talk_ended(key, outcome, std::move(pages));
   }
-  void talk_progress(DispatchKey key, double share) override { owner_.listener_.talk_progress(key, share); }
-  void talk_spill(DispatchKey key, double missing) override { owner_.listener_.talk_spill(key, missing); }
-  void talk_wait(DispatchKey key, Wait wait) override { owner_.listener_.talk_wait(key, wait); }
-  void talk_crossed(DispatchKey key, std::string_view word) override {
+  void talk_progress(AttemptId key, double share) override { owner_.listener_.talk_progress(key, share); }
+  void talk_spill(AttemptId key, double missing) override { owner_.listener_.talk_spill(key, missing); }
+  void talk_wait(AttemptId key, WaitCause wait) override { owner_.listener_.talk_wait(key, wait); }
+  void talk_crossed(AttemptId key, std::string_view word) override {
     owner_.listener_.talk_crossed(key, word);
   }
 
  private:
   struct Kept {
-    DispatchKey key;
+    AttemptId key;
     Want want;
     std::string id, kind, token, statement;
-    std::optional<Span> leave_by;
+    std::optional<Duration> leave_by;
     bool again = false;
     Want want_again() const {
       Want same = want;
@@ -240,13 +240,13 @@
   std::unique_ptr<Wire> wire_;
   std::vector<Kept> kept_back_;
   static constexpr milliseconds first_quiet{400};
-  Span opened_at_, idle_since_, idle_until_{}, heard_{}, whole_since_{}, quiet_{first_quiet};
-  std::optional<Span> asked_at_;  // for a sign that it works
+  Duration opened_at_, idle_since_, idle_until_{}, heard_{}, whole_since_{}, quiet_{first_quiet};
+  std::optional<Duration> asked_at_;  // for a sign that it works
   bool in_doubt_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-Engines::Engines(Loop& loop, const service::LinkLimits& limits, std::size_t most_connections,
+Engines::Engines(Loop& loop, const service::EngineConnectionLimits& limits, std::size_t most_connections,
                  Listener& listener, Counters& counters)
     : loop_(loop),
       limits_(limits),
@@ -284,7 +284,7 @@
 
 EngineState Engines::state_of(EngineId engine) const {
   const auto at = places_.find(engine);
-  return at == places_.end() ? EngineState::gone : at->second.state();
+  return at == places_.end() ? EngineState::removed : at->second.state();
 }
 
 void Engines::forget_others(const std::set<EngineId>& named) {
@@ -319,11 +319,11 @@
   for (Link* link : links) link->opened() ? link->doubt() : link->lost(EngineCloseReason::engine_gone);
 }
 
-void Engines::want(EngineId engine, DispatchKey key, const Want& want, std::optional<Span> leave_by) {
+void Engines::want(EngineId engine, AttemptId key, const Want& want, std::optional<Duration> leave_by) {
   ++counters_.dispatches;
   constexpr double worth_spent = 0.005, most_saved = 4;
-  if (limits_.sign_price > 0)
-    signs_due_ = std::min(signs_due_ + worth_spent / limits_.sign_price, most_saved);
+  if (limits_.liveness_probe_cost > 0)
+    signs_due_ = std::min(signs_due_ + worth_spent / limits_.liveness_probe_cost, most_saved);
   Link* link = link_for(engine, want.id);
   if (link) {
     if (leave_by) {
@@ -336,7 +336,7 @@
   // Guards against engines that are blamed for descriptors that ran short here.
   const auto at = places_.find(engine);
   const bool there = at != places_.end() && at->second.can_be_reached();
-  loop_.soon([this, alive = alive_, key, ends_as = there ? Outcome::full : Outcome::unreachable] {
+  loop_.soon([this, alive = alive_, key, ends_as = there ? Outcome::engine_full : Outcome::unreachable] {
     if (*alive) listener_.talk_ended(key, ends_as, {});
   });
 }
@@ -346,7 +346,7 @@
 // is what the module spends on probes; a few may be saved up for when engines fall silent together. Where
 // they are spent, the module's own look at what is overdue is left.
 bool Engines::may_ask() {
-  if (limits_.sign_price <= 0) return true;
+  if (limits_.liveness_probe_cost <= 0) return true;
   if (signs_due_ < 1) return false;
   signs_due_ -= 1;
   return true;
@@ -360,7 +360,7 @@
   Link* best = nullptr;
   for (const auto& link : place.links) {
     // Not where the same id was before: a late or second answer could be taken for that of this dispatch.
-    if (link->in_doubt() || link->busy() >= static_cast<std::size_t>(limits_.dispatches_each) ||
+    if (link->in_doubt() || link->busy() >= static_cast<std::size_t>(limits_.attempts_per_connection) ||
         link->knows(id))
       continue;
     // The least busy, then the one last used, so that what is not needed grows old.
@@ -394,10 +394,10 @@
   return true;
 }
 
-void Engines::never_mind(DispatchKey key) {
+void Engines::never_mind(AttemptId key) {
   const auto it = on_.find(key);
   if (it == on_.end()) return;
-  if (take_back(key, Outcome::stopped)) return;
+  if (take_back(key, Outcome::cancelled)) return;
   ++counters_.never_minds;
   it->second->never_mind(key);
   // What the platform allows on top of its time limits; a connection that is so slow says nothing any more.
@@ -408,7 +408,7 @@
   });
 }
 
-bool Engines::take_back(DispatchKey key, Outcome ends_as) {
+bool Engines::take_back(AttemptId key, Outcome ends_as) {
   const auto it = on_.find(key);
   if (it == on_.end() || !it->second->take_back(key)) return false;
   end_soon(key, ends_as);
@@ -416,14 +416,14 @@
 }
 
 // After the event at hand: who hears of it may send again.
-void Engines::end_soon(DispatchKey key, Outcome ends_as) {
+void Engines::end_soon(AttemptId key, Outcome ends_as) {
   on_.erase(key);
   loop_.soon([this, alive = alive_, key, ends_as] {
     if (*alive) listener_.talk_ended(key, ends_as, {});
   });
 }
 
-void Engines::hurry(DispatchKey key, int priority) {
+void Engines::hurry(AttemptId key, int priority) {
   const auto it = on_.find(key);
   if (it == on_.end()) return;
   ++counters_.hurries;
@@ -455,7 +455,7 @@
 }
 
 void Engines::sweep() {
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   std::vector<Link*> links;
   for (const auto& [engine, place] : places_) {
     for (const auto& link : place.links) links.push_back(link.get());
@@ -463,8 +463,8 @@
   for (Link* link : links) {
     // Guards against a dispatch that crosses an engine's own close of an idle connection, which would leave
     // it unknown whether it ran: connections go at three quarters of the time that engines allow.
-    const bool unused = link->opened() && link->busy() == 0 && limits_.idle_close > Span(0) &&
-                        now - link->idle_since() >= limits_.idle_close * 3 / 4;
+    const bool unused = link->opened() && link->busy() == 0 && limits_.idle_timeout > Duration(0) &&
+                        now - link->idle_since() >= limits_.idle_timeout * 3 / 4;
     if (unused) drop(*link, EngineCloseReason::idle);
     else link->look(now);
   }
--- a/src/engines/engines.h
+++ b/src/engines/engines.h
@@ -20,7 +20,7 @@
 
 // A dispatch whose first byte is about to leave.
 struct Departure {
-  DispatchKey key;
+  AttemptId key;
   EngineId engine;
   EngineState state = EngineState::up;
   std::chrono::milliseconds told{};  // how long the engine is told that the manager waits
@@ -33,18 +33,18 @@
     // Asked just before the first byte of a dispatch leaves: how it ends where it may not leave any more.
     virtual std::optional<Outcome> refuses_departure(const Departure&) { return std::nullopt; }
   };
-  Engines(Loop& loop, const service::LinkLimits& limits, std::size_t most_connections, Listener& listener,
-          Counters& counters);
+  Engines(Loop& loop, const service::EngineConnectionLimits& limits, std::size_t most_connections,
+          Listener& listener, Counters& counters);
   ~Engines();
   void place(EngineId engine, const std::string& address, EngineState state = EngineState::up);
   void forget(EngineId engine);  // it has gone; what is still open there ends in its own way
   void forget_others(const std::set<EngineId>& named);
   // What has not left by `leave_by` never does, and ends as unreachable.
-  void want(EngineId engine, DispatchKey key, const Want& want, std::optional<Span> leave_by = {});
-  void never_mind(DispatchKey key);  // it still ends once, as stopped if nothing else
+  void want(EngineId engine, AttemptId key, const Want& want, std::optional<Duration> leave_by = {});
+  void never_mind(AttemptId key);  // it still ends once, as stopped if nothing else
   // True where it has not left: it never does, and ends so, after this event.
-  bool take_back(DispatchKey key, Outcome ends_as);
-  void hurry(DispatchKey key, int priority);
+  bool take_back(AttemptId key, Outcome ends_as);
+  void hurry(AttemptId key, int priority);
   // What has not left for it ends as unreachable, now; what has left goes on.
   void withhold(EngineId engine);
   // What the sockets to an engine show.
@@ -65,13 +65,13 @@
     bool gone = false, draining = false;
     bool can_be_reached() const { return !gone && socket_address.has_value(); }
     EngineState state() const {
-      return gone ? EngineState::gone : draining ? EngineState::draining : EngineState::up;
+      return gone ? EngineState::removed : draining ? EngineState::draining : EngineState::up;
     }
     std::vector<std::unique_ptr<Link>> links;
   };
   Link* link_for(EngineId engine, std::string_view id);
   EngineState state_of(EngineId engine) const;
-  void end_soon(DispatchKey key, Outcome ends_as);
+  void end_soon(AttemptId key, Outcome ends_as);
   bool make_room();
   bool may_ask();  // a connection for a sign
   void drop(Link& link, EngineCloseReason reason);
@@ -79,12 +79,12 @@
   void sweep();
 
   Loop& loop_;
-  service::LinkLimits limits_;
+  service::EngineConnectionLimits limits_;
   std::size_t most_connections_;
   Listener& listener_;
   Counters& counters_;
   std::map<EngineId, Place> places_;
-  std::map<DispatchKey, Link*> on_;
+  std::map<AttemptId, Link*> on_;
   std::vector<std::unique_ptr<Link>> dropped_;
   std::size_t connections_ = 0;
   double signs_due_ = 0;
--- a/src/engines/list.cpp
+++ b/src/engines/list.cpp
@@ -27,7 +27,7 @@
   Change change;
   try {
     const json& nodes = event.at("nodes");
-    change.news = nodes.value("complete", false) ? ListNews::complete : ListNews::changes;
+    change.news = nodes.value("complete", false) ? EndpointUpdate::snapshot : EndpointUpdate::delta;
     for (const json& one : nodes.at("members")) {
       Member& member = change.members.emplace_back();
       member.name = one.at("id").get<std::string>();
@@ -35,14 +35,13 @@
       member.address = one.value("host_port", "");
       member.engine.state = service::one_of<EngineState>(
           "phase", one.at("phase").get<std::string>(),
-          {{"active", EngineState::up}, {"leaving", EngineState::draining}, {"left", EngineState::gone}});
+          {{"active", EngineState::up}, {"leaving", EngineState::draining}, {"left", EngineState::removed}});
       member.engine.zone = deployment_.zone(service::plain_name(one.value("locality", "")));
       member.engine.kind = deployment_.kind(service::plain_name(one.value("flavor", "")));
       member.engine.cell = CellId{one.value("cell", std::int64_t{0})};
       const std::int64_t since = one.value("up_since_ms", std::int64_t{0});
       if (since > 0)
-        member.engine.online_since =
-            start_times_.start_of(member.engine.id, std::chrono::milliseconds(since));
+        member.engine.started_at = start_times_.start_of(member.engine.id, std::chrono::milliseconds(since));
     }
     change.taken = Taken::applied;
   } catch (const std::exception& error) {
@@ -57,15 +56,15 @@
   for (const json& event : known.value("cmds", json::array())) {
     Change change = read(event);
     if (change.taken != Taken::applied) return change;
-    if (change.news == ListNews::complete) members.clear();
+    if (change.news == EndpointUpdate::snapshot) members.clear();
     for (Member& member : change.members) members[member.engine.id] = std::move(member);
     has_list_ = true;
     cursor_ = std::max(cursor_, event.value("cursor", std::int64_t{0}));
   }
   cursor_ = std::max(cursor_, known.value("cursor", std::int64_t{0}));
-  whole.taken = Taken::applied, whole.news = ListNews::remembered;
+  whole.taken = Taken::applied, whole.news = EndpointUpdate::cached;
   for (auto& [id, member] : members) {
-    if (member.engine.state != EngineState::gone) whole.members.push_back(std::move(member));
+    if (member.engine.state != EngineState::removed) whole.members.push_back(std::move(member));
   }
   return whole;
 }
@@ -109,7 +108,7 @@
   if (change.taken != Taken::applied) return change;
   // What was missed may have been of an engine that is gone: the stream is asked for it once more. A whole
   // list makes up for whatever was missed.
-  if (number != cursor_ + 1 && change.news != ListNews::complete && !gap_allowed) {
+  if (number != cursor_ + 1 && change.news != EndpointUpdate::snapshot && !gap_allowed) {
     change.taken = Taken::gap;
     return change;
   }
@@ -120,10 +119,10 @@
 
 // Names live as long as their engines are listed: engines are replaced all day.
 void EngineList::forget_gone(const Change& change) {
-  const bool whole = change.news == ListNews::complete;
+  const bool whole = change.news == EndpointUpdate::snapshot;
   std::map<EngineId, bool> gone;
   for (const Member& member : change.members)
-    gone[member.engine.id] = member.engine.state == EngineState::gone;
+    gone[member.engine.id] = member.engine.state == EngineState::removed;
   std::erase_if(ids_, [&](const auto& one) {
     const auto named = gone.find(one.second);
     const bool over = named == gone.end() ? whole : named->second;
@@ -174,7 +173,7 @@
 void ListFeed::move_to(std::string address) {
   if (address == address_) return;
   address_ = std::move(address);
-  pause_ = Span(0);
+  pause_ = Duration(0);
   patience_ = 1;
   again("the channel has moved");
 }
@@ -184,8 +183,8 @@
 void ListFeed::watch(std::uint64_t which) {
   loop_.at(loop_.now() + milliseconds(100), [this, which] {
     if (which != opened_ || !wire_) return;
-    Span longest = wire_->opened() ? speaks_within : opens_within;
-    if (!spoke_) longest = std::min<Span>(longest * patience_, longest_wait);
+    Duration longest = wire_->opened() ? speaks_within : opens_within;
+    if (!spoke_) longest = std::min<Duration>(longest * patience_, longest_wait);
     if (loop_.now() - last_sign_ <= longest) return watch(which);
     if (!spoke_) patience_ = std::min(2 * patience_, most_patience);
     again(wire_->opened() ? "the stream is silent" : "the connection does not come up");
@@ -233,11 +232,11 @@
   wire_.reset();
   // Guards against discovery that turns callers away, or ends their streams, as fast as they come: only a
   // stream that held is opened anew at once.
-  if (spoke_ && loop_.now() - opened_at_ >= sound_after) pause_ = Span(0);
+  if (spoke_ && loop_.now() - opened_at_ >= sound_after) pause_ = Duration(0);
   loop_.at(loop_.now() + pause_, [this, which = opened_] {
     if (which == opened_) open();
   });
-  pause_ = std::clamp<Span>(2 * pause_, first_pause, longest_pause);
+  pause_ = std::clamp<Duration>(2 * pause_, first_pause, longest_pause);
 }
 
 }  // namespace pearchute::net
--- a/src/engines/list.h
+++ b/src/engines/list.h
@@ -21,7 +21,7 @@
 
 struct Member {
   std::string name;
-  ListedEngine engine;
+  EngineEndpoint engine;
   std::string address;
 };
 
@@ -35,7 +35,7 @@
   enum class Taken { applied, old, gap, broken };
   struct Change {
     Taken taken = Taken::broken;
-    ListNews news = ListNews::changes;
+    EndpointUpdate news = EndpointUpdate::delta;
     std::vector<Member> members;
     std::string fault;
   };
@@ -45,7 +45,7 @@
   // gap or a broken one. `applied` hears each as it is taken.
   void take_newer(const nlohmann::json& known, const std::function<void(const Change&)>& applied);
   // The source of the list has said something; `is_current`: it has told by then all that it had.
-  void heard(Span now, bool is_current) { start_times_.heard(now, has_list_ && is_current); }
+  void heard(Duration now, bool is_current) { start_times_.heard(now, has_list_ && is_current); }
   std::int64_t cursor() const { return cursor_; }
   bool has_list() const { return has_list_; }
   std::size_t names() const { return ids_.size(); }
@@ -70,7 +70,7 @@
   class Listener {
    public:
     virtual ~Listener() = default;
-    virtual void list_changed(ListNews news, const std::vector<Member>& members) = 0;
+    virtual void list_changed(EndpointUpdate news, const std::vector<Member>& members) = 0;
   };
   ListFeed(Loop& loop, std::string address, EngineList& list, Listener& listener, Counters& counters);
   ~ListFeed() override;
@@ -94,7 +94,7 @@
   std::unique_ptr<Wire> wire_;
   std::unique_ptr<EventFeed> feed_;
   std::uint64_t opened_ = 0;  // streams so far, which tells a timer's own from a later one
-  Span opened_at_{}, last_sign_{}, pause_{};
+  Duration opened_at_{}, last_sign_{}, pause_{};
   static constexpr int most_patience = 16;
   int patience_ = 1;    // times the usual, for discovery's first word
   bool spoke_ = false;  // this stream has brought something
--- a/src/engines/resp.cpp
+++ b/src/engines/resp.cpp
@@ -115,7 +115,7 @@
   put_ += out.size() - before;
 }
 
-void EngineTalk::want(DispatchKey key, const Want& want, std::string& out) {
+void EngineTalk::want(AttemptId key, const Want& want, std::string& out) {
   std::string fields = "kind=" + std::string(want.kind) + ",ms=" + std::to_string(want.wait_ms);
   if (!want.token.empty()) fields.append(",token=").append(want.token);
   if (want.grant_mb > 0) fields.append(",workmem=").append(std::to_string(want.grant_mb));
@@ -129,8 +129,8 @@
   open.length = static_cast<std::size_t>(put_ - open.starts_at);
 }
 
-std::optional<std::pair<DispatchKey, std::size_t>> EngineTalk::take_back(std::uint64_t bytes_left,
-                                                                         std::optional<DispatchKey> only) {
+std::optional<std::pair<AttemptId, std::size_t>> EngineTalk::take_back(std::uint64_t bytes_left,
+                                                                       std::optional<AttemptId> only) {
   const auto it = std::ranges::find_if(open_, [&](const auto& one) {
     return one.second.starts_at == bytes_left && one.second.farewell.empty() &&
            (!only || one.second.key == *only);
@@ -144,7 +144,7 @@
 
 // Guards against two dispatches of a job that overlap: one given up is over only when its engine has heard,
 // which the echo of a tag sent right behind shows, whatever the way to the next engine takes.
-void EngineTalk::never_mind(DispatchKey key, std::string& out) {
+void EngineTalk::never_mind(AttemptId key, std::string& out) {
   const auto id = ids_.find(key);
   if (id == ids_.end()) return;
   Open& open = open_.find(id->second)->second;
@@ -156,16 +156,16 @@
 
 void EngineTalk::heard(std::string_view tag) {
   const auto it = std::ranges::find_if(open_, [&](const auto& one) { return one.second.farewell == tag; });
-  if (it != open_.end() && !tag.empty()) end(it, Outcome::stopped);
+  if (it != open_.end() && !tag.empty()) end(it, Outcome::cancelled);
 }
 
-void EngineTalk::lose_patience(DispatchKey key) {
+void EngineTalk::lose_patience(AttemptId key) {
   const auto id = ids_.find(key);
   if (id == ids_.end()) return;
-  end(open_.find(id->second), Outcome::stopped);
+  end(open_.find(id->second), Outcome::cancelled);
 }
 
-void EngineTalk::hurry(DispatchKey key, int priority, std::string& out) {
+void EngineTalk::hurry(AttemptId key, int priority, std::string& out) {
   const auto id = ids_.find(key);
   if (id != ids_.end()) put(out, {"hurry", id->second, std::to_string(priority)});
 }
@@ -221,18 +221,19 @@
       const std::string_view note = fields.text("res").value_or("");
       const double figure = fields.number("figure").value_or(0);
       if (!(figure >= 0 && figure <= most_figure)) return false;
-      const DispatchKey key = open.key;
+      const AttemptId key = open.key;
       if (note == "progress") listener_.talk_progress(key, std::min(figure, 1.0));
       else if (note == "spill_mb") listener_.talk_spill(key, figure);
-      else if (note == "blocked") listener_.talk_wait(key, figure == 2 ? Wait::load : Wait::memory);
+      else if (note == "blocked")
+        listener_.talk_wait(key, figure == 2 ? WaitCause::data_load : WaitCause::memory);
       return true;
     } else if (words[1] == "SHED" || words[1] == "FAULT" || words[1] == "LATE") {
       // Guards against a word that is taken for the answer to what was asked before the give-up: it may be
       // the engine's way of heeding it, so that the attempt's end stays unsure.
       if (!open.farewell.empty()) return true;
-      const Outcome outcome = words[1] == "SHED"    ? Outcome::full
-                              : words[1] == "FAULT" ? Outcome::error
-                                                    : Outcome::never_sent;
+      const Outcome outcome = words[1] == "SHED"    ? Outcome::engine_full
+                              : words[1] == "FAULT" ? Outcome::engine_error
+                                                    : Outcome::not_sent;
       return end(it, outcome), true;
     } else {
       return false;
@@ -248,15 +249,15 @@
   }
   if (open.pages_here == open.pages.size()) {
     if (open.pages.size() > 1) put(out, {"shut", it->first});
-    end(it, Outcome::done);
+    end(it, Outcome::succeeded);
   }
   return true;
 }
 
 void EngineTalk::end(std::map<std::string, Open, std::less<>>::iterator it, Outcome outcome) {
-  const DispatchKey key = it->second.key;
+  const AttemptId key = it->second.key;
   std::vector<std::string> pages;
-  if (outcome == Outcome::done) pages = std::move(it->second.pages);
+  if (outcome == Outcome::succeeded) pages = std::move(it->second.pages);
   ids_.erase(key);
   past_.push_back(it->first);
   if (past_.size() > most_past) past_.pop_front();
@@ -269,7 +270,7 @@
     // What has not left whole has not come whole, so it never ran.
     const Open& open = open_.begin()->second;
     const bool unsent = open.starts_at + open.length > bytes_left;
-    end(open_.begin(), unsent ? Outcome::unreachable : Outcome::reset);
+    end(open_.begin(), unsent ? Outcome::unreachable : Outcome::connection_reset);
   }
 }
 
--- a/src/engines/resp.h
+++ b/src/engines/resp.h
@@ -43,16 +43,16 @@
 void append_command(std::string& out, std::initializer_list<std::string_view> words);
 
 // One dispatch, as the caller knows it.
-struct DispatchKey {
-  JobId job;
+struct AttemptId {
+  RequestId job;
   int number = 0;
-  auto operator<=>(const DispatchKey&) const = default;
+  auto operator<=>(const AttemptId&) const = default;
 };
 
 struct Want {
   std::string_view id, kind, token, statement;
   std::int64_t wait_ms = 0;
-  std::optional<Span> answer_by =
+  std::optional<Duration> answer_by =
       std::nullopt;           // where set, wait_ms is what is left of it when the request leaves
   std::int64_t grant_mb = 0;  // 0: the engine chooses
   int priority = 1;
@@ -63,22 +63,22 @@
   class Listener {
    public:
     virtual ~Listener() = default;
-    virtual void talk_ended(DispatchKey key, Outcome outcome, std::vector<std::string> pages) = 0;
-    virtual void talk_progress(DispatchKey key, double share_done) = 0;
-    virtual void talk_spill(DispatchKey key, double missing_mb) = 0;
-    virtual void talk_wait(DispatchKey key, Wait wait) = 0;
+    virtual void talk_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) = 0;
+    virtual void talk_progress(AttemptId key, double share_done) = 0;
+    virtual void talk_spill(AttemptId key, double missing_mb) = 0;
+    virtual void talk_wait(AttemptId key, WaitCause wait) = 0;
     // The engine has said this of a dispatch that was given up before; what ends it follows, or is this.
-    virtual void talk_crossed(DispatchKey, std::string_view) {}
+    virtual void talk_crossed(AttemptId, std::string_view) {}
   };
   explicit EngineTalk(Listener& listener) : listener_(listener) {}
 
-  void want(DispatchKey key, const Want& want, std::string& out);
+  void want(AttemptId key, const Want& want, std::string& out);
   // Gives it up. It ends as stopped once the engine is known to have heard, whatever the engine says of it
   // meanwhile: only a whole result that had crossed on the way is still one.
-  void never_mind(DispatchKey key, std::string& out);
+  void never_mind(AttemptId key, std::string& out);
   // The engine has not said in time that it heard: what was given up ends without its word.
-  void lose_patience(DispatchKey key);
-  void hurry(DispatchKey key, int priority, std::string& out);
+  void lose_patience(AttemptId key);
+  void hurry(AttemptId key, int priority, std::string& out);
   void ask_for_a_sign(std::string& out);
   // False where the bytes are no answers; the caller closes and calls `broke`.
   bool feed(std::string_view bytes, std::string& out);
@@ -86,8 +86,8 @@
   void broke(std::uint64_t bytes_left);
   // The dispatch of which nothing has left after so many bytes, with the length of its command, where there
   // is one (and that one only, where it is named): it is forgotten, and its listener is not told.
-  std::optional<std::pair<DispatchKey, std::size_t>> take_back(
-      std::uint64_t bytes_left, std::optional<DispatchKey> only = std::nullopt);
+  std::optional<std::pair<AttemptId, std::size_t>> take_back(std::uint64_t bytes_left,
+                                                             std::optional<AttemptId> only = std::nullopt);
   std::size_t open() const { return open_.size(); }
   // Whether an answer under this id may still come: one that was given up, or a second copy of one that came.
   bool knows(std::string_view id) const;
@@ -97,7 +97,7 @@
 
  private:
   struct Open {
-    DispatchKey key;
+    AttemptId key;
     std::uint64_t starts_at = 0;  // bytes put out before it
     std::size_t length = 0;       // of its command
     std::size_t pages_here = 0;
@@ -114,7 +114,7 @@
   Listener& listener_;
   RespReader reader_;
   std::map<std::string, Open, std::less<>> open_;
-  std::map<DispatchKey, std::string> ids_;
+  std::map<AttemptId, std::string> ids_;
   std::deque<std::string> past_;
   std::uint64_t put_ = 0, next_tag_ = 0, whole_answers_ = 0;
 };
--- a/src/front/answers.cpp
+++ b/src/front/answers.cpp
@@ -7,8 +7,8 @@
 
 namespace pearchute::net {
 
-std::string retry_after_header(Span span) {
-  if (span <= Span(0)) return "";
+std::string retry_after_header(Duration span) {
+  if (span <= Duration(0)) return "";
   return "Retry-After-Ms: " + std::to_string(std::chrono::ceil<std::chrono::milliseconds>(span).count()) +
          "\r\n";
 }
--- a/src/front/answers.h
+++ b/src/front/answers.h
@@ -11,7 +11,7 @@
 namespace pearchute::net {
 
 // The header that tells a client when to come back; empty where there is nothing to tell.
-std::string retry_after_header(Span span);
+std::string retry_after_header(Duration span);
 
 // The body of an answer that says what was wrong.
 std::string error_body(std::string_view what);
--- a/src/front/arrival_times.h
+++ b/src/front/arrival_times.h
@@ -14,26 +14,26 @@
  public:
   // All bytes up to the `up_to`-th of the connection had come by `read`, and none of the new ones before
   // `at`.
-  void came(std::uint64_t up_to, Span at, Span read) {
+  void came(std::uint64_t up_to, Duration at, Duration read) {
     constexpr std::chrono::milliseconds together(10);
     if (!arrivals_.empty() && at - arrivals_.back().at < together)
       arrivals_.back().up_to = up_to, arrivals_.back().read = read;
     else arrivals_.push_back({up_to, at, read});
   }
-  void came(std::uint64_t up_to, Span at) { came(up_to, at, at); }
+  void came(std::uint64_t up_to, Duration at) { came(up_to, at, at); }
   // When the byte before that one came; what came earlier is forgotten.
-  Span of(std::uint64_t offset, Span otherwise) {
+  Duration of(std::uint64_t offset, Duration otherwise) {
     const auto at = std::ranges::find_if(arrivals_, [&](const Arrival& one) { return one.up_to >= offset; });
     arrivals_.erase(arrivals_.begin(), at);
     return arrivals_.empty() ? otherwise : arrivals_.front().at;
   }
   // By when the byte had come of which `of` was asked last.
-  Span latest(Span otherwise) const { return arrivals_.empty() ? otherwise : arrivals_.front().read; }
+  Duration latest(Duration otherwise) const { return arrivals_.empty() ? otherwise : arrivals_.front().read; }
 
  private:
   struct Arrival {
     std::uint64_t up_to = 0;
-    Span at{}, read{};
+    Duration at{}, read{};
   };
   std::vector<Arrival> arrivals_;
 };
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -23,9 +23,10 @@
 // descriptors at most.
 service::Deployment on_sockets(service::Deployment deployment, std::size_t descriptors) {
   ServiceDefinition& service = deployment.service;
-  service.round = std::max<Span>(service.round, wakes_late);
+  service.event_interval = std::max<Duration>(service.event_interval, wakes_late);
   const auto places = static_cast<std::int64_t>(descriptors / 3);
-  service.most_open = service.most_open > 0 ? std::min(service.most_open, places) : places;
+  service.max_open_requests =
+      service.max_open_requests > 0 ? std::min(service.max_open_requests, places) : places;
   return deployment;
 }
 
@@ -58,7 +59,7 @@
 
 Front::~Front() = default;
 
-void Front::settle_account(JobId id, OpenJob& job) {
+void Front::settle_account(RequestId id, OpenJob& job) {
   if (!job.answered) owed_ -= 1;
   job.answered = true;
   counters_.rules.over(id);
@@ -91,7 +92,7 @@
     loop_.cut_finishing();
   if (clients_.size() >= most_clients_) {
     ++counters_.shed;
-    const Span now = loop_.now();
+    const Duration now = loop_.now();
     Client* least = nullptr;
     for (const auto& [id, client] : clients_) {
       const bool is_less = client->useless() && (!least || client->usefulness(now) < least->usefulness(now));
@@ -154,7 +155,7 @@
 }
 
 void Front::client_left(Client& client, ClientCloseReason reason) {
-  const std::optional<JobId> id = client.waits_for;
+  const std::optional<RequestId> id = client.waits_for;
   client.waits_for.reset();
   drop(client, reason);
   if (!id) return;
@@ -167,37 +168,37 @@
                  loop_.now() - it->second.taken);
   settle_account(*id, it->second);
   ++counters_.withdrawn;
-  manager_.job_withdrawn(loop_.now(), *id);
+  manager_.on_request_cancelled(loop_.now(), *id);
   forget_if_done(*id);
 }
 
 // Guards against dispatches for clients that have gone: what has not left for an engine is taken back.
-void Front::lose_sight(JobId id) {
+void Front::lose_sight(RequestId id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || it->second.answered) return;
-  manager_.caller_left(loop_.now(), id);
+  manager_.on_client_disconnected(loop_.now(), id);
   take_back_unsent(id, it->second);
 }
 
-void Front::take_back_unsent(JobId id, OpenJob& job) {
+void Front::take_back_unsent(RequestId id, OpenJob& job) {
   for (Sent& sent : job.out) {
-    if (engines_.take_back({id, sent.number}, Outcome::never_sent)) note_taken_back(id, sent);
+    if (engines_.take_back({id, sent.number}, Outcome::not_sent)) note_taken_back(id, sent);
   }
 }
 
-void Front::note_taken_back(JobId id, Sent& sent) {
+void Front::note_taken_back(RequestId id, Sent& sent) {
   if (!std::exchange(sent.has_left, false)) return;
   counters_.rules.attempt_taken_back(id);
 }
 
-void Front::left_alone(JobId id) {
+void Front::left_alone(RequestId id) {
   const auto it = jobs_.find(id);
   if (it != jobs_.end() && !it->second.caller) lose_sight(id);
 }
 
 bool Front::idle() const {
   if (owed_ > 0) return false;
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   return std::ranges::none_of(jobs_, [&](const auto& one) {
     const OpenJob& job = one.second;
     return job.status != 0 && !job.fetched && now - job.answered_at <= long_enough_to_call_again;
@@ -228,11 +229,11 @@
   });
 }
 
-std::optional<JobId> Front::job_of_path(std::string_view path) const {
+std::optional<RequestId> Front::job_of_path(std::string_view path) const {
   if (!path.starts_with(job_path)) return std::nullopt;
   const auto number = hex_in(path.substr(job_path.size()));
-  if (!number || !jobs_.contains(JobId{*number})) return std::nullopt;
-  return JobId{*number};
+  if (!number || !jobs_.contains(RequestId{*number})) return std::nullopt;
+  return RequestId{*number};
 }
 
 void Front::called(Client& client, const std::string& method, const std::string& path, Message& message) {
@@ -250,7 +251,7 @@
     ++counters_.bad_calls;
     return respond(client.id(), 405, "", error_body("work is posted"));
   }
-  const std::optional<JobId> id = job_of_path(whole);
+  const std::optional<RequestId> id = job_of_path(whole);
   if (!id || (method != "GET" && method != "DELETE")) {
     ++counters_.bad_calls;
     return respond(client.id(), id ? 405 : 404, "", error_body("nothing is here"));
@@ -265,7 +266,7 @@
     respond(client.id(), 200, "", "{}");
     if (open) {
       ++counters_.withdrawn;
-      manager_.job_withdrawn(loop_.now(), *id);
+      manager_.on_request_cancelled(loop_.now(), *id);
     }
     return forget_if_done(*id);
   }
@@ -286,18 +287,18 @@
     forget_answer_at(loop_.now() + long_enough_to_call_again, *id);
     return;
   }
-  manager_.caller_came(loop_.now(), *id);
+  manager_.on_client_reconnected(loop_.now(), *id);
 }
 
 // ---- Jobs ----
 
 void Front::take_job(Client& client, std::string_view kind, Message& message) {
-  const Span now = loop_.now();
-  const TypeId type = deployment_.type(service::plain_name(std::string(kind)));
-  const std::variant<Job, BadRequest> read = job_in(deployment_, type, message);
+  const Duration now = loop_.now();
+  const RequestTypeId type = deployment_.type(service::plain_name(std::string(kind)));
+  const std::variant<Request, BadRequest> read = job_in(deployment_, type, message);
   if (const auto* refusal = std::get_if<BadRequest>(&read))
     return refuse(client, RefusalReason::unusable, refusal->status, refusal->what);
-  Job job = std::get<Job>(read);
+  Request job = std::get<Request>(read);
   // The client's time runs from when its call came, which a busy loop reads late.
   job.time_left -= now - std::min(now, client.call_came());
   if (jobs_.contains(job.id))
@@ -305,7 +306,7 @@
   if (counters_.rules.forbids_taking(closing_)) return refuse_for_now(client, RefusalReason::ending);
   if (away_) return refuse_for_now(client, RefusalReason::draining);
   // A connection's last job may not be forgotten yet when its next one comes: a few over the limit are taken.
-  if (owed_ >= 2 * static_cast<std::size_t>(deployment_.service.most_open))
+  if (owed_ >= 2 * static_cast<std::size_t>(deployment_.service.max_open_requests))
     return refuse_for_now(client, RefusalReason::too_many_open);
   if (statement_bytes_ + message.body.size() > most_unread_)
     return refuse_for_now(client, RefusalReason::too_much_unread);
@@ -320,10 +321,10 @@
   statement_bytes_ += open.statement.size();
   open.type = type;
   open.estimate_ms = job.work_ms;
-  open.taken = now, open.end = now + std::max(job.time_left, Span(0));
+  open.taken = now, open.end = now + std::max(job.time_left, Duration(0));
   open.caller = client.id();
   client.waits_for = job.id;
-  if (job.key && deployment_.service.types[static_cast<std::size_t>(type.value)].in_order) {
+  if (job.key && deployment_.service.types[static_cast<std::size_t>(type.value)].ordered_by_key) {
     open.order_key = job.key;
     await_earlier_calls(client, job, message.header("x-object"));
   } else {
@@ -336,13 +337,13 @@
 
 // Guards against calls of a key that are taken in the order in which they are read, where several lie unread
 // or one waits behind an open call: the module hears of them as they came.
-void Front::await_earlier_calls(Client& client, const Job& job, std::string_view key) {
-  const Span now = loop_.now();
+void Front::await_earlier_calls(Client& client, const Request& job, std::string_view key) {
+  const Duration now = loop_.now();
   const auto [earliest, latest] = client.call_came_between();
   log_.taken(jobs_.at(job.id).id, jobs_.at(job.id).kind, *job.key, job.time_left, now - earliest,
              now - latest);
-  Job arriving = job;
-  arriving.order_is_known = std::ranges::none_of(clients_, [&](const auto& one) {
+  Request arriving = job;
+  arriving.arrival_order_known = std::ranges::none_of(clients_, [&](const auto& one) {
     return one.second.get() != &client && one.second->may_hold_call_of(key);
   });
   arriving_.emplace(job.id, arriving);
@@ -352,32 +353,33 @@
 void Front::hand_over_what_is_settled() {
   for (const ArrivalOrder::Settled& settled : arrivals_.settle(loop_.now(), loop_.read_up_to())) {
     const auto at = arriving_.find(settled.id);
-    Job job = at->second;
+    Request job = at->second;
     arriving_.erase(at);
-    job.order_is_known &= settled.order_is_known;
+    job.arrival_order_known &= settled.arrival_order_known;
     hand_over(job);
   }
 }
 
 // Its client may have left meanwhile.
-void Front::hand_over(const Job& job) {
+void Front::hand_over(const Request& job) {
   const auto it = jobs_.find(job.id);
   if (it == jobs_.end() || it->second.answered) return;
-  const Span now = loop_.now();
-  Job taken = job;
+  const Duration now = loop_.now();
+  Request taken = job;
   taken.time_left = it->second.end - now;
   counters_.rules.taken(now, {job.id, job.type, it->second.order_key});
-  manager_.job_taken(now, taken);
+  manager_.on_request(now, taken);
   log_what_it_waits_for(job.id);
 }
 
-void Front::log_what_it_waits_for(JobId id) {
+void Front::log_what_it_waits_for(RequestId id) {
   constexpr std::string_view words[] = {"", "for its turn of its key", "for its key's rest", "for the ration",
                                         "for room"};
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || !it->second.order_key) return;
-  const WorkloadManager::Waits what = manager_.waits_for(loop_.now(), id);
-  if (what != WorkloadManager::Waits::nothing) log_.waits(it->second.id, words[static_cast<int>(what)]);
+  const WorkloadManager::QueuedFor what = manager_.queued_for(loop_.now(), id);
+  if (what != WorkloadManager::QueuedFor::not_queued)
+    log_.waits(it->second.id, words[static_cast<int>(what)]);
 }
 
 void Front::refuse(Client& client, RefusalReason reason, int status, std::string_view what) {
@@ -392,12 +394,12 @@
   counters_.refused.add(reason);
   PEARCHUTE_LOG(spdlog::level::info, "a job is refused for now: {}",
                 refusal_names[static_cast<std::size_t>(reason)]);
-  const Span advice =
-      deployment_.service.takes_retry_advice ? deployment_.service.longest_retry_advice : Span(0);
+  const Duration advice =
+      deployment_.service.sends_retry_after ? deployment_.service.max_retry_after : Duration(0);
   respond(client.id(), 503, retry_after_header(advice), R"({"abort":"TryLater"})");
 }
 
-void Front::give_path(JobId id) {
+void Front::give_path(RequestId id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || it->second.answered || it->second.has_path || !it->second.caller) return;
   OpenJob& job = it->second;
@@ -412,7 +414,7 @@
   job.path_given_to = caller;
 }
 
-void Front::forget_answer_at(Span when, JobId id) {
+void Front::forget_answer_at(Duration when, RequestId id) {
   loop_.at(when, [this, id] {
     const auto at = jobs_.find(id);
     if (at == jobs_.end() || !at->second.answered) return;
@@ -421,15 +423,15 @@
   });
 }
 
-void Front::answer(JobId id, OpenJob& job, int status, std::string headers, std::string body) {
+void Front::answer(RequestId id, OpenJob& job, int status, std::string headers, std::string body) {
   if (job.answered) return;
   counters_.rules.answering({loop_.now(), job.end, job.answered});
   settle_account(id, job);
   job.answered_at = loop_.now();
   log_.answered(job.id, job.order_key.has_value(), status,
-                job.given_up ? give_up_names[static_cast<std::size_t>(*job.given_up)] : "done",
+                job.given_up ? rejection_reason_keys[static_cast<std::size_t>(*job.given_up)] : "done",
                 job.answered_at - job.taken);
-  if (const Span late = loop_.now() - job.end; late > Span(0)) {
+  if (const Duration late = loop_.now() - job.end; late > Duration(0)) {
     PEARCHUTE_LOG(spdlog::level::warn, "job {} is answered {} ms after its end", job.id, late.count() / 1000);
   }
   if (job.caller) {
@@ -444,7 +446,7 @@
   loop_.soon([this, id] { forget_if_done(id); });
 }
 
-void Front::forget_if_done(JobId id) {
+void Front::forget_if_done(RequestId id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   const OpenJob& job = it->second;
@@ -473,7 +475,7 @@
 }
 
 void Front::sweep() {
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   counters_.rules.forget_old(now);
   std::vector<std::pair<Client*, int>> overdue;
   for (const auto& [id, client] : clients_) {
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -14,7 +14,7 @@
 
 // ---- What the module does ----
 
-void Front::set_terms(JobId id, double grant_mb, int priority) {
+void Front::set_execution_terms(RequestId id, double grant_mb, int priority) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   OpenJob& job = it->second;
@@ -24,24 +24,24 @@
   for (const Sent& sent : job.out) engines_.hurry({id, sent.number}, priority);
 }
 
-void Front::must_leave_within(JobId id, Span span) {
+void Front::limit_send_delay(RequestId id, Duration span) {
   const auto it = jobs_.find(id);
   if (it != jobs_.end()) it->second.leave_by = loop_.now() + span;
 }
 
-void Front::dispatch(JobId id, EngineId engine, Span time_limit) {
+void Front::dispatch(RequestId id, EngineId engine, Duration time_limit) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   OpenJob& job = it->second;
-  const Span now = loop_.now();
-  const Span end = time_limit > Span(0) ? std::min(job.end, now + time_limit) : job.end;
+  const Duration now = loop_.now();
+  const Duration end = time_limit > Duration(0) ? std::min(job.end, now + time_limit) : job.end;
   const bool is_forbidden = repeat_is_forbidden(id, job);
-  const DispatchKey key{id, job.dispatches++};
+  const AttemptId key{id, job.dispatches++};
   const auto name = engine_names_.find(engine);
   job.out.push_back(
       {key.number, now, engine, name == engine_names_.end() ? std::string("?") : name->second, false});
   if (job.answered || sending_nothing_ || end <= now || is_forbidden) {
-    loop_.soon([this, key] { talk_ended(key, Outcome::never_sent, {}); });
+    loop_.soon([this, key] { talk_ended(key, Outcome::not_sent, {}); });
     return;
   }
   Want want;
@@ -60,20 +60,20 @@
 }
 
 // What the module decides keeps these rules by itself; a decision that does not is a fault, and goes nowhere.
-bool Front::repeat_is_forbidden(JobId id, const OpenJob& job) {
+bool Front::repeat_is_forbidden(RequestId id, const OpenJob& job) {
   const ServiceDefinition& service = deployment_.service;
-  const ReservationType& type = service.types[static_cast<std::size_t>(job.type.value)];
+  const RequestType& type = service.types[static_cast<std::size_t>(job.type.value)];
   const auto rule = counters_.rules.forbids_repeating(
-      {loop_.now(), type.effect, type.repeat_window, job.dispatches, service.most_dispatches,
-       static_cast<int>(job.out.size()), service.second_copies, job.first_doubt});
+      {loop_.now(), type.idempotency, type.deduplication_window, job.dispatches, service.max_attempts,
+       static_cast<int>(job.out.size()), service.allows_hedging, job.first_uncertain_attempt_at});
   if (rule)
     PEARCHUTE_LOG(spdlog::level::err, "job {}: attempt {} would break the rule {}; held back", job.id,
                   job.dispatches, rule_names[static_cast<std::size_t>(*rule)]);
   if (rule || job.dispatches == 0) return rule.has_value();
-  const Outcome before = job.out.empty() ? job.last_end : Outcome::done;
+  const Outcome before = job.out.empty() ? job.last_end : Outcome::succeeded;
   counters_.retried.add(before);
   PEARCHUTE_LOG(spdlog::level::info, "job {:016x}: attempt {} after {}", id.value, job.dispatches,
-                job.out.empty() ? outcome_names[static_cast<std::size_t>(before)] : "none, as a copy");
+                job.out.empty() ? outcome_keys[static_cast<std::size_t>(before)] : "none, as a copy");
   return false;
 }
 
@@ -86,14 +86,14 @@
 
 // Much may have happened since it was decided: its connection came up late, or the process had no turn.
 std::optional<Outcome> Front::refuses_departure(const Departure& departure) {
-  const DispatchKey key = departure.key;
+  const AttemptId key = departure.key;
   const auto it = jobs_.find(key.job);
-  if (it == jobs_.end()) return Outcome::never_sent;
+  if (it == jobs_.end()) return Outcome::not_sent;
   OpenJob& job = it->second;
   const auto sent = std::ranges::find(job.out, key.number, &Sent::number);
-  if (sent == job.out.end()) return Outcome::never_sent;
-  const Span now = loop_.now();
-  const Attempt attempt = attempt_of(key, job, *sent);
+  if (sent == job.out.end()) return Outcome::not_sent;
+  const Duration now = loop_.now();
+  const AttemptFacts attempt = attempt_of(key, job, *sent);
   const auto rule = counters_.rules.forbids_sending(
       {now, job.end, job.answered, client_is_there(job), departure.state, departure.told}, attempt);
   if (!rule) {
@@ -104,29 +104,29 @@
   }
   log_.held_back(name_of(job, *sent), rule_names[static_cast<std::size_t>(*rule)]);
   if (*rule == Rule::engine_takes_work) return Outcome::unreachable;
-  if (*rule == Rule::cold_budget) return Outcome::full;  // another engine may have room
+  if (*rule == Rule::cold_budget) return Outcome::engine_full;  // another engine may have room
   if (*rule == Rule::client_is_there) lose_sight(key.job);
-  return Outcome::never_sent;
+  return Outcome::not_sent;
 }
 
 // A request counts with the usual work of its class, or less where it is estimated at less: the module goes
 // by either.
-Attempt Front::attempt_of(DispatchKey key, const OpenJob& job, const Sent& sent) const {
-  const double usual = manager_.usual_work_ms(job.type);
+AttemptFacts Front::attempt_of(AttemptId key, const OpenJob& job, const Sent& sent) const {
+  const double usual = manager_.typical_work_ms(job.type);
   return {key.job, sent.engine, std::min(usual, job.estimate_ms.value_or(usual)),
-          manager_.largest_usual_work_ms()};
+          manager_.largest_typical_work_ms()};
 }
 
 AttemptName Front::name_of(const OpenJob& job, const Sent& sent) {
   return {job.id, sent.number + 1, sent.engine_name, job.order_key.has_value()};
 }
 
-void Front::call_off(DispatchKey key, CallOffReason reason) {
+void Front::call_off(AttemptId key, CallOffReason reason) {
   const auto it = jobs_.find(key.job);
   if (it == jobs_.end()) return engines_.never_mind(key);
   const auto sent = std::ranges::find(it->second.out, key.number, &Sent::number);
   if (sent != it->second.out.end()) {
-    if (engines_.take_back(key, Outcome::stopped)) return note_taken_back(key.job, *sent);
+    if (engines_.take_back(key, Outcome::cancelled)) return note_taken_back(key.job, *sent);
     if (sent->has_left) {
       log_.called_off(name_of(it->second, *sent), reason);
       counters_.rules.attempt_called_off(loop_.now(), key.job);
@@ -135,48 +135,49 @@
   engines_.never_mind(key);
 }
 
-void Front::stop_dispatch(JobId id, int number) {
+void Front::cancel_attempt(RequestId id, int number) {
   const auto it = jobs_.find(id);
   const bool is_over = it == jobs_.end() || it->second.answered;
-  const bool is_withdrawn = is_over && it != jobs_.end() && it->second.answered_at == Span(0);
+  const bool is_withdrawn = is_over && it != jobs_.end() && it->second.answered_at == Duration(0);
   call_off({id, number}, is_withdrawn ? CallOffReason::client_left
                          : is_over    ? CallOffReason::answered
                                       : CallOffReason::moved);
 }
 
-void Front::giving_up(JobId id, GiveUpReason reason) {
+void Front::on_rejection(RequestId id, RejectionReason reason) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || it->second.answered) return;
   counters_.given_up.add(reason);
   it->second.given_up = reason;
   PEARCHUTE_LOG(spdlog::level::info, "job {} is given up after {} attempts: {}", it->second.id,
-                it->second.dispatches, give_up_names[static_cast<std::size_t>(reason)]);
+                it->second.dispatches, rejection_reason_keys[static_cast<std::size_t>(reason)]);
 }
 
-void Front::throttle(JobId id, Span span) {
+void Front::throttle(RequestId id, Duration span) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || it->second.answered) return;
   ++counters_.throttled;
   answer(id, it->second, 503, retry_after_header(span), R"({"abort":"TryLater"})");
 }
 
-void Front::cancel_for_good(JobId id) {
+void Front::fail(RequestId id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || it->second.answered) return;
   ++counters_.cancelled;
   answer(id, it->second, 500, "", R"({"abort":"Aborted"})");
 }
 
-void Front::wake_in(Span span, std::uint64_t mark) {
-  loop_.at(loop_.now() + span, [this, mark] { manager_.woken(loop_.now(), mark); });
+void Front::schedule_wakeup(Duration span, std::uint64_t mark) {
+  loop_.at(loop_.now() + span, [this, mark] { manager_.on_wakeup(loop_.now(), mark); });
 }
 
 // Engines of this protocol tell nothing of their load; settings that ask for probes are not for this front.
 void Front::probe(EngineId engine) {
-  loop_.soon([this, engine] { manager_.probe_ended(loop_.now(), engine, Outcome::never_sent, Span(0), {}); });
+  loop_.soon(
+      [this, engine] { manager_.on_probe_ended(loop_.now(), engine, Outcome::not_sent, Duration(0), {}); });
 }
 
-void Front::remark(std::string_view text) {
+void Front::trace_event(std::string_view text) {
   PEARCHUTE_LOG(spdlog::level::info, "{}", text);
   if (remarked_) remarked_(text);
 }
@@ -184,59 +185,61 @@
 // ---- For those who ask ----
 
 void Front::tell_jobs(std::size_t most, const std::function<void(const JobSeen&)>& visit) {
-  std::vector<std::pair<Span, JobId>> oldest;
+  std::vector<std::pair<Duration, RequestId>> oldest;
   for (const auto& [id, job] : jobs_) {
     if (!job.answered) oldest.emplace_back(job.taken, id);
   }
   const std::size_t told = std::min(most, oldest.size());
   std::partial_sort(oldest.begin(), oldest.begin() + static_cast<std::ptrdiff_t>(told), oldest.end());
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   for (std::size_t i = 0; i < told; ++i) {
     const OpenJob& job = jobs_.at(oldest[i].second);
     JobSeen seen{job.id, job.kind, now - job.taken, job.end - now, job.dispatches, {}, {}};
     for (const Sent& sent : job.out) seen.out.push_back(sent.engine);
-    seen.waits = manager_.waits_for(now, oldest[i].second);
+    seen.waits = manager_.queued_for(now, oldest[i].second);
     visit(seen);
   }
 }
 
-std::map<WorkloadManager::Waits, std::size_t> Front::tell_waits() {
-  std::map<WorkloadManager::Waits, std::size_t> waits;
+std::map<WorkloadManager::QueuedFor, std::size_t> Front::tell_waits() {
+  std::map<WorkloadManager::QueuedFor, std::size_t> waits;
   std::size_t left = 4000;  // under a millisecond
   for (const auto& [id, job] : jobs_) {
     if (left-- == 0) break;
-    if (const auto what = manager_.waits_for(loop_.now(), id); what != WorkloadManager::Waits::nothing)
+    if (const auto what = manager_.queued_for(loop_.now(), id);
+        what != WorkloadManager::QueuedFor::not_queued)
       ++waits[what];
   }
   return waits;
 }
 
-void Front::tell_engines(const std::function<void(const Engine&, const WorkloadManager::Belief&,
-                                                  const Engines::Shown&, Span)>& visit) const {
-  const Span now = loop_.now();
-  std::map<EngineId, Span> oldest;
+void Front::tell_engines(const std::function<void(const Engine&, const WorkloadManager::EngineEstimate&,
+                                                  const Engines::Shown&, Duration)>& visit) const {
+  const Duration now = loop_.now();
+  std::map<EngineId, Duration> oldest;
   for (const auto& [id, job] : jobs_) {
     for (const Sent& sent : job.out) {
-      Span& since = oldest[sent.engine];
+      Duration& since = oldest[sent.engine];
       since = std::max(since, now - sent.at);
     }
   }
-  manager_.tell_engines(now, [&](const Engine& engine, const WorkloadManager::Belief& belief) {
+  manager_.tell_engines(now, [&](const Engine& engine, const WorkloadManager::EngineEstimate& belief) {
     const auto at = oldest.find(engine.listed.id);
-    visit(engine, belief, engines_.shown(engine.listed.id), at == oldest.end() ? Span(0) : at->second);
+    visit(engine, belief, engines_.shown(engine.listed.id), at == oldest.end() ? Duration(0) : at->second);
   });
 }
 
 // ---- What engines and the list tell ----
 
-void Front::talk_ended(DispatchKey key, Outcome outcome, std::vector<std::string> pages) {
+void Front::talk_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) {
   const auto it = jobs_.find(key.job);
   if (it == jobs_.end()) return;
   OpenJob& job = it->second;
   const auto sent = std::ranges::find(job.out, key.number, &Sent::number);
   if (sent == job.out.end()) return;
-  const Span now = loop_.now(), elapsed = now - sent->at;
-  if (!proves_not_run(outcome) && outcome != Outcome::done && !job.first_doubt) job.first_doubt = sent->at;
+  const Duration now = loop_.now(), elapsed = now - sent->at;
+  if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !job.first_uncertain_attempt_at)
+    job.first_uncertain_attempt_at = sent->at;
   job.last_end = outcome;
   log_.ended(name_of(job, *sent), outcome, elapsed);
   if (sent->has_left) {
@@ -244,61 +247,61 @@
     if (job.order_key) log_.rests(*job.order_key, counters_.rules.rest_left(now, *job.order_key));
   }
   job.out.erase(sent);
-  if (outcome == Outcome::done && !job.answered) {
+  if (outcome == Outcome::succeeded && !job.answered) {
     if (auto body = rows_as_json(pages)) {
       ++counters_.done;
       answer(key.job, job, 200, "", std::move(*body));
     } else {
       PEARCHUTE_LOG(spdlog::level::warn, "a result of job {} is not whole rows", job.id);
-      outcome = Outcome::error;
+      outcome = Outcome::engine_error;
     }
   }
   ++counters_.ends[static_cast<int>(outcome)];
-  manager_.dispatch_ended(now, key.job, key.number, outcome, elapsed, outcome == Outcome::done, std::nullopt,
-                          std::nullopt, {});
+  manager_.on_attempt_ended(now, key.job, key.number, outcome, elapsed, outcome == Outcome::succeeded,
+                            std::nullopt, std::nullopt, {});
   forget_if_done(key.job);
 }
 
-void Front::talk_crossed(DispatchKey key, std::string_view word) {
+void Front::talk_crossed(AttemptId key, std::string_view word) {
   const auto it = jobs_.find(key.job);
   if (it == jobs_.end()) return;
   const auto sent = std::ranges::find(it->second.out, key.number, &Sent::number);
   if (sent != it->second.out.end()) log_.crossed(name_of(it->second, *sent), word);
 }
 
-void Front::talk_progress(DispatchKey key, double share_done) {
+void Front::talk_progress(AttemptId key, double share_done) {
   ++counters_.notes;
-  manager_.progress_told(loop_.now(), key.job, key.number, share_done);
+  manager_.on_progress(loop_.now(), key.job, key.number, share_done);
 }
 
-void Front::talk_spill(DispatchKey key, double missing_mb) {
+void Front::talk_spill(AttemptId key, double missing_mb) {
   ++counters_.notes;
-  manager_.spill_told(loop_.now(), key.job, key.number, missing_mb);
+  manager_.on_spill(loop_.now(), key.job, key.number, missing_mb);
 }
 
-void Front::talk_wait(DispatchKey key, Wait wait) {
+void Front::talk_wait(AttemptId key, WaitCause wait) {
   ++counters_.notes;
-  manager_.wait_told(loop_.now(), key.job, key.number, wait);
+  manager_.on_engine_wait(loop_.now(), key.job, key.number, wait);
 }
 
-void Front::list_changed(ListNews news, const std::vector<Member>& members) {
-  std::vector<ListedEngine> engines;
+void Front::list_changed(EndpointUpdate news, const std::vector<Member>& members) {
+  std::vector<EngineEndpoint> engines;
   std::set<EngineId> listed;
   for (const Member& member : members) {
     engines.push_back(member.engine);
-    if (member.engine.state == EngineState::gone) continue;
+    if (member.engine.state == EngineState::removed) continue;
     engine_names_[member.engine.id] = member.name;
     listed.insert(member.engine.id);
     if (!member.address.empty()) engines_.place(member.engine.id, member.address, member.engine.state);
   }
-  counters_.rules.list_came(loop_.now(), news, engines);
-  manager_.list_came(loop_.now(), news, engines);
+  counters_.rules.on_endpoint_update(loop_.now(), news, engines);
+  manager_.on_endpoint_update(loop_.now(), news, engines);
   // Only now, so that what ends by it is not sent there again.
-  if (news != ListNews::changes) engines_.forget_others(listed);
-  if (news != ListNews::changes)
+  if (news != EndpointUpdate::delta) engines_.forget_others(listed);
+  if (news != EndpointUpdate::delta)
     std::erase_if(engine_names_, [&](const auto& one) { return !listed.contains(one.first); });
-  for (const ListedEngine& engine : engines) {
-    if (engine.state == EngineState::gone) engines_.forget(engine.id), engine_names_.erase(engine.id);
+  for (const EngineEndpoint& engine : engines) {
+    if (engine.state == EngineState::removed) engines_.forget(engine.id), engine_names_.erase(engine.id);
     // What was decided before and has not left goes elsewhere.
     if (engine.state != EngineState::up) engines_.withhold(engine.id);
   }
--- a/src/front/job_request.cpp
+++ b/src/front/job_request.cpp
@@ -45,23 +45,23 @@
   return number;
 }
 
-std::variant<Job, BadRequest> job_in(const service::Deployment& deployment, TypeId type,
-                                     const Message& message) {
+std::variant<Request, BadRequest> job_in(const service::Deployment& deployment, RequestTypeId type,
+                                         const Message& message) {
   if (type.value < 0) return BadRequest{404, "no such reservation type"};
   const auto id = hex_in(message.header("x-request-id"));
   if (!id) return BadRequest{400, "X-Request-Id is not 16 hex digits"};
   // Figures that no client can mean: patience of over twice the type's, more work than the largest machine
   // does in that time, or several times its memory. One of them would spoil the means of all other jobs.
-  const ReservationType& traits = deployment.service.types[static_cast<std::size_t>(type.value)];
-  const double longest = 2e-3 * static_cast<double>(traits.job_timeout.count());
+  const RequestType& traits = deployment.service.types[static_cast<std::size_t>(type.value)];
+  const double longest = 2e-3 * static_cast<double>(traits.request_timeout.count());
   const auto patience = number_in(message.header("x-timeout-ms"));
   if (!patience || *patience <= 0 || *patience > longest)
     return BadRequest{400, "X-Timeout-Ms is not usable"};
-  Job job;
-  job.id = JobId{*id};
+  Request job;
+  job.id = RequestId{*id};
   job.type = type;
-  job.customer = deployment.customer(service::plain_name(std::string(message.header("x-tenant"))));
-  job.time_left = Span(static_cast<Span::rep>(*patience * 1000));
+  job.tenant = deployment.tenant(service::plain_name(std::string(message.header("x-tenant"))));
+  job.time_left = Duration(static_cast<Duration::rep>(*patience * 1000));
   const auto estimate = [&](const char* name, std::optional<double>& value, double most) {
     const std::string_view text = message.header(name);
     if (text.empty()) return true;
@@ -87,7 +87,7 @@
     job.key = OrderKey{*number};
   }
   const std::string_view token = message.header("idempotency-key");
-  if (!token_fits(token) || (traits.effect == Effect::keyed && token.empty()))
+  if (!token_fits(token) || (traits.idempotency == Idempotency::idempotent_by_key && token.empty()))
     return BadRequest{400, "Idempotency-Key is not usable"};
   if (!is_statement(message.body)) return BadRequest{400, "the body is no statement"};
   return job;
--- a/src/front/request_log.h
+++ b/src/front/request_log.h
@@ -35,19 +35,19 @@
 class RequestLog {
  public:
   // `came_earliest` and `came_latest` bound when its last byte came, as spans before now.
-  void taken(std::string_view request, std::string_view type, OrderKey key, Span time_left,
-             Span came_earliest, Span came_latest);
+  void taken(std::string_view request, std::string_view type, OrderKey key, Duration time_left,
+             Duration came_earliest, Duration came_latest);
   void waits(std::string_view request, std::string_view what);
-  void leaves(const AttemptName& attempt, Span told);
+  void leaves(const AttemptName& attempt, Duration told);
   void held_back(const AttemptName& attempt, std::string_view why);
   void called_off(const AttemptName& attempt, CallOffReason reason);
   // An engine has said something about an attempt that had been called off by then.
   void crossed(const AttemptName& attempt, std::string_view word);
-  void ended(const AttemptName& attempt, Outcome outcome, Span elapsed);
-  void rests(OrderKey key, Span span);
+  void ended(const AttemptName& attempt, Outcome outcome, Duration elapsed);
+  void rests(OrderKey key, Duration span);
   // `how` says what the answer means.
-  void answered(std::string_view request, bool keeps_order, int status, std::string_view how, Span age);
-  void withdrawn(std::string_view request, std::string_view how, Span age);
+  void answered(std::string_view request, bool keeps_order, int status, std::string_view how, Duration age);
+  void withdrawn(std::string_view request, std::string_view how, Duration age);
 
  private:
   LineRation ordinary_{400, 100}, notable_{2000, 400};  // lines at once, and a second
--- a/src/lab/load/stand_in_engine_pool.cpp
+++ b/src/lab/load/stand_in_engine_pool.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr double usual_work_ms = 5;  // of a statement that tells none
+constexpr double typical_work_ms = 5;  // of a statement that tells none
 
 CheckTime steady_clock_now() {
   return std::chrono::duration_cast<CheckTime>(std::chrono::steady_clock::now().time_since_epoch());
@@ -132,7 +132,7 @@
     const bool once = std::ranges::find(pool_.spec_.once_classes, kind) != pool_.spec_.once_classes.end();
     ++pool_.begun_;
     pool_.checker_.begun(id_of(words[1]), number_, once, steady_clock_now());
-    Run run{&connection, words[1], next_run_++, number_of(words[3], "work", usual_work_ms),
+    Run run{&connection, words[1], next_run_++, number_of(words[3], "work", typical_work_ms),
             number_of(words[2], "workmem", 0)};
     granted_mb_ += run.grant_mb;
     if (granted_mb_ > pool_.spec_.memory_mb) {
@@ -146,7 +146,7 @@
   void run_waiting() {
     while (!waiting_.empty() && running_.size() < static_cast<std::size_t>(pool_.spec_.cores)) {
       const std::uint64_t number = waiting_.front().number;
-      const Span time = service_time(waiting_.front().work_ms);
+      const Duration time = service_time(waiting_.front().work_ms);
       running_.emplace(number, std::move(waiting_.front()));
       waiting_.pop_front();
       loop_.at(loop_.now() + time, [this, alive = alive_, number] {
@@ -155,12 +155,12 @@
     }
   }
 
-  Span service_time(double work_ms) {
+  Duration service_time(double work_ms) {
     if (pool_.spec_.service_time == EnginePoolSpec::ServiceTime::exponential) {
       const double drawn = std::max(std::generate_canonical<double, 53>(random_), 1e-9);
       work_ms *= -std::log(drawn);
     }
-    return std::chrono::duration_cast<Span>(std::chrono::duration<double, std::milli>(work_ms));
+    return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(work_ms));
   }
 
   void finish(std::uint64_t number) {
--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -47,10 +47,10 @@
     wire_->send(out);
   }
   void wire_ended() override { close(); }
-  void talk_ended(net::DispatchKey, Outcome, std::vector<std::string>) override {}
-  void talk_progress(net::DispatchKey, double) override {}
-  void talk_spill(net::DispatchKey, double) override {}
-  void talk_wait(net::DispatchKey, Wait) override {}
+  void talk_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
+  void talk_progress(net::AttemptId, double) override {}
+  void talk_spill(net::AttemptId, double) override {}
+  void talk_wait(net::AttemptId, WaitCause) override {}
 
   void close() {
     if (wire_) loop_.retire(std::move(wire_));
@@ -155,8 +155,8 @@
   reply.mutable_status()->set_engines_up(engines_.size());
 }
 
-void HollowManager::list_changed(ListNews news, const std::vector<net::Member>& members) {
-  if (news == ListNews::complete) engines_.clear();
+void HollowManager::list_changed(EndpointUpdate news, const std::vector<net::Member>& members) {
+  if (news == EndpointUpdate::snapshot) engines_.clear();
   for (const net::Member& member : members) {
     if (member.engine.state == EngineState::up) engines_[member.name] = member.address;
     else engines_.erase(member.name);
--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -38,7 +38,7 @@
  private:
   class EngineConnection;
   void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override;
-  void list_changed(ListNews news, const std::vector<net::Member>& members) override;
+  void list_changed(EndpointUpdate news, const std::vector<net::Member>& members) override;
   void identify(admin::v1::Identity& identity) const;
   void configure(const admin::v1::Configure& call, admin::v1::Reply& reply);
   void open_admin_channel();
--- a/src/lab/simulations/many_managers.h
+++ b/src/lab/simulations/many_managers.h
@@ -23,10 +23,10 @@
     double long_part = 0.2;                 // of the jobs
     double long_value = 20;                 // of a short one's
     bool estimates = true;                  // jobs tell the work that they need
-    Span restart{};                         // when every second manager starts anew; 0: none
-    Span list_within{};                     // by when each manager has heard of the cold engines
-    Span lasts = std::chrono::seconds(14);
-    Span counted_from{};  // threads on engines are counted from then on
+    Duration restart{};                     // when every second manager starts anew; 0: none
+    Duration list_within{};                 // by when each manager has heard of the cold engines
+    Duration lasts = std::chrono::seconds(14);
+    Duration counted_from{};  // threads on engines are counted from then on
   };
   struct Seen {
     int taken[2] = {}, sent[2] = {}, done[2] = {};  // by type
--- a/src/lab/stand_ins/engine.cpp
+++ b/src/lab/stand_ins/engine.cpp
@@ -206,7 +206,7 @@
     waiting_.erase(waiting_.begin());
     const std::uint64_t number = run.number;
     const auto time =
-        std::chrono::duration_cast<Span>(std::chrono::duration<double, std::milli>(run.work_ms));
+        std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(run.work_ms));
     running_[number] = std::move(run);
     loop_.at(loop_.now() + time, [this, alive = alive_, number] {
       if (*alive) finish(number);
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -95,8 +95,8 @@
       R"("sent":{{"dispatches":{},"never_minds":{},"hurries":{},"connections":{}}},"ended":{{)",
       connections, calls, bad_calls, jobs, fetched_again, shed, done, throttled, cancelled, withdrawn,
       dispatches, never_minds, hurries, engine_connections);
-  for (std::size_t i = 0; i < outcome_names.size(); ++i)
-    text += fmt::format(R"({}"{}":{})", i ? "," : "", outcome_names[i], ends[i]);
+  for (std::size_t i = 0; i < outcome_keys.size(); ++i)
+    text += fmt::format(R"({}"{}":{})", i ? "," : "", outcome_keys[i], ends[i]);
   text += fmt::format(
       R"(}},"notes":{},"broken_answers":{},"silent_connections":{},"list":{{"events":{},"connections":{},"broken":{}}},)"
       R"("open":{{"jobs":{},"dispatches":{},"clients":{},"engine_connections":{}}}}})",
@@ -106,8 +106,8 @@
   text += R"(,"clients_closed":)" + as_json_object(clients_closed, client_close_names);
   text += R"(,"engines_closed":)" + as_json_object(engines_closed, engine_close_names);
   text += R"(,"refused":)" + as_json_object(refused, refusal_names);
-  text += R"(,"given_up":)" + as_json_object(given_up, give_up_names);
-  text += R"(,"retried":)" + as_json_object(retried, outcome_names);
+  text += R"(,"given_up":)" + as_json_object(given_up, rejection_reason_keys);
+  text += R"(,"retried":)" + as_json_object(retried, outcome_keys);
   text += fmt::format(R"(,"rules":{{"checked":{},"failed_events":{},"held_back":)", rules.checked(),
                       failed_events);
   text += rules_as_json(rules, &RuleGuard::held_back) + R"(,"broken":)";
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -54,7 +54,7 @@
   ReasonCounts<ClientCloseReason> clients_closed;
   ReasonCounts<EngineCloseReason> engines_closed;
   ReasonCounts<RefusalReason> refused;
-  ReasonCounts<GiveUpReason> given_up;
+  ReasonCounts<RejectionReason> given_up;
   ReasonCounts<Outcome> retried;  // by how the attempt before ended; a second copy counts as done
   RuleGuard rules;
   std::uint64_t failed_events = 0;  // events that an error within the program cut short
--- a/src/service/deployment.cpp
+++ b/src/service/deployment.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-Span span_of(const NamedValues& values, std::string_view name) {
-  return Span(values.whole(name).value_or(0));
+Duration span_of(const NamedValues& values, std::string_view name) {
+  return Duration(values.whole(name).value_or(0));
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
   deployment.zones = values.list("failureDomains");
   deployment.kinds = values.list("hostTypes");
   service.zone = deployment.zone(values.text("zone").value_or(""));
-  service.own_number = static_cast<int>(values.whole("me").value_or(0));
+  service.instance_index = static_cast<int>(values.whole("me").value_or(0));
   service.managers = static_cast<int>(values.whole("nInstances").value_or(1));
 
   const auto per_type = [&](std::string_view name, std::size_t i) -> std::optional<std::string> {
@@ -36,25 +36,29 @@
   for (std::int64_t i = 0; i < types; ++i) {
     const auto at = [&](const char* name) { return "classes." + std::to_string(i) + "." + name; };
     deployment.types.emplace_back(values.required_text(at("name")));
-    ReservationType type;
-    type.effect = one_of<Effect>(
-        at("repeat"), values.text(at("repeat")).value_or("pure"),
-        {{"pure", Effect::restartable}, {"token", Effect::keyed}, {"side_effect", Effect::run_once}});
-    type.reach = one_of<Reach>(at("keyScope"), values.text(at("keyScope")).value_or("all"),
-                               {{"all", Reach::all}, {"zone", Reach::zone}, {"cell", Reach::cell}});
-    type.repeat_window = span_of(values, at("window"));
-    type.sla_time = span_of(values, at("slo"));
-    type.sla_stretch = values.number(at("aimStretch")).value_or(0);
-    type.job_timeout = span_of(values, at("giveUp"));
-    type.billed_value = values.number(at("worth")).value_or(1);
-    type.late_share = values.number(at("lateValue")).value_or(0);
-    type.in_order = values.flag(at("byArrival"));
+    RequestType type;
+    type.idempotency = one_of<Idempotency>(at("repeat"), values.text(at("repeat")).value_or("pure"),
+                                           {{"pure", Idempotency::idempotent},
+                                            {"token", Idempotency::idempotent_by_key},
+                                            {"side_effect", Idempotency::non_idempotent}});
+    type.deduplication_scope =
+        one_of<DeduplicationScope>(at("keyScope"), values.text(at("keyScope")).value_or("all"),
+                                   {{"all", DeduplicationScope::fleet},
+                                    {"zone", DeduplicationScope::zone},
+                                    {"cell", DeduplicationScope::cell}});
+    type.deduplication_window = span_of(values, at("window"));
+    type.latency_objective = span_of(values, at("slo"));
+    type.latency_objective_per_work = values.number(at("aimStretch")).value_or(0);
+    type.request_timeout = span_of(values, at("giveUp"));
+    type.priority_weight = values.number(at("worth")).value_or(1);
+    type.late_value_share = values.number(at("lateValue")).value_or(0);
+    type.ordered_by_key = values.flag(at("byArrival"));
     const std::size_t index = static_cast<std::size_t>(i);
     if (const auto threads = per_type("familyInfo.parallelism", index)) {
       type.threads = std::max(1, static_cast<int>(whole_in("familyInfo.parallelism", *threads)));
     }
-    type.holds_data = per_type("familyInfo.classLoad", index) == "true";
-    type.waits_for_load = per_type("familyInfo.classWaits", index) == "true";
+    type.loads_data_set = per_type("familyInfo.classLoad", index) == "true";
+    type.waits_for_data_load = per_type("familyInfo.classWaits", index) == "true";
     if (const auto names = values.list(at("runsIn")); !names.empty()) {
       type.zones.emplace();
       for (const std::string& name : names) type.zones->push_back(deployment.zone(name));
@@ -65,11 +69,11 @@
     }
     service.types.push_back(type);
   }
-  const std::int64_t customers = values.whole("orgs.count").value_or(0);
-  for (std::int64_t i = 0; i < customers; ++i) {
+  const std::int64_t tenants = values.whole("orgs.count").value_or(0);
+  for (std::int64_t i = 0; i < tenants; ++i) {
     const std::string at = "orgs." + std::to_string(i) + ".";
-    deployment.customers.emplace_back(values.text(at + "name").value_or(""));
-    service.customers.push_back({.jobs_per_second = values.number(at + "quotaPerS").value_or(0)});
+    deployment.tenants.emplace_back(values.text(at + "name").value_or(""));
+    service.tenants.push_back({.quota_per_second = values.number(at + "quotaPerS").value_or(0)});
   }
   for (std::size_t i = 0; i < deployment.kinds.size(); ++i) {
     MachineKind machine;
@@ -80,44 +84,45 @@
       machine.memory_mb = number_in("familyInfo.sizeMb", *size);
     service.kinds.push_back(machine);
   }
-  service.list_on_request = values.text("discovery") == "on_request";
-  service.ask_within = span_of(values, "obligations.askWithin");
-  service.round = span_of(values, "round");
+  service.endpoints_on_request = values.text("discovery") == "on_request";
+  service.poll_within = span_of(values, "obligations.askWithin");
+  service.event_interval = span_of(values, "round");
   service.drain_grace = span_of(values, "obligations.stopSendingWithin");
-  service.cold_lasts = span_of(values, "obligations.cold");
-  service.cold_from = values.number("obligations.coldFrom").value_or(1);
-  service.tip_multiple = values.number("obligations.tipMultiple").value_or(0);
-  service.tip_window = span_of(values, "obligations.fall");
-  service.order_rest = span_of(values, "obligations.orderPause");
+  service.slow_start_duration = span_of(values, "obligations.cold");
+  service.slow_start_initial_capacity = values.number("obligations.coldFrom").value_or(1);
+  service.slow_start_limit_multiple = values.number("obligations.tipMultiple").value_or(0);
+  service.slow_start_window = span_of(values, "obligations.fall");
+  service.key_quiet_period = span_of(values, "obligations.orderPause");
   if (const auto span = values.whole("obligations.ratioSpan")) {
-    service.ration_window = Span(*span);
-    service.ration_few = values.number("obligations.freeResends").value_or(0);
-    service.ration_share = values.number("obligations.extraShare").value_or(0);
+    service.retry_budget_window = Duration(*span);
+    service.retry_budget_minimum = values.number("obligations.freeResends").value_or(0);
+    service.retry_budget_ratio = values.number("obligations.extraShare").value_or(0);
   }
-  service.most_dispatches = static_cast<int>(values.whole("limits.attemptsCap").value_or(1));
-  service.most_open = values.whole("limits.maxOpen").value_or(0);
-  service.second_copies = values.flag("limits.secondCopies");
-  service.may_stop = values.flag("limits.cancel");
-  service.may_probe = values.flag("limits.mayProbe");
-  service.takes_retry_advice = values.flag("limits.retryAfter");
-  service.longest_retry_advice = span_of(values, "limits.maxRetryAfter");
-  service.reports_in_probes = values.text("feedback.how") == "probe";
-  service.takes_grants = values.flag("familyInfo.takesGrants");
-  service.takes_priority = values.flag("familyInfo.takesPriority");
-  service.grant_cap = values.number("familyInfo.grantCap").value_or(1);
-  service.out_of_memory =
-      one_of<OutOfMemory>("familyInfo.outOfMemory", values.text("familyInfo.outOfMemory").value_or("line_up"),
-                          {{"line_up", OutOfMemory::line_up},
-                           {"cut", OutOfMemory::cut},
-                           {"overcommit", OutOfMemory::overcommit}});
-  service.tells_every = span_of(values, "familyInfo.tellsEvery");
-  service.over_share_value = values.number("overShareWorth").value_or(1);
-  service.crossing_price = values.number("prices.crossZone").value_or(0);
-  service.probe_price = values.number("prices.probe").value_or(0);
-  deployment.links.connect_within = span_of(values, "limits.connectTimeout");
-  deployment.links.idle_close = span_of(values, "limits.idleClose");
-  deployment.links.dispatches_each = static_cast<int>(values.whole("limits.streamsPerConn").value_or(1));
-  deployment.links.sign_price = service.probe_price;
+  service.max_attempts = static_cast<int>(values.whole("limits.attemptsCap").value_or(1));
+  service.max_open_requests = values.whole("limits.maxOpen").value_or(0);
+  service.allows_hedging = values.flag("limits.secondCopies");
+  service.allows_cancel = values.flag("limits.cancel");
+  service.allows_probes = values.flag("limits.mayProbe");
+  service.sends_retry_after = values.flag("limits.retryAfter");
+  service.max_retry_after = span_of(values, "limits.maxRetryAfter");
+  service.load_reports_in_probes = values.text("feedback.how") == "probe";
+  service.engines_take_grants = values.flag("familyInfo.takesGrants");
+  service.engines_take_priority = values.flag("familyInfo.takesPriority");
+  service.max_grant_share = values.number("familyInfo.grantCap").value_or(1);
+  service.memory_exhaustion_policy = one_of<MemoryExhaustionPolicy>(
+      "familyInfo.outOfMemory", values.text("familyInfo.outOfMemory").value_or("line_up"),
+      {{"line_up", MemoryExhaustionPolicy::queue},
+       {"cut", MemoryExhaustionPolicy::abort},
+       {"overcommit", MemoryExhaustionPolicy::overcommit}});
+  service.progress_interval = span_of(values, "familyInfo.tellsEvery");
+  service.over_quota_weight = values.number("overShareWorth").value_or(1);
+  service.cross_zone_cost = values.number("prices.crossZone").value_or(0);
+  service.probe_cost = values.number("prices.probe").value_or(0);
+  deployment.links.connect_timeout = span_of(values, "limits.connectTimeout");
+  deployment.links.idle_timeout = span_of(values, "limits.idleClose");
+  deployment.links.attempts_per_connection =
+      static_cast<int>(values.whole("limits.streamsPerConn").value_or(1));
+  deployment.links.liveness_probe_cost = service.probe_cost;
   return deployment;
 }
 
--- a/src/service/deployment.h
+++ b/src/service/deployment.h
@@ -26,22 +26,22 @@
 }
 
 // What holds for connections to engines.
-struct LinkLimits {
-  Span connect_within{};
-  Span idle_close{};        // engines close what was idle for so long; 0: never
-  int dispatches_each = 1;  // on one connection at once
-  double sign_price = 0;    // of asking a connection for a sign of life, in jobs' worth; 0: free
+struct EngineConnectionLimits {
+  Duration connect_timeout{};
+  Duration idle_timeout{};          // engines close what was idle for so long; 0: never
+  int attempts_per_connection = 1;  // on one connection at once
+  double liveness_probe_cost = 0;   // of asking a connection for a sign of life, in jobs' worth; 0: free
 };
 
 struct Deployment {
   ServiceDefinition service;
-  LinkLimits links;
-  std::vector<std::string> types, customers, zones, kinds;
+  EngineConnectionLimits links;
+  std::vector<std::string> types, tenants, zones, kinds;
 
-  TypeId type(std::string_view name) const { return TypeId{position(types, name)}; }
-  CustomerId customer(std::string_view name) const { return CustomerId{position(customers, name)}; }
+  RequestTypeId type(std::string_view name) const { return RequestTypeId{position(types, name)}; }
+  TenantId tenant(std::string_view name) const { return TenantId{position(tenants, name)}; }
   ZoneId zone(std::string_view name) const { return ZoneId{position(zones, name)}; }
-  KindId kind(std::string_view name) const { return KindId{position(kinds, name)}; }
+  MachineKindId kind(std::string_view name) const { return MachineKindId{position(kinds, name)}; }
 };
 
 Deployment decode(const NamedValues& values);
--- a/tests/test_characterization_decisions.cpp
+++ b/tests/test_characterization_decisions.cpp
@@ -172,7 +172,7 @@
       queue_.erase(queue_.begin());
       act_now();
       if (++events_ % 97 == 0) note(manager_.beliefs(now_));
-      if (events_ % 41 == 0 && last_ > 3) note(manager_.waits_for(now_, last_ - 3) + "\n");
+      if (events_ % 41 == 0 && last_ > 3) note(manager_.queued_for(now_, last_ - 3) + "\n");
       if (events_ % 1201 == 0) relist();
     }
     note("closing\n");
@@ -206,14 +206,14 @@
     std::vector<EngineFacts> all;
     for (int i = 0; i < 5; ++i) {
       EngineFacts one{.id = i + 1, .zone = i % 3, .kind = i % 2, .cell = i % 2};
-      if (i % 2 == 0) one.online_since = now_;
+      if (i % 2 == 0) one.started_at = now_;
       if (numbers_.percent(10)) one.mode = static_cast<int>(numbers_.between(1, 2));
       all.push_back(one);
     }
     return all;
   }
   void relist() {
-    if (numbers_.percent(20)) manager_.list_refused(now_);
+    if (numbers_.percent(20)) manager_.on_endpoints_refused(now_);
     else manager_.list(now_, static_cast<int>(numbers_.between(0, 2)), engines());
     manager_.probed(now_, static_cast<int>(numbers_.between(1, 6)), numbers_.percent(70));
   }
@@ -225,9 +225,9 @@
     facts.id = id;
     facts.request_class = static_cast<int>(numbers_.between(0, class_count - 1));
     const ClassShape& of = class_shapes[static_cast<std::size_t>(facts.request_class)];
-    facts.customer = static_cast<int>(numbers_.between(-1, 1));
+    facts.tenant = static_cast<int>(numbers_.between(-1, 1));
     facts.key = static_cast<std::uint64_t>(numbers_.between(0, 6));
-    facts.order_is_known = !numbers_.percent(3);
+    facts.arrival_order_known = !numbers_.percent(3);
     facts.time_left = numbers_.percent(5) ? numbers_.between(0, 50'000) : of.give_up_us;
     if (numbers_.percent(85)) {
       facts.work_ms = static_cast<double>(numbers_.between(of.least_work_us, of.most_work_us)) / 1000;
@@ -288,7 +288,7 @@
   void request_ends(std::uint64_t id) override { requests_[id].is_open = false; }
   void wake_later(std::int64_t delay, std::uint64_t mark) override {
     const std::int64_t late = numbers_.percent(6) ? numbers_.between(30'000, 200'000) : 0;
-    schedule(now_ + delay + late, [this, mark] { manager_.woken(now_, mark); });
+    schedule(now_ + delay + late, [this, mark] { manager_.on_wakeup(now_, mark); });
   }
 
   SeededNumbers numbers_;
@@ -425,7 +425,7 @@
       if (numbers_.percent(10)) continue;
       EngineFacts one{.id = i + 1, .zone = i % 3, .kind = i % 2, .cell = i % 2};
       if (numbers_.percent(60))
-        one.online_since = std::max<std::int64_t>(0, now_ - numbers_.between(0, 3'000'000));
+        one.started_at = std::max<std::int64_t>(0, now_ - numbers_.between(0, 3'000'000));
       if (numbers_.percent(10)) one.mode = static_cast<int>(numbers_.between(1, 2));
       engines.push_back(one);
     }
--- a/tests/test_characterization_wire.cpp
+++ b/tests/test_characterization_wire.cpp
@@ -36,10 +36,10 @@
 // ---- The engine protocol, by its state machine
 
 struct NoListener final : net::EngineTalk::Listener {
-  void talk_ended(net::DispatchKey, Outcome, std::vector<std::string>) override {}
-  void talk_progress(net::DispatchKey, double) override {}
-  void talk_spill(net::DispatchKey, double) override {}
-  void talk_wait(net::DispatchKey, Wait) override {}
+  void talk_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
+  void talk_progress(net::AttemptId, double) override {}
+  void talk_spill(net::AttemptId, double) override {}
+  void talk_wait(net::AttemptId, WaitCause) override {}
 };
 
 std::string resp(std::initializer_list<std::string_view> words) {
@@ -52,7 +52,7 @@
   NoListener listener;
   net::EngineTalk talk(listener);
   std::string out;
-  const net::DispatchKey first{JobId{1}, 0}, second{JobId{2}, 1};
+  const net::AttemptId first{RequestId{1}, 0}, second{RequestId{2}, 1};
   net::Want plain;
   plain.id = "000000000000000a", plain.kind = "quick", plain.statement = "SELECT 1", plain.wait_ms = 250;
   talk.want(first, plain, out);
@@ -381,10 +381,10 @@
   EXPECT_EQ(all_names<net::RefusalReason>(net::refusal_names),
             "{\"ending\":1,\"draining\":2,\"too_many_open\":3,\"too_much_unread\":4,\"id_in_use\":5,"
             "\"unusable\":6}");
-  EXPECT_EQ(all_names<GiveUpReason>(give_up_names),
+  EXPECT_EQ(all_names<RejectionReason>(rejection_reason_keys),
             "{\"costly\":1,\"hopeless\":2,\"queue_full\":3,\"time_is_up\":4,\"too_late\":5,\"spent\":6,\"not_"
             "taken\":7,\"client_gone\":8,\"crammed\":9,\"ending\":10,\"order_unknown\":11}");
-  EXPECT_EQ(all_names<Outcome>(outcome_names),
+  EXPECT_EQ(all_names<Outcome>(outcome_keys),
             "{\"done\":1,\"error\":2,\"full\":3,\"timed_out\":4,\"unreachable\":5,\"reset\":6,\"stopped\":7,"
             "\"never_sent\":8}");
   std::string rules;
--- a/tests/test_daemon.cpp
+++ b/tests/test_daemon.cpp
@@ -9,7 +9,7 @@
 #include "sockets.h"
 
 using namespace pearchute::net;
-using pearchute::EngineId, pearchute::JobId, pearchute::Outcome;
+using pearchute::EngineId, pearchute::RequestId, pearchute::Outcome;
 using pearchute::lab::StandInChannel, pearchute::lab::StandInEngine;
 
 int next_id = 1;
@@ -57,12 +57,12 @@
 
 struct Ends final : Engines::Listener {
   std::vector<std::pair<std::uint64_t, Outcome>> ends;
-  void talk_ended(DispatchKey key, Outcome outcome, std::vector<std::string>) override {
+  void talk_ended(AttemptId key, Outcome outcome, std::vector<std::string>) override {
     ends.emplace_back(key.job.value, outcome);
   }
-  void talk_progress(DispatchKey, double) override {}
-  void talk_spill(DispatchKey, double) override {}
-  void talk_wait(DispatchKey, pearchute::Wait) override {}
+  void talk_progress(AttemptId, double) override {}
+  void talk_spill(AttemptId, double) override {}
+  void talk_wait(AttemptId, pearchute::WaitCause) override {}
 };
 
 // Signs of life by their price: where they are free each quiet connection is asked again and again; where a
@@ -83,13 +83,13 @@
       engines.push_back(std::make_unique<StandInEngine>(stage.loop(), "p", 8, 8000, 1, nullptr));
       sides.push_back(
           std::make_unique<Engines>(stage.loop(),
-                                    pearchute::service::LinkLimits{std::chrono::milliseconds(250),
-                                                                   std::chrono::seconds(15), 1, c.price},
+                                    pearchute::service::EngineConnectionLimits{
+                                        std::chrono::milliseconds(250), std::chrono::seconds(15), 1, c.price},
                                     50, listener, counters));
       sides.back()->place(EngineId{1}, engines.back()->address());
       for (std::uint64_t n = 0; n < 2; ++n)
         sides.back()->want(
-            EngineId{1}, {JobId{n}, 0},
+            EngineId{1}, {RequestId{n}, 0},
             {.id = "p" + std::to_string(n), .kind = "quick", .token = "", .statement = "fault=hang"});
     }
   });
@@ -112,14 +112,16 @@
     Outcome outcome;
     std::size_t connections;  // that may be used again
   };
-  const Case cases[] = {{"work=1", Outcome::done, 1},       {"work=1 pages=2", Outcome::done, 1},
-                        {"fault=twice", Outcome::done, 1},  {"fault=full", Outcome::full, 1},
-                        {"fault=error", Outcome::error, 1}, {"fault=torn", Outcome::reset, 0},
-                        {"fault=cut", Outcome::reset, 0},   {"fault=part", Outcome::reset, 0},
-                        {"fault=mute", Outcome::reset, 0}};
+  const Case cases[] = {
+      {"work=1", Outcome::succeeded, 1},           {"work=1 pages=2", Outcome::succeeded, 1},
+      {"fault=twice", Outcome::succeeded, 1},      {"fault=full", Outcome::engine_full, 1},
+      {"fault=error", Outcome::engine_error, 1},   {"fault=torn", Outcome::connection_reset, 0},
+      {"fault=cut", Outcome::connection_reset, 0}, {"fault=part", Outcome::connection_reset, 0},
+      {"fault=mute", Outcome::connection_reset, 0}};
   Ends listener;
   Counters counters;
-  const pearchute::service::LinkLimits limits{std::chrono::milliseconds(250), std::chrono::seconds(15), 4, 0};
+  const pearchute::service::EngineConnectionLimits limits{std::chrono::milliseconds(250),
+                                                          std::chrono::seconds(15), 4, 0};
   std::unique_ptr<Engines> engines;
   stage.on([&] { engines = std::make_unique<Engines>(stage.loop(), limits, 50, listener, counters); });
   const auto until = [&](const std::function<bool()>& done) {
@@ -132,7 +134,7 @@
     const EngineId id{static_cast<std::uint32_t>(++number)};
     const std::string job = "e" + std::to_string(number), other = "o" + std::to_string(number);
     const auto want = [&](std::uint64_t which, const std::string& name, const char* statement) {
-      engines->want(id, {JobId{which}, 0},
+      engines->want(id, {RequestId{which}, 0},
                     {.id = name, .kind = "quick", .token = "", .statement = statement});
     };
     stage.on([&] {
@@ -143,7 +145,7 @@
     until([&] { return listener.ends.size() == 2; });
     stage.on([&] {
       const bool first = listener.ends[0].first == number;
-      assert(listener.ends[!first].second == c.outcome && listener.ends[first].second == Outcome::done);
+      assert(listener.ends[!first].second == c.outcome && listener.ends[first].second == Outcome::succeeded);
       assert(engines->connections() == c.connections + 1);  // the other one's is not taken along
       engines->forget(id);
     });
@@ -204,13 +206,14 @@
   Ends listener;
   Counters counters;
   LateDoor late;
-  const pearchute::service::LinkLimits limits{std::chrono::seconds(6), std::chrono::seconds(15), 4, 0};
+  const pearchute::service::EngineConnectionLimits limits{std::chrono::seconds(6), std::chrono::seconds(15),
+                                                          4, 0};
   std::unique_ptr<Engines> engines;
   stage.on([&] {
     engines = std::make_unique<Engines>(stage.loop(), limits, 50, listener, counters);
     engines->place(EngineId{1}, "127.0.0.1:" + std::to_string(late.port));
-    const auto want = [&](std::uint64_t job, const char* name, std::optional<pearchute::Span> leave_by) {
-      engines->want(EngineId{1}, {JobId{job}, 1},
+    const auto want = [&](std::uint64_t job, const char* name, std::optional<pearchute::Duration> leave_by) {
+      engines->want(EngineId{1}, {RequestId{job}, 1},
                     {.id = name, .kind = "load", .token = "t", .statement = "work=1"}, leave_by);
     };
     want(1, "repeat", stage.loop().now() + std::chrono::milliseconds(100));
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -26,12 +26,12 @@
 
 struct Ends final : net::Engines::Listener {
   std::map<std::uint64_t, Outcome> ends;
-  void talk_ended(net::DispatchKey key, Outcome outcome, std::vector<std::string>) override {
+  void talk_ended(net::AttemptId key, Outcome outcome, std::vector<std::string>) override {
     assert(ends.emplace(key.job.value, outcome).second);
   }
-  void talk_progress(net::DispatchKey, double) override {}
-  void talk_spill(net::DispatchKey, double) override {}
-  void talk_wait(net::DispatchKey, Wait) override {}
+  void talk_progress(net::AttemptId, double) override {}
+  void talk_spill(net::AttemptId, double) override {}
+  void talk_wait(net::AttemptId, WaitCause) override {}
 };
 
 // A place where connections are begun and never come up: its backlog is full.
@@ -63,13 +63,13 @@
   Ends listener;
   net::Counters counters;
   // One connection to an engine, so that all that waits, waits behind one socket.
-  const service::LinkLimits limits{milliseconds(2000), seconds(15), 5000};
+  const service::EngineConnectionLimits limits{milliseconds(2000), seconds(15), 5000};
   std::unique_ptr<net::Engines> engines;
   std::unique_ptr<StandInEngine> engine;
   const Nowhere nowhere;
   const std::string large(5000, 'x');  // as long as stand-in engines read
   const auto want = [&](EngineId to, std::uint64_t job, const std::string& statement) {
-    engines->want(to, {JobId{job}, 0},
+    engines->want(to, {RequestId{job}, 0},
                   {.id = "j" + std::to_string(job),
                    .kind = "quick",
                    .token = "",
@@ -97,7 +97,7 @@
   });
   assert(until([&] { return listener.ends.size() == 2; }));
   stage.on([&] {
-    assert(listener.ends.at(2) == Outcome::done && engine->begun() == 1);
+    assert(listener.ends.at(2) == Outcome::succeeded && engine->begun() == 1);
     // Behind a full socket: the engine does not read.
     engine->set({.deaf = true});
     for (std::uint64_t job = 0; job < many; ++job) want(here, 100 + job, large);
