--- a/tests/test_health.cpp
+++ b/tests/test_health.cpp
@@ -9,8 +9,10 @@
     Outcome outcome;
     bool avoided;
   };
-  const Case cases[] = {
-      {Outcome::done, false}, {Outcome::error, true}, {Outcome::reset, true}, {Outcome::unreachable, true}};
+  const Case cases[] = {{Outcome::succeeded, false},
+                        {Outcome::engine_error, true},
+                        {Outcome::connection_reset, true},
+                        {Outcome::unreachable, true}};
   for (const Case& c : cases) {
     Bench bench;
     int id = 0;
@@ -18,9 +20,9 @@
       bench.take(++id, 0, 80);
       const bool first = bench.engine_of(id) == 1;
       seen += first;
-      bench.end(id, first ? c.outcome : Outcome::done, ms(60));
-      if (first && c.outcome != Outcome::done && bench.dispatches(id) > 1)
-        bench.end(id, Outcome::done, ms(60));
+      bench.end(id, first ? c.outcome : Outcome::succeeded, ms(60));
+      if (first && c.outcome != Outcome::succeeded && bench.dispatches(id) > 1)
+        bench.end(id, Outcome::succeeded, ms(60));
     }
     const std::size_t before = bench.host.sent.size();
     for (int i = 0; i < 40; ++i) bench.take(++id, 0, 80);
@@ -39,7 +41,7 @@
     for (int id = 1; id <= 200; ++id) {
       bench.take(id, 0, 80);
       while (bench.answers(id) == 0 && bench.dispatches(id) > ended[id])
-        bench.end(id, Outcome::error, ms(30), ended[id]++);
+        bench.end(id, Outcome::engine_error, ms(30), ended[id]++);
     }
     std::map<std::uint32_t, int> used;
     const std::size_t before = bench.host.sent.size();
@@ -53,18 +55,20 @@
 // allows.
 void silence() {
   struct Case {
-    bool second_copies, may_stop;
-    Effect effect;
+    bool allows_hedging, allows_cancel;
+    Idempotency idempotency;
     bool copied, stopped;
   };
-  const Case cases[] = {
-      {true, false, Effect::restartable, true, false}, {false, true, Effect::restartable, false, true},
-      {true, false, Effect::run_once, false, false},   {false, true, Effect::keyed, false, true},
-      {false, true, Effect::run_once, false, false},   {false, false, Effect::restartable, false, false}};
+  const Case cases[] = {{true, false, Idempotency::idempotent, true, false},
+                        {false, true, Idempotency::idempotent, false, true},
+                        {true, false, Idempotency::non_idempotent, false, false},
+                        {false, true, Idempotency::idempotent_by_key, false, true},
+                        {false, true, Idempotency::non_idempotent, false, false},
+                        {false, false, Idempotency::idempotent, false, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.second_copies = c.second_copies, service.may_stop = c.may_stop;
-    service.types[1].effect = c.effect;
+    service.allows_hedging = c.allows_hedging, service.allows_cancel = c.allows_cancel;
+    service.types[1].idempotency = c.idempotency;
     Bench bench(service);
     bench.take(1, 1, 1000);
     bench.pass(seconds(8));
@@ -78,34 +82,34 @@
 void bad_plans() {
   struct Case {
     double share_done;
-    Effect effect;
+    Idempotency idempotency;
     bool stopped;
   };
-  const Case cases[] = {{0.02, Effect::restartable, true},
-                        {0.5, Effect::restartable, false},
-                        {0.02, Effect::keyed, false},
-                        {0.02, Effect::run_once, false}};
+  const Case cases[] = {{0.02, Idempotency::idempotent, true},
+                        {0.5, Idempotency::idempotent, false},
+                        {0.02, Idempotency::idempotent_by_key, false},
+                        {0.02, Idempotency::non_idempotent, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.may_stop = true, service.tells_every = seconds(1);
-    service.types[1].effect = c.effect;
+    service.allows_cancel = true, service.progress_interval = seconds(1);
+    service.types[1].idempotency = c.idempotency;
     Bench bench(service);
     bench.take(1, 1, 2000);
     bench.now += seconds(1);
-    bench.manager.progress_told(bench.now, JobId{1}, 0, c.share_done);
+    bench.manager.on_progress(bench.now, RequestId{1}, 0, c.share_done);
     assert((bench.host.stopped.size() == 1) == c.stopped);
   }
 }
 
 // A refused list is asked for again, later each time.
-void list_refused() {
+void on_endpoints_refused() {
   ServiceDefinition service = small_service();
-  service.list_on_request = true;
-  service.ask_within = seconds(10);
+  service.endpoints_on_request = true;
+  service.poll_within = seconds(10);
   Bench bench(service, 0);
   assert(bench.host.subscriptions == 1);
   for (int i = 2; i <= 5; ++i) {
-    bench.manager.list_refused(bench.now);
+    bench.manager.on_endpoints_refused(bench.now);
     assert(bench.host.subscriptions == i - 1);
     bench.pass(seconds(4));
     assert(bench.host.subscriptions == i);
@@ -115,13 +119,13 @@
 // An answer that is lost while its engine answers others: found by itself, and no storm of such rescues.
 void lost_answers() {
   ServiceDefinition service = small_service();
-  service.may_stop = true;
+  service.allows_cancel = true;
   Bench lossy(service, 1);
   lossy.take(1, 1, 500);
   for (int id = 2; id <= 80; ++id) {
     lossy.take(id, 0, 80);
     lossy.pass(ms(100));
-    if (lossy.dispatches(id)) lossy.end(id, Outcome::done, ms(80));
+    if (lossy.dispatches(id)) lossy.end(id, Outcome::succeeded, ms(80));
   }
   assert(lossy.host.stopped.size() == 1 && lossy.host.stopped[0].first.value == 1);
 }
@@ -134,10 +138,11 @@
     int one_in;  // of its dispatches on engine 1
     bool done_elsewhere, avoided;
   };
-  const Case cases[] = {{Outcome::error, 1, true, true},  {Outcome::error, 1, false, false},
-                        {Outcome::reset, 1, true, true},  {Outcome::reset, 1, false, false},
-                        {Outcome::reset, 4, true, false}, {Outcome::error, 2, true, true},
-                        {Outcome::error, 5, true, false}};
+  const Case cases[] = {
+      {Outcome::engine_error, 1, true, true},      {Outcome::engine_error, 1, false, false},
+      {Outcome::connection_reset, 1, true, true},  {Outcome::connection_reset, 1, false, false},
+      {Outcome::connection_reset, 4, true, false}, {Outcome::engine_error, 2, true, true},
+      {Outcome::engine_error, 5, true, false}};
   for (const Case& c : cases) {
     Bench bench;
     int seen = 0;
@@ -145,7 +150,7 @@
       bench.take(id, 0, 80);
       for (int ended = 0; ended < bench.dispatches(id); ++ended) {
         const bool good = c.done_elsewhere && (bench.engine_of(id) != 1 || seen++ % c.one_in != 0);
-        bench.end(id, good ? Outcome::done : c.outcome, ms(60));
+        bench.end(id, good ? Outcome::succeeded : c.outcome, ms(60));
       }
     }
     std::map<int, int> used;
@@ -160,7 +165,7 @@
     Bench bench(small_service(), 1);
     for (int id = 1; id <= 30; ++id) {
       bench.take(id, 1, 1000);
-      if (bench.dispatches(id)) bench.end(id, Outcome::done, id < 15 ? ms(500) : ms(6000));
+      if (bench.dispatches(id)) bench.end(id, Outcome::succeeded, id < 15 ? ms(500) : ms(6000));
     }
     bench.pass(rested ? seconds(30) : ms(200));
     bench.take(100, 1, 14000);
@@ -175,7 +180,8 @@
     for (int id = 1; id <= 6; ++id) bench.take(id, 1, 1000);
     int left = late;
     for (int id = 1; id <= 6; ++id) {
-      if (bench.engine_of(id) != bench.engine_of(1) || left-- <= 0) bench.end(id, Outcome::done, ms(500));
+      if (bench.engine_of(id) != bench.engine_of(1) || left-- <= 0)
+        bench.end(id, Outcome::succeeded, ms(500));
     }
     bench.pass(seconds(4));
     int used = 0;
@@ -188,31 +194,31 @@
 // A job told to stand behind another manager's load moves on at once, while it may, and its like stay away.
 void behind_a_load() {
   struct Case {
-    bool may_stop;
-    Effect effect;
+    bool allows_cancel;
+    Idempotency idempotency;
     int dispatches;  // most of a job
     int engines;
     bool moves;
   };
-  const Case cases[] = {{true, Effect::restartable, 3, 3, true},
-                        {true, Effect::restartable, 1, 3, false},
-                        {true, Effect::restartable, 3, 1, false},
-                        {true, Effect::keyed, 3, 3, false},
-                        {false, Effect::restartable, 3, 3, false}};
+  const Case cases[] = {{true, Idempotency::idempotent, 3, 3, true},
+                        {true, Idempotency::idempotent, 1, 3, false},
+                        {true, Idempotency::idempotent, 3, 1, false},
+                        {true, Idempotency::idempotent_by_key, 3, 3, false},
+                        {false, Idempotency::idempotent, 3, 3, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.may_stop = c.may_stop, service.most_dispatches = c.dispatches;
-    service.types[0].waits_for_load = true, service.types[0].effect = c.effect;
-    service.types[1].holds_data = true;
+    service.allows_cancel = c.allows_cancel, service.max_attempts = c.dispatches;
+    service.types[0].waits_for_data_load = true, service.types[0].idempotency = c.idempotency;
+    service.types[1].loads_data_set = true;
     Bench bench(service, c.engines);
     bench.take(5, 1, 2000);  // tells how long loads usually are
-    bench.end(5, Outcome::done, ms(1000));
+    bench.end(5, Outcome::succeeded, ms(1000));
     bench.take(10, 0, 80);
     const int held_there = bench.engine_of(10);
-    bench.manager.wait_told(bench.now, JobId{10}, 0, Wait::load);
+    bench.manager.on_engine_wait(bench.now, RequestId{10}, 0, WaitCause::data_load);
     assert((bench.host.stopped.size() == 1) == c.moves);
     if (!c.moves) continue;
-    bench.end(10, Outcome::stopped);
+    bench.end(10, Outcome::cancelled);
     assert(bench.dispatches(10) == 2 && bench.engine_of(10) != held_there);
     for (int id = 15; id <= 25; id += 5) {  // the same data set
       bench.take(id, 0, 80);
@@ -224,7 +230,7 @@
 // Near the most jobs that may be open at once, what stands still or is late makes room, and only then.
 void places_run_short() {
   struct Case {
-    std::int64_t most_open;
+    std::int64_t max_open_requests;
     int others;
     bool told_to_wait, gives_up;
   };
@@ -232,12 +238,12 @@
                         {10, 10, false, true}, {10, 3, false, false}, {0, 10, false, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.may_stop = true, service.most_open = c.most_open;
-    service.types[0].waits_for_load = true, service.types[1].holds_data = true;
+    service.allows_cancel = true, service.max_open_requests = c.max_open_requests;
+    service.types[0].waits_for_data_load = true, service.types[1].loads_data_set = true;
     Bench bench(service, 1);
     bench.take(5, 0, 80);
     for (int id = 101; id < 101 + c.others; ++id) bench.take(id, 1, 2000, std::nullopt, 50);
-    if (c.told_to_wait) bench.manager.wait_told(bench.now, JobId{5}, 0, Wait::load);
+    if (c.told_to_wait) bench.manager.on_engine_wait(bench.now, RequestId{5}, 0, WaitCause::data_load);
     else bench.pass(ms(700));  // its SLA time is 460 ms, its patience two seconds
     assert(bench.throttled(5) == c.gives_up);
   }
@@ -247,5 +253,5 @@
   behind_a_load();
   places_run_short();
   lost_answers(), whose_fault(), judgement_fades(), silence_needs_two();
-  engines_in_trouble(), never_all_closed(), silence(), bad_plans(), list_refused();
+  engines_in_trouble(), never_all_closed(), silence(), bad_plans(), on_endpoints_refused();
 }
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -36,23 +36,24 @@
 // The oldest runnable job leaves first, and a job that ends gives back its slots, whatever the outcome; but
 // for one that has timed out where it can't be called off, which gives them back once it would have ended.
 void release() {
-  for (const bool may_stop : {false, true}) {
+  for (const bool allows_cancel : {false, true}) {
     ServiceDefinition service = small_service();
-    service.may_stop = may_stop;
+    service.allows_cancel = allows_cancel;
     Bench bench(service, 1);
     for (int i = 1; i <= 8; ++i) bench.take(i, 1, 2000);
     for (int i = 9; i <= 13; ++i) bench.take(i, 1, 2000);
     assert(bench.dispatches(9) == 0);
     bench.now += ms(500);
-    bench.end(3, Outcome::done, ms(1000));
+    bench.end(3, Outcome::succeeded, ms(1000));
     assert(bench.dispatches(9) == 1 && bench.dispatches(10) == 0);
     int waiting = 10;
-    for (const Outcome outcome : {Outcome::error, Outcome::stopped, Outcome::reset, Outcome::timed_out}) {
+    for (const Outcome outcome :
+         {Outcome::engine_error, Outcome::cancelled, Outcome::connection_reset, Outcome::timed_out}) {
       const int id = waiting - 6;
-      bench.manager.job_withdrawn(bench.now, JobId{static_cast<std::uint64_t>(id)});
+      bench.manager.on_request_cancelled(bench.now, RequestId{static_cast<std::uint64_t>(id)});
       assert(bench.dispatches(waiting) == 0);
       bench.end(id, outcome);
-      if (outcome == Outcome::timed_out && !may_stop) {
+      if (outcome == Outcome::timed_out && !allows_cancel) {
         assert(bench.dispatches(waiting) == 0);
         bench.pass(ms(1200));  // a second on its two threads, and a beat
       }
@@ -70,8 +71,8 @@
   for (int i = 51; i <= 60; ++i) {
     bench.take(i, 1, 2000, std::nullopt, 500);
     if (bench.dispatches(i) == 0) continue;
-    bench.manager.job_withdrawn(bench.now, JobId{static_cast<std::uint64_t>(i)});
-    bench.end(i, Outcome::stopped);
+    bench.manager.on_request_cancelled(bench.now, RequestId{static_cast<std::uint64_t>(i)});
+    bench.end(i, Outcome::cancelled);
   }
   int passed = 0;
   for (int i = 51; i <= 60; ++i) passed += bench.dispatches(i);
@@ -81,8 +82,8 @@
 // Spare bytes decide; a healthy engine before a slow one; no engine gets it all.
 void ranking() {
   struct Case {
-    Span first_took;  // how long engine 1 takes for each of its jobs; the others take 500 ms
-    int least, most;  // of 60 jobs that engine 1 gets
+    Duration first_took;  // how long engine 1 takes for each of its jobs; the others take 500 ms
+    int least, most;      // of 60 jobs that engine 1 gets
   };
   const Case cases[] = {{ms(500), 10, 30}, {ms(5000), 0, 9}};
   for (const Case& c : cases) {
@@ -94,7 +95,7 @@
         bench.take(i, 1, 1000);
         if (i % 6 != 0) continue;
         for (int j = i - 5; j <= i; ++j)
-          bench.end(j, Outcome::done, bench.engine_of(j) == 1 ? c.first_took : ms(500));
+          bench.end(j, Outcome::succeeded, bench.engine_of(j) == 1 ? c.first_took : ms(500));
       }
       if (round == 0) continue;
       int first = 0;
@@ -109,12 +110,12 @@
 void hopeless() {
   struct Case {
     double work_ms;
-    bool may_stop, taken_on;
+    bool allows_cancel, taken_on;
   };
   const Case cases[] = {{1000, true, true}, {39000, true, true}, {39000, false, false}, {60000, true, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.may_stop = c.may_stop;
+    service.allows_cancel = c.allows_cancel;
     Bench bench(service);
     bench.take(1, 1, c.work_ms);
     assert((bench.dispatches(1) == 1) == c.taken_on && bench.throttled(1) != c.taken_on);
@@ -125,7 +126,7 @@
 void told_room() {
   struct Case {
     std::optional<double> outstanding;
-    Span age;
+    Duration age;
     bool goes;
   };
   const Case cases[] = {
@@ -137,7 +138,7 @@
     for (int id = 1; id <= 2; ++id) bench.take(id, 1, 2000);
     LoadReport load;
     load.outstanding = c.outstanding;
-    bench.manager.probe_ended(bench.now, EngineId{1}, Outcome::done, ms(1), load);
+    bench.manager.on_probe_ended(bench.now, EngineId{1}, Outcome::succeeded, ms(1), load);
     bench.now += c.age;
     bench.take(3, 1, 2000);
     assert((bench.dispatches(3) == 1) == c.goes);
@@ -170,11 +171,11 @@
   ServiceDefinition service = small_service();
   service.managers = 100;
   Bench bench(service, 0);
-  bench.list(ListNews::complete, {Bench::engine(1, EngineState::up, 0, 1), Bench::engine(2)});
+  bench.list(EndpointUpdate::snapshot, {Bench::engine(1, EngineState::up, 0, 1), Bench::engine(2)});
   std::map<int, int> sent;
   for (int id = 1; id <= 600; ++id) {
     bench.take(id, 0, 80);
-    sent[bench.engine_of(id) % 2] += 1, bench.end(id, Outcome::done, ms(80));
+    sent[bench.engine_of(id) % 2] += 1, bench.end(id, Outcome::succeeded, ms(80));
   }
   assert(sent[0] > 3 * sent[1] / 2 && sent[1] > 0);
 }
@@ -183,20 +184,23 @@
 // engine has. Where it can be, and after any other end, the room is there at once.
 void runs_on() {
   struct Case {
-    bool may_stop;
+    bool allows_cancel;
     Outcome outcome;
-    Span after;
+    Duration after;
     bool restarts;  // the engine is listed with a new start meanwhile
     bool room;
   };
   const Case cases[] = {
-      {true, Outcome::timed_out, ms(100), false, true},   {false, Outcome::timed_out, ms(100), false, false},
-      {false, Outcome::timed_out, ms(2600), false, true}, {false, Outcome::timed_out, ms(100), true, true},
-      {false, Outcome::done, ms(100), false, true},       {false, Outcome::reset, ms(100), false, true},
+      {true, Outcome::timed_out, ms(100), false, true},
+      {false, Outcome::timed_out, ms(100), false, false},
+      {false, Outcome::timed_out, ms(2600), false, true},
+      {false, Outcome::timed_out, ms(100), true, true},
+      {false, Outcome::succeeded, ms(100), false, true},
+      {false, Outcome::connection_reset, ms(100), false, true},
   };
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.may_stop = c.may_stop;
+    service.allows_cancel = c.allows_cancel;
     Bench bench(service, 1);
     const auto threads = [&] {
       int live = 0;
@@ -207,10 +211,10 @@
     bench.take(1, 1, 2000);  // a second on each of its two threads
     assert(threads() == 2);
     bench.pass(ms(900));
-    bench.manager.job_withdrawn(bench.now, JobId{1});  // it does not go again
+    bench.manager.on_request_cancelled(bench.now, RequestId{1});  // it does not go again
     bench.end(1, c.outcome, ms(900));
-    ListedEngine again = Bench::engine(1);
-    if (c.restarts) again.online_since = bench.now, bench.list(ListNews::changes, {again});
+    EngineEndpoint again = Bench::engine(1);
+    if (c.restarts) again.started_at = bench.now, bench.list(EndpointUpdate::delta, {again});
     bench.pass(c.after);
     assert(threads() == (c.room ? 0 : 2));
   }
@@ -256,7 +260,7 @@
   for (int id = 200; id < 240; ++id) {
     bench.take(id, 0, 20, std::nullopt, 1);
     passed += bench.dispatches(id);
-    if (bench.dispatches(id) > 0) bench.end(id, Outcome::done, ms(20));
+    if (bench.dispatches(id) > 0) bench.end(id, Outcome::succeeded, ms(20));
   }
   assert(passed >= 1 && passed <= 5);
 }
--- a/tests/test_many.cpp
+++ b/tests/test_many.cpp
@@ -100,11 +100,12 @@
   const double before = slots();
   int id = 0;
   std::map<int, bool> ended;
-  while (bench.now < service.types[0].job_timeout) {  // long ones come back at six times their best
+  while (bench.now < service.types[0].request_timeout) {  // long ones come back at six times their best
     for (int i = 0; i < 4; ++i) bench.take(++id, 1, 900);
     bench.pass(ms(100));
     for (int i = 1; i <= id; ++i)
-      if (bench.dispatches(i) > 0 && !std::exchange(ended[i], true)) bench.end(i, Outcome::done, ms(2700));
+      if (bench.dispatches(i) > 0 && !std::exchange(ended[i], true))
+        bench.end(i, Outcome::succeeded, ms(2700));
   }
   assert(slots() <= 0.55 * before);
 }
--- a/tests/test_rule_guard.cpp
+++ b/tests/test_rule_guard.cpp
@@ -21,14 +21,14 @@
     SendingFacts facts;
     std::optional<Rule> rule;
   };
-  const Span now = seconds(5);
+  const Duration now = seconds(5);
   const Case cases[] = {
       {{now, seconds(6), false, true, EngineState::up}, std::nullopt},
       {{now, seconds(6), true, true, EngineState::up}, Rule::one_answer},
       {{now, seconds(5), false, true, EngineState::up}, Rule::time_is_left},
       {{now, seconds(6), false, false, EngineState::up}, Rule::client_is_there},
       {{now, seconds(6), false, true, EngineState::draining}, Rule::engine_takes_work},
-      {{now, seconds(6), false, true, EngineState::gone}, Rule::engine_takes_work},
+      {{now, seconds(6), false, true, EngineState::removed}, Rule::engine_takes_work},
   };
   RuleGuard guard;
   for (const Case& one : cases) assert(guard.forbids_sending(one.facts) == one.rule);
@@ -41,18 +41,19 @@
     RepeatFacts facts;
     std::optional<Rule> rule;
   };
-  const Span now = seconds(5), window = seconds(2), early = milliseconds(2900), late = milliseconds(3100);
+  const Duration now = seconds(5), window = seconds(2), early = milliseconds(2900), late = milliseconds(3100);
   const Case cases[] = {
-      {{now, Effect::run_once, {}, 0, 3, 0, false, {}}, std::nullopt},
-      {{now, Effect::run_once, {}, 1, 3, 0, false, {}}, std::nullopt},  // the one before surely never ran
-      {{now, Effect::run_once, {}, 1, 3, 0, false, late}, Rule::runs_once},
-      {{now, Effect::run_once, {}, 1, 3, 1, true, {}}, Rule::one_attempt_out},
-      {{now, Effect::keyed, window, 1, 3, 0, false, late}, std::nullopt},
-      {{now, Effect::keyed, window, 1, 3, 0, false, early}, Rule::runs_once},
-      {{now, Effect::keyed, window, 1, 3, 1, true, late}, Rule::one_attempt_out},
-      {{now, Effect::restartable, {}, 1, 3, 1, true, late}, std::nullopt},
-      {{now, Effect::restartable, {}, 1, 3, 1, false, late}, Rule::one_attempt_out},
-      {{now, Effect::restartable, {}, 3, 3, 0, true, {}}, Rule::attempts_are_few},
+      {{now, Idempotency::non_idempotent, {}, 0, 3, 0, false, {}}, std::nullopt},
+      {{now, Idempotency::non_idempotent, {}, 1, 3, 0, false, {}},
+       std::nullopt},  // the one before surely never ran
+      {{now, Idempotency::non_idempotent, {}, 1, 3, 0, false, late}, Rule::runs_once},
+      {{now, Idempotency::non_idempotent, {}, 1, 3, 1, true, {}}, Rule::one_attempt_out},
+      {{now, Idempotency::idempotent_by_key, window, 1, 3, 0, false, late}, std::nullopt},
+      {{now, Idempotency::idempotent_by_key, window, 1, 3, 0, false, early}, Rule::runs_once},
+      {{now, Idempotency::idempotent_by_key, window, 1, 3, 1, true, late}, Rule::one_attempt_out},
+      {{now, Idempotency::idempotent, {}, 1, 3, 1, true, late}, std::nullopt},
+      {{now, Idempotency::idempotent, {}, 1, 3, 1, false, late}, Rule::one_attempt_out},
+      {{now, Idempotency::idempotent, {}, 3, 3, 0, true, {}}, Rule::attempts_are_few},
   };
   std::uint64_t broken = 0;
   RuleGuard guard;
@@ -131,19 +132,23 @@
 // A service with one class that keeps order, one that is bound to a zone, one whose repeats a zone knows.
 ServiceDefinition ordered_service() {
   ServiceDefinition service;
-  ReservationType ordered;
-  ordered.effect = Effect::keyed, ordered.repeat_window = seconds(9), ordered.in_order = true;
-  ReservationType bound;
+  RequestType ordered;
+  ordered.idempotency = Idempotency::idempotent_by_key, ordered.deduplication_window = seconds(9),
+  ordered.ordered_by_key = true;
+  RequestType bound;
   bound.zones = std::vector<ZoneId>{ZoneId{0}};
-  ReservationType zonal;
-  zonal.effect = Effect::keyed, zonal.reach = Reach::zone, zonal.repeat_window = seconds(9);
+  RequestType zonal;
+  zonal.idempotency = Idempotency::idempotent_by_key, zonal.deduplication_scope = DeduplicationScope::zone,
+  zonal.deduplication_window = seconds(9);
   service.types = {ordered, bound, zonal};
   service.kinds = {{.cores = 10, .memory_mb = 100}};
-  service.order_rest = milliseconds(300);
-  service.most_dispatches = 3;
-  service.ration_window = seconds(1), service.ration_few = 1, service.ration_share = 0.5;
-  service.tip_multiple = 2, service.cold_from = 0.5, service.tip_window = seconds(1);
-  service.cold_lasts = seconds(10), service.managers = 2;
+  service.key_quiet_period = milliseconds(300);
+  service.max_attempts = 3;
+  service.retry_budget_window = seconds(1), service.retry_budget_minimum = 1,
+  service.retry_budget_ratio = 0.5;
+  service.slow_start_limit_multiple = 2, service.slow_start_initial_capacity = 0.5,
+  service.slow_start_window = seconds(1);
+  service.slow_start_duration = seconds(10), service.managers = 2;
   return service;
 }
 
@@ -152,13 +157,13 @@
 struct ServedGuard : RuleGuard {
   ServedGuard() {
     serve(ordered_service());
-    const KindId kind{0};
-    list_came(Span(0), ListNews::complete,
-              {{near_engine, EngineState::up, ZoneId{0}, kind, {}, {}},
-               {far_engine, EngineState::up, ZoneId{1}, kind, {}, {}},
-               {cold_engine, EngineState::up, ZoneId{0}, kind, {}, seconds(0)}});
+    const MachineKindId kind{0};
+    on_endpoint_update(Duration(0), EndpointUpdate::snapshot,
+                       {{near_engine, EngineState::up, ZoneId{0}, kind, {}, {}},
+                        {far_engine, EngineState::up, ZoneId{1}, kind, {}, {}},
+                        {cold_engine, EngineState::up, ZoneId{0}, kind, {}, seconds(0)}});
   }
-  std::optional<Rule> asks(Span now, const Attempt& attempt) {
+  std::optional<Rule> asks(Duration now, const AttemptFacts& attempt) {
     return forbids_sending({now, now + seconds(5), false, true, EngineState::up, seconds(5)}, attempt);
   }
 };
@@ -166,24 +171,25 @@
 // Whatever the module decides: nothing leaves before its turn, nor before its key has rested.
 void order_by_key() {
   constexpr OrderKey key{7};
-  constexpr TypeId ordered{0};
-  constexpr Attempt first{JobId{1}, near_engine}, second{JobId{2}, near_engine}, third{JobId{3}, near_engine};
+  constexpr RequestTypeId ordered{0};
+  constexpr AttemptFacts first{RequestId{1}, near_engine}, second{RequestId{2}, near_engine},
+      third{RequestId{3}, near_engine};
   // How the first attempt ends, whether it was called off before, and whether its key rests then.
   struct Case {
     Outcome outcome;
     bool called_off;
     bool rests;
   };
-  const Case cases[] = {{Outcome::done, false, false},        {Outcome::done, true, true},
-                        {Outcome::error, false, false},       {Outcome::error, true, true},
-                        {Outcome::full, false, false},        {Outcome::full, true, true},
-                        {Outcome::never_sent, false, false},  {Outcome::never_sent, true, true},
-                        {Outcome::unreachable, false, false}, {Outcome::reset, false, true},
-                        {Outcome::timed_out, false, true},    {Outcome::stopped, false, true}};
+  const Case cases[] = {{Outcome::succeeded, false, false},    {Outcome::succeeded, true, true},
+                        {Outcome::engine_error, false, false}, {Outcome::engine_error, true, true},
+                        {Outcome::engine_full, false, false},  {Outcome::engine_full, true, true},
+                        {Outcome::not_sent, false, false},     {Outcome::not_sent, true, true},
+                        {Outcome::unreachable, false, false},  {Outcome::connection_reset, false, true},
+                        {Outcome::timed_out, false, true},     {Outcome::cancelled, false, true}};
   for (const Case& one : cases) {
     ServedGuard guard;
-    for (const Attempt& attempt : {first, second, third})
-      guard.taken(Span(0), {attempt.request, ordered, key});
+    for (const AttemptFacts& attempt : {first, second, third})
+      guard.taken(Duration(0), {attempt.request, ordered, key});
     assert(guard.asks(seconds(1), second) == Rule::order_by_key);
     assert(!guard.asks(seconds(1), first));
     guard.attempt_left(seconds(1), first);
@@ -191,7 +197,7 @@
     guard.over(first.request);
     assert(guard.asks(milliseconds(1015), second) == Rule::order_by_key);  // it is still out
     guard.attempt_ended(milliseconds(1020), first, one.outcome);
-    const Span soon = milliseconds(1021), rested = milliseconds(1320);
+    const Duration soon = milliseconds(1021), rested = milliseconds(1320);
     assert(guard.asks(soon, third) == Rule::order_by_key);
     assert(guard.asks(soon, second) == (one.rests ? std::optional(Rule::key_rests) : std::nullopt));
     assert(!guard.asks(rested, second));
@@ -199,59 +205,61 @@
   }
   // What has the turn is tried again without a rest, and one that was taken back has never been out.
   ServedGuard guard;
-  for (const Attempt& attempt : {first, second}) guard.taken(Span(0), {attempt.request, ordered, key});
-  guard.attempt_left(Span(1), first);
-  guard.attempt_ended(Span(2), first, Outcome::reset);
-  assert(!guard.asks(Span(3), first));
+  for (const AttemptFacts& attempt : {first, second})
+    guard.taken(Duration(0), {attempt.request, ordered, key});
+  guard.attempt_left(Duration(1), first);
+  guard.attempt_ended(Duration(2), first, Outcome::connection_reset);
+  assert(!guard.asks(Duration(3), first));
   guard.over(first.request);
-  assert(guard.asks(Span(3), second) == Rule::key_rests);
+  assert(guard.asks(Duration(3), second) == Rule::key_rests);
   ServedGuard other;
-  for (const Attempt& attempt : {first, second}) other.taken(Span(0), {attempt.request, ordered, key});
-  other.attempt_left(Span(1), first);
+  for (const AttemptFacts& attempt : {first, second})
+    other.taken(Duration(0), {attempt.request, ordered, key});
+  other.attempt_left(Duration(1), first);
   other.attempt_taken_back(first.request), other.over(first.request);
-  assert(!other.asks(Span(2), second));
+  assert(!other.asks(Duration(2), second));
 }
 
 void places_and_budgets() {
-  constexpr TypeId bound{1}, zonal{2};
+  constexpr RequestTypeId bound{1}, zonal{2};
   ServedGuard guard;
-  guard.taken(Span(0), {JobId{1}, bound, {}});
-  assert(guard.asks(Span(1), {JobId{1}, far_engine}) == Rule::placement);
-  assert(!guard.asks(Span(1), {JobId{1}, near_engine}));
+  guard.taken(Duration(0), {RequestId{1}, bound, {}});
+  assert(guard.asks(Duration(1), {RequestId{1}, far_engine}) == Rule::placement);
+  assert(!guard.asks(Duration(1), {RequestId{1}, near_engine}));
   // What may have run is repeated in its zone only.
-  guard.taken(Span(0), {JobId{2}, zonal, {}});
-  guard.attempt_left(Span(1), {JobId{2}, near_engine});
-  assert(guard.asks(Span(2), {JobId{2}, near_engine}) == Rule::one_attempt_out);
-  guard.attempt_ended(Span(2), {JobId{2}, near_engine}, Outcome::reset);
-  assert(guard.asks(Span(3), {JobId{2}, far_engine}) == Rule::repeat_group);
-  assert(!guard.asks(Span(3), {JobId{2}, near_engine}));
-  assert(guard.asks(seconds(10), {JobId{2}, near_engine}) == Rule::runs_once);
+  guard.taken(Duration(0), {RequestId{2}, zonal, {}});
+  guard.attempt_left(Duration(1), {RequestId{2}, near_engine});
+  assert(guard.asks(Duration(2), {RequestId{2}, near_engine}) == Rule::one_attempt_out);
+  guard.attempt_ended(Duration(2), {RequestId{2}, near_engine}, Outcome::connection_reset);
+  assert(guard.asks(Duration(3), {RequestId{2}, far_engine}) == Rule::repeat_group);
+  assert(!guard.asks(Duration(3), {RequestId{2}, near_engine}));
+  assert(guard.asks(seconds(10), {RequestId{2}, near_engine}) == Rule::runs_once);
   // One further attempt, and one more for each two requests of the last second.
   for (std::uint64_t id = 2; id < 4; ++id) {
-    guard.attempt_left(Span(3), {JobId{id}, near_engine});
-    guard.attempt_ended(Span(4), {JobId{id}, near_engine}, Outcome::full);
+    guard.attempt_left(Duration(3), {RequestId{id}, near_engine});
+    guard.attempt_ended(Duration(4), {RequestId{id}, near_engine}, Outcome::engine_full);
   }
-  guard.taken(Span(5), {JobId{3}, bound, {}});
-  guard.attempt_left(Span(6), {JobId{3}, near_engine});
-  guard.attempt_ended(Span(7), {JobId{3}, near_engine}, Outcome::full);
-  assert(!guard.asks(Span(8), {JobId{3}, near_engine}));
-  guard.attempt_left(Span(8), {JobId{3}, near_engine});
-  guard.attempt_ended(Span(9), {JobId{3}, near_engine}, Outcome::full);
-  assert(guard.asks(Span(10), {JobId{3}, near_engine}) == Rule::attempt_budget);
-  assert(!guard.asks(Span(10) + seconds(2), {JobId{3}, near_engine}));
+  guard.taken(Duration(5), {RequestId{3}, bound, {}});
+  guard.attempt_left(Duration(6), {RequestId{3}, near_engine});
+  guard.attempt_ended(Duration(7), {RequestId{3}, near_engine}, Outcome::engine_full);
+  assert(!guard.asks(Duration(8), {RequestId{3}, near_engine}));
+  guard.attempt_left(Duration(8), {RequestId{3}, near_engine});
+  guard.attempt_ended(Duration(9), {RequestId{3}, near_engine}, Outcome::engine_full);
+  assert(guard.asks(Duration(10), {RequestId{3}, near_engine}) == Rule::attempt_budget);
+  assert(!guard.asks(Duration(10) + seconds(2), {RequestId{3}, near_engine}));
   // An even part of 2 x 0.5 x 10 cores x 1 s for two managers: five seconds of work in any second.
   ServedGuard cold;
-  for (std::uint64_t id = 1; id < 7; ++id) cold.taken(Span(0), {JobId{id}, bound, {}});
+  for (std::uint64_t id = 1; id < 7; ++id) cold.taken(Duration(0), {RequestId{id}, bound, {}});
   for (std::uint64_t id = 1; id < 6; ++id) {
-    assert(!cold.asks(seconds(2), {JobId{id}, cold_engine, 1000}));
-    cold.attempt_left(seconds(2), {JobId{id}, cold_engine, 1000});
+    assert(!cold.asks(seconds(2), {RequestId{id}, cold_engine, 1000}));
+    cold.attempt_left(seconds(2), {RequestId{id}, cold_engine, 1000});
   }
-  assert(cold.asks(milliseconds(2900), {JobId{6}, cold_engine, 1000}) == Rule::cold_budget);
-  assert(!cold.asks(milliseconds(2900), {JobId{6}, near_engine, 1000}));
-  assert(!cold.asks(milliseconds(3001), {JobId{6}, cold_engine, 1000}));
-  assert(!cold.asks(seconds(11), {JobId{6}, cold_engine, 1000}));  // it is warm by then
+  assert(cold.asks(milliseconds(2900), {RequestId{6}, cold_engine, 1000}) == Rule::cold_budget);
+  assert(!cold.asks(milliseconds(2900), {RequestId{6}, near_engine, 1000}));
+  assert(!cold.asks(milliseconds(3001), {RequestId{6}, cold_engine, 1000}));
+  assert(!cold.asks(seconds(11), {RequestId{6}, cold_engine, 1000}));  // it is warm by then
   // Where a class needs more than an even part, a turn at the engine is half of the whole.
-  assert(cold.asks(milliseconds(2900), {JobId{6}, cold_engine, 1000, 9000}) == Rule::cold_budget);
+  assert(cold.asks(milliseconds(2900), {RequestId{6}, cold_engine, 1000, 9000}) == Rule::cold_budget);
   // No engine is told more time than is left.
   assert(guard.forbids_sending({seconds(1), seconds(2), false, true, EngineState::up, milliseconds(1151)}) ==
          Rule::time_told);
@@ -264,42 +272,46 @@
   struct Case {
     const char* what;
     std::vector<ArrivalOrder::Call> calls;
-    Span now, read_up_to;
+    Duration now, read_up_to;
     Settled settled;
   };
-  const auto at = [](int ms) { return Span(milliseconds(ms)); };
+  const auto at = [](int ms) { return Duration(milliseconds(ms)); };
   constexpr OrderKey key{1}, other{2};
   const Case cases[] = {
-      {"one that is read", {{JobId{1}, key, at(1), at(2), at(2)}}, at(3), at(2), {{1, true}}},
-      {"others may lie unread", {{JobId{1}, key, at(1), at(2), at(2)}}, at(3), at(1), {}},
-      {"they lie unread for too long", {{JobId{1}, key, at(1), at(2), at(2)}}, at(302), at(1), {{1, false}}},
+      {"one that is read", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(2), {{1, true}}},
+      {"others may lie unread", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(1), {}},
+      {"they lie unread for too long",
+       {{RequestId{1}, key, at(1), at(2), at(2)}},
+       at(302),
+       at(1),
+       {{1, false}}},
       {"read in another order",
-       {{JobId{1}, key, at(260), at(280), at(300)}, {JobId{2}, key, at(0), at(20), at(300)}},
+       {{RequestId{1}, key, at(260), at(280), at(300)}, {RequestId{2}, key, at(0), at(20), at(300)}},
        at(301),
        at(300),
        {{2, true}, {1, true}}},
       {"nobody knows the order",
-       {{JobId{1}, key, at(0), at(300), at(300)}, {JobId{2}, key, at(0), at(301), at(301)}},
+       {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, key, at(0), at(301), at(301)}},
        at(302),
        at(301),
        {{1, true}, {2, false}}},
       {"closer than clients write",
-       {{JobId{1}, key, at(0), at(2), at(2)}, {JobId{2}, key, at(0), at(2), at(2)}},
+       {{RequestId{1}, key, at(0), at(2), at(2)}, {RequestId{2}, key, at(0), at(2), at(2)}},
        at(3),
        at(2),
        {{1, true}, {2, true}}},
       {"of other keys",
-       {{JobId{1}, key, at(0), at(300), at(300)}, {JobId{2}, other, at(0), at(301), at(301)}},
+       {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, other, at(0), at(301), at(301)}},
        at(302),
        at(301),
        {{1, true}, {2, true}}},
       {"one that may have come before is not settled",
-       {{JobId{1}, key, at(0), at(300), at(300)}, {JobId{2}, key, at(0), at(310), at(310)}},
+       {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, key, at(0), at(310), at(310)}},
        at(311),
        at(305),
        {}},
       {"one that came later is not settled",
-       {{JobId{1}, key, at(0), at(300), at(300)}, {JobId{2}, key, at(306), at(310), at(310)}},
+       {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, key, at(306), at(310), at(310)}},
        at(311),
        at(305),
        {{1, true}}},
@@ -309,14 +321,14 @@
     for (const ArrivalOrder::Call& call : one.calls) order.came(call);
     Settled settled;
     for (const ArrivalOrder::Settled& call : order.settle(one.now, one.read_up_to))
-      settled.emplace_back(call.id.value, call.order_is_known);
+      settled.emplace_back(call.id.value, call.arrival_order_known);
     if (settled != one.settled) std::fprintf(stderr, "%s\n", one.what);
     assert(settled == one.settled);
     assert(order.empty() == (settled.size() == one.calls.size()));
   }
   ArrivalOrder order;
-  order.came({JobId{1}, key, at(1), at(2), at(2)});
-  order.withdrawn(JobId{1});
+  order.came({RequestId{1}, key, at(1), at(2), at(2)});
+  order.withdrawn(RequestId{1});
   assert(order.empty());
 }
 
--- a/tests/test_rules.cpp
+++ b/tests/test_rules.cpp
@@ -6,29 +6,30 @@
 // Rule 2: after each outcome, may the job go out again, and how does it end if no engine is left?
 void effects() {
   struct Case {
-    Effect effect;
-    Reach reach;
+    Idempotency idempotency;
+    DeduplicationScope deduplication_scope;
     Outcome outcome;
     bool goes_again;
     bool throttled;  // else cancelled for good, once nothing can take it
   };
   const Case cases[] = {
-      {Effect::restartable, Reach::all, Outcome::timed_out, true, true},
-      {Effect::restartable, Reach::all, Outcome::reset, true, true},
-      {Effect::keyed, Reach::all, Outcome::error, true, true},
-      {Effect::keyed, Reach::zone, Outcome::error, true, false},
-      {Effect::keyed, Reach::zone, Outcome::full, true, true},
-      {Effect::run_once, Reach::all, Outcome::full, true, true},
-      {Effect::run_once, Reach::all, Outcome::unreachable, true, true},
-      {Effect::run_once, Reach::all, Outcome::error, false, false},
-      {Effect::run_once, Reach::all, Outcome::timed_out, false, false},
-      {Effect::run_once, Reach::all, Outcome::reset, false, false},
-      {Effect::run_once, Reach::all, Outcome::stopped, false, false},
+      {Idempotency::idempotent, DeduplicationScope::fleet, Outcome::timed_out, true, true},
+      {Idempotency::idempotent, DeduplicationScope::fleet, Outcome::connection_reset, true, true},
+      {Idempotency::idempotent_by_key, DeduplicationScope::fleet, Outcome::engine_error, true, true},
+      {Idempotency::idempotent_by_key, DeduplicationScope::zone, Outcome::engine_error, true, false},
+      {Idempotency::idempotent_by_key, DeduplicationScope::zone, Outcome::engine_full, true, true},
+      {Idempotency::non_idempotent, DeduplicationScope::fleet, Outcome::engine_full, true, true},
+      {Idempotency::non_idempotent, DeduplicationScope::fleet, Outcome::unreachable, true, true},
+      {Idempotency::non_idempotent, DeduplicationScope::fleet, Outcome::engine_error, false, false},
+      {Idempotency::non_idempotent, DeduplicationScope::fleet, Outcome::timed_out, false, false},
+      {Idempotency::non_idempotent, DeduplicationScope::fleet, Outcome::connection_reset, false, false},
+      {Idempotency::non_idempotent, DeduplicationScope::fleet, Outcome::cancelled, false, false},
   };
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.types[1].effect = c.effect, service.types[1].reach = c.reach;
-    service.types[1].repeat_window = seconds(60);
+    service.types[1].idempotency = c.idempotency,
+    service.types[1].deduplication_scope = c.deduplication_scope;
+    service.types[1].deduplication_window = seconds(60);
     Bench bench(service);
     bench.take(1, 1, 1000);
     assert(bench.dispatches(1) == 1);
@@ -37,7 +38,7 @@
     assert((bench.dispatches(1) == 2) == c.goes_again);
     Bench lost(service);
     lost.take(1, 1, 1000);
-    lost.list(ListNews::complete, {});
+    lost.list(EndpointUpdate::snapshot, {});
     lost.now += ms(50);
     lost.end(1, c.outcome);
     lost.pass(seconds(21));
@@ -48,28 +49,33 @@
 // Rule 2: a keyed job that may have run stays with those that drop its repeats, while they know it.
 void keyed_stays() {
   struct Case {
-    Reach reach;
+    DeduplicationScope deduplication_scope;
     int other_zone;  // of engine 2, the only one left
-    Span window, wait;
+    Duration window, wait;
     bool goes;
   };
   const Case cases[] = {
-      {Reach::all, 1, seconds(10), ms(50), true},  {Reach::zone, 1, seconds(10), ms(50), false},
-      {Reach::zone, 0, seconds(10), ms(50), true}, {Reach::cell, 1, seconds(10), ms(50), false},
-      {Reach::all, 0, ms(1000), ms(991), false},   {Reach::all, 0, ms(1000), ms(985), true},
+      {DeduplicationScope::fleet, 1, seconds(10), ms(50), true},
+      {DeduplicationScope::zone, 1, seconds(10), ms(50), false},
+      {DeduplicationScope::zone, 0, seconds(10), ms(50), true},
+      {DeduplicationScope::cell, 1, seconds(10), ms(50), false},
+      {DeduplicationScope::fleet, 0, ms(1000), ms(991), false},
+      {DeduplicationScope::fleet, 0, ms(1000), ms(985), true},
   };
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.types[1].effect = Effect::keyed, service.types[1].reach = c.reach;
-    service.types[1].repeat_window = c.window;
+    service.types[1].idempotency = Idempotency::idempotent_by_key,
+    service.types[1].deduplication_scope = c.deduplication_scope;
+    service.types[1].deduplication_window = c.window;
     Bench bench(service, 1);
     bench.take(1, 1, 1000);
-    bench.list(ListNews::complete, {Bench::engine(2, EngineState::up, c.other_zone)});
+    bench.list(EndpointUpdate::snapshot, {Bench::engine(2, EngineState::up, c.other_zone)});
     bench.now += c.wait;
-    bench.end(1, Outcome::error);
+    bench.end(1, Outcome::engine_error);
     assert((bench.dispatches(1) == 2) == c.goes);
     // Where it waits for its connection it may leave up to a round before the window's end, and no later.
-    if (c.goes) assert(bench.host.leave_within.at(JobId{1}) == c.window - c.wait - service.round);
+    if (c.goes)
+      assert(bench.host.leave_within.at(RequestId{1}) == c.window - c.wait - service.event_interval);
   }
 }
 
@@ -78,14 +84,15 @@
   struct Case {
     bool has_engine;
     bool answered;  // the engine reports a time-out at the very end
-    Effect effect;
+    Idempotency idempotency;
   };
-  const Case cases[] = {{true, false, Effect::restartable}, {false, false, Effect::restartable},
-                        {true, true, Effect::run_once},     {true, false, Effect::run_once},
-                        {false, false, Effect::run_once},   {true, false, Effect::keyed}};
+  const Case cases[] = {
+      {true, false, Idempotency::idempotent},      {false, false, Idempotency::idempotent},
+      {true, true, Idempotency::non_idempotent},   {true, false, Idempotency::non_idempotent},
+      {false, false, Idempotency::non_idempotent}, {true, false, Idempotency::idempotent_by_key}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.types[0].effect = c.effect;
+    service.types[0].idempotency = c.idempotency;
     Bench bench(service, c.has_engine ? 1 : 0);
     bench.take(1, 0, 80);
     bench.pass(ms(2000));
@@ -100,15 +107,15 @@
 // Rule 3: nothing to an engine that drains or is gone, also when it was left out of a complete list.
 void drains() {
   struct Case {
-    ListNews news;
-    std::vector<ListedEngine> engines;
+    EndpointUpdate news;
+    std::vector<EngineEndpoint> engines;
     bool goes;
   };
-  const Case cases[] = {{ListNews::changes, {Bench::engine(1, EngineState::draining)}, false},
-                        {ListNews::changes, {Bench::engine(1, EngineState::gone)}, false},
-                        {ListNews::complete, {}, false},
-                        {ListNews::changes, {}, true},
-                        {ListNews::complete, {Bench::engine(1)}, true}};
+  const Case cases[] = {{EndpointUpdate::delta, {Bench::engine(1, EngineState::draining)}, false},
+                        {EndpointUpdate::delta, {Bench::engine(1, EngineState::removed)}, false},
+                        {EndpointUpdate::snapshot, {}, false},
+                        {EndpointUpdate::delta, {}, true},
+                        {EndpointUpdate::snapshot, {Bench::engine(1)}, true}};
   for (const Case& c : cases) {
     Bench bench(small_service(), 1);
     bench.list(c.news, c.engines);
@@ -120,8 +127,8 @@
 // Rule 4: within any window a cold engine gets no more than this manager's part, however it came to be cold.
 void cold_engines() {
   struct Case {
-    Span age_at_listing;
-    Span launched_before;  // how long the manager had run
+    Duration age_at_listing;
+    Duration launched_before;  // how long the manager had run
     bool limited;
   };
   const Case cases[] = {{ms(0), seconds(20), true},
@@ -130,13 +137,13 @@
                         {seconds(30), seconds(40), false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.cold_lasts = seconds(15), service.cold_from = 0.3;
-    service.tip_multiple = 2.5, service.tip_window = ms(500);
+    service.slow_start_duration = seconds(15), service.slow_start_initial_capacity = 0.3;
+    service.slow_start_limit_multiple = 2.5, service.slow_start_window = ms(500);
     Bench bench(service, 0);
     bench.pass(c.launched_before);
-    ListedEngine cold = Bench::engine(9);
-    cold.online_since = bench.now - c.age_at_listing;
-    bench.list(ListNews::changes, {cold});
+    EngineEndpoint cold = Bench::engine(9);
+    cold.started_at = bench.now - c.age_at_listing;
+    bench.list(EndpointUpdate::delta, {cold});
     for (int i = 1; i <= 200; ++i) bench.take(i, 0, 150);
     // 2.5 x 0.3 x 8 cores x 0.5 s over two managers: 1.5 s of work.
     const double work_s = 0.15 * static_cast<double>(bench.host.sent.size());
@@ -148,21 +155,21 @@
 // off.
 void starts_of_the_first_list() {
   struct Case {
-    ListNews news;
-    Span before_the_latest;
+    EndpointUpdate news;
+    Duration before_the_latest;
     bool limited;
   };
-  const Case cases[] = {{ListNews::remembered, Span(0), true},
-                        {ListNews::remembered, seconds(14), true},
-                        {ListNews::remembered, seconds(16), false},
-                        {ListNews::complete, Span(0), false}};
+  const Case cases[] = {{EndpointUpdate::cached, Duration(0), true},
+                        {EndpointUpdate::cached, seconds(14), true},
+                        {EndpointUpdate::cached, seconds(16), false},
+                        {EndpointUpdate::snapshot, Duration(0), false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.cold_lasts = seconds(15), service.cold_from = 0.3;
-    service.tip_multiple = 2.5, service.tip_window = ms(500);
+    service.slow_start_duration = seconds(15), service.slow_start_initial_capacity = 0.3;
+    service.slow_start_limit_multiple = 2.5, service.slow_start_window = ms(500);
     Bench bench(service, 0);
-    ListedEngine latest = Bench::engine(9, EngineState::draining), other = Bench::engine(10);
-    latest.online_since = seconds(-3600), other.online_since = *latest.online_since - c.before_the_latest;
+    EngineEndpoint latest = Bench::engine(9, EngineState::draining), other = Bench::engine(10);
+    latest.started_at = seconds(-3600), other.started_at = *latest.started_at - c.before_the_latest;
     bench.list(c.news, {latest, other});
     for (int i = 1; i <= 200; ++i) bench.take(i, 0, 150);
     const double work_s = 0.15 * static_cast<double>(bench.host.sent.size());
@@ -176,12 +183,13 @@
     Outcome outcome;
     bool rests;
   };
-  const Case cases[] = {{Outcome::done, false}, {Outcome::reset, true}, {Outcome::timed_out, true}};
+  const Case cases[] = {
+      {Outcome::succeeded, false}, {Outcome::connection_reset, true}, {Outcome::timed_out, true}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.types[1].in_order = true;
-    service.order_rest = ms(300);
-    service.most_dispatches = 1;
+    service.types[1].ordered_by_key = true;
+    service.key_quiet_period = ms(300);
+    service.max_attempts = 1;
     Bench bench(service);
     bench.take(1, 1, 1000, 5);
     bench.take(2, 1, 1000, 5);
@@ -202,17 +210,18 @@
     Outcome outcome;
     bool rests;
   };
-  const Case cases[] = {{Outcome::done, true},  {Outcome::error, true},       {Outcome::stopped, true},
-                        {Outcome::reset, true}, {Outcome::never_sent, false}, {Outcome::unreachable, false}};
+  const Case cases[] = {{Outcome::succeeded, true}, {Outcome::engine_error, true},
+                        {Outcome::cancelled, true}, {Outcome::connection_reset, true},
+                        {Outcome::not_sent, false}, {Outcome::unreachable, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.types[1].in_order = true;
-    service.order_rest = ms(300), service.may_stop = true;
+    service.types[1].ordered_by_key = true;
+    service.key_quiet_period = ms(300), service.allows_cancel = true;
     Bench bench(service);
     bench.take(1, 1, 1000, 5);
     bench.take(2, 1, 1000, 5);
     bench.pass(ms(5));
-    bench.manager.job_withdrawn(bench.now, JobId{1});
+    bench.manager.on_request_cancelled(bench.now, RequestId{1});
     assert(bench.host.stopped.size() == 1 && bench.dispatches(2) == 0);
     bench.end(1, c.outcome, ms(5));
     assert(bench.dispatches(2) == (c.rests ? 0 : 1));
@@ -222,12 +231,13 @@
     assert(bench.dispatches(2) == 1);
   }
   ServiceDefinition service = small_service();
-  service.types[1].in_order = true;
+  service.types[1].ordered_by_key = true;
   Bench bench(service);
-  Job unknown;
-  unknown.id = JobId{1}, unknown.type = TypeId{1}, unknown.key = OrderKey{5}, unknown.time_left = ms(20000);
-  unknown.order_is_known = false;
-  bench.manager.job_taken(bench.now, unknown);
+  Request unknown;
+  unknown.id = RequestId{1}, unknown.type = RequestTypeId{1}, unknown.key = OrderKey{5},
+  unknown.time_left = ms(20000);
+  unknown.arrival_order_known = false;
+  bench.manager.on_request(bench.now, unknown);
   bench.take(2, 1, 1000, 5);
   assert(bench.throttled(1) && bench.dispatches(1) == 0 && bench.dispatches(2) == 1);
 }
@@ -236,24 +246,24 @@
 void placement() {
   struct Case {
     std::optional<std::vector<ZoneId>> zones;
-    std::optional<std::vector<KindId>> kinds;
+    std::optional<std::vector<MachineKindId>> kinds;
     int goes_to;  // 0: nowhere
   };
   const Case cases[] = {{std::vector{ZoneId{1}}, std::nullopt, 2},
-                        {std::nullopt, std::vector{KindId{1}}, 3},
-                        {std::vector{ZoneId{1}}, std::vector{KindId{1}}, 0},
+                        {std::nullopt, std::vector{MachineKindId{1}}, 3},
+                        {std::vector{ZoneId{1}}, std::vector{MachineKindId{1}}, 0},
                         {std::vector{ZoneId{-1}}, std::nullopt, 0}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
     service.types[0].zones = c.zones;
     service.types[0].kinds = c.kinds;
     Bench bench(service, 0);
-    bench.list(ListNews::complete, {Bench::engine(1), Bench::engine(2, EngineState::up, 1),
-                                    Bench::engine(3, EngineState::up, 0, 1)});
+    bench.list(EndpointUpdate::snapshot, {Bench::engine(1), Bench::engine(2, EngineState::up, 1),
+                                          Bench::engine(3, EngineState::up, 0, 1)});
     bench.take(1, 0, 80);
     assert(bench.engine_of(1) == c.goes_to);
     if (c.goes_to) {
-      bench.end(1, Outcome::error);
+      bench.end(1, Outcome::engine_error);
       assert(bench.engine_of(1) == c.goes_to);
     }
   }
@@ -268,10 +278,11 @@
   const Case cases[] = {{0, 0.1, 30, 3}, {2, 0, 30, 2}, {0, 0, 10, 0}, {1, 0.5, 10, 6}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.ration_window = seconds(10), service.ration_few = c.few, service.ration_share = c.share;
+    service.retry_budget_window = seconds(10), service.retry_budget_minimum = c.few,
+    service.retry_budget_ratio = c.share;
     Bench bench(service, 3);
     for (int i = 1; i <= c.jobs; ++i) bench.take(i, 0, 50);
-    for (int i = 1; i <= c.jobs; ++i) bench.end(i, Outcome::full);
+    for (int i = 1; i <= c.jobs; ++i) bench.end(i, Outcome::engine_full);
     bench.pass(ms(100));
     const int again = static_cast<int>(bench.host.sent.size()) - c.jobs;
     assert(again <= c.most);
@@ -282,27 +293,27 @@
 // Once nothing may follow what a job has had, its client hears so at once, not when its time is up.
 void answered_at_once() {
   struct Case {
-    Effect effect;
-    Span window;
-    int most_dispatches;
+    Idempotency idempotency;
+    Duration window;
+    int max_attempts;
     Outcome outcome;
     bool answered, throttled;
   };
   const Case cases[] = {
-      {Effect::run_once, {}, 4, Outcome::reset, true, false},
-      {Effect::run_once, {}, 4, Outcome::timed_out, true, false},
-      {Effect::run_once, {}, 4, Outcome::unreachable, false, false},
-      {Effect::run_once, {}, 1, Outcome::unreachable, true, true},
-      {Effect::keyed, ms(40), 4, Outcome::reset, true, false},
-      {Effect::keyed, seconds(60), 4, Outcome::reset, false, false},
-      {Effect::keyed, seconds(60), 1, Outcome::reset, true, true},
-      {Effect::restartable, {}, 1, Outcome::error, true, true},
-      {Effect::restartable, {}, 2, Outcome::error, false, false},
+      {Idempotency::non_idempotent, {}, 4, Outcome::connection_reset, true, false},
+      {Idempotency::non_idempotent, {}, 4, Outcome::timed_out, true, false},
+      {Idempotency::non_idempotent, {}, 4, Outcome::unreachable, false, false},
+      {Idempotency::non_idempotent, {}, 1, Outcome::unreachable, true, true},
+      {Idempotency::idempotent_by_key, ms(40), 4, Outcome::connection_reset, true, false},
+      {Idempotency::idempotent_by_key, seconds(60), 4, Outcome::connection_reset, false, false},
+      {Idempotency::idempotent_by_key, seconds(60), 1, Outcome::connection_reset, true, true},
+      {Idempotency::idempotent, {}, 1, Outcome::engine_error, true, true},
+      {Idempotency::idempotent, {}, 2, Outcome::engine_error, false, false},
   };
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.types[1].effect = c.effect, service.types[1].repeat_window = c.window;
-    service.most_dispatches = c.most_dispatches;
+    service.types[1].idempotency = c.idempotency, service.types[1].deduplication_window = c.window;
+    service.max_attempts = c.max_attempts;
     Bench bench(service);
     bench.take(1, 1, 1000);
     bench.now += ms(50);
@@ -316,8 +327,8 @@
 // comes again within a second is served, and after that it is given up.
 void client_away() {
   struct Case {
-    bool was_out;  // its first dispatch breaks meanwhile
-    Span comes;    // 0: never
+    bool was_out;    // its first dispatch breaks meanwhile
+    Duration comes;  // 0: never
     bool served;
   };
   const Case cases[] = {{false, ms(300), true},
@@ -327,23 +338,23 @@
                         {false, ms(1300), false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.may_stop = true;
+    service.allows_cancel = true;
     Bench bench(service, 1);
     int fills = 0;
     if (!c.was_out) {
       while (bench.host.sent.size() == static_cast<std::size_t>(fills))
         ++fills, bench.take(100 + fills, 1, 1000);
       --fills;  // the last one waits
-      bench.manager.job_withdrawn(bench.now, JobId{static_cast<std::uint64_t>(101 + fills)});
+      bench.manager.on_request_cancelled(bench.now, RequestId{static_cast<std::uint64_t>(101 + fills)});
     }
     bench.take(1, 1, 1000);
     assert(bench.dispatches(1) == c.was_out);
-    bench.manager.caller_left(bench.now, JobId{1});
-    if (c.was_out) bench.end(1, Outcome::reset);
-    for (int i = 1; i <= fills; ++i) bench.end(100 + i, Outcome::done);
-    bench.pass(c.comes > Span(0) ? c.comes : ms(1300));
+    bench.manager.on_client_disconnected(bench.now, RequestId{1});
+    if (c.was_out) bench.end(1, Outcome::connection_reset);
+    for (int i = 1; i <= fills; ++i) bench.end(100 + i, Outcome::succeeded);
+    bench.pass(c.comes > Duration(0) ? c.comes : ms(1300));
     assert(bench.dispatches(1) == c.was_out);
-    if (c.comes > Span(0)) bench.manager.caller_came(bench.now, JobId{1});
+    if (c.comes > Duration(0)) bench.manager.on_client_reconnected(bench.now, RequestId{1});
     assert(bench.dispatches(1) == c.was_out + c.served && bench.answers(1) == !c.served);
   }
 }
@@ -351,11 +362,11 @@
 // Asked to end, it answers every job once, and throttles only what is known to do no harm.
 void asked_to_end() {
   ServiceDefinition service = small_service();
-  service.may_stop = true;
-  service.types[1].effect = Effect::run_once;
+  service.allows_cancel = true;
+  service.types[1].idempotency = Idempotency::non_idempotent;
   Bench bench(service);
   for (int id = 1; id <= 60; ++id) bench.take(id, id % 2, 400);
-  bench.end(2, Outcome::done);
+  bench.end(2, Outcome::succeeded);
   assert(bench.host.sent.size() < 60);  // some are out, some are held
   bench.manager.closing(bench.now), bench.manager.closing(bench.now);
   for (int id = 1; id <= 60; ++id) {
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -81,17 +81,19 @@
 
 struct TalkNotes final : EngineTalk::Listener {
   std::string text;
-  void talk_ended(DispatchKey key, Outcome outcome, std::vector<std::string> pages) override {
+  void talk_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) override {
     text += std::to_string(key.job.value) + "." + std::to_string(key.number) + "=" +
             std::to_string(static_cast<int>(outcome));
     for (const std::string& page : pages) text += "|" + page;
     text += ";";
   }
-  void talk_progress(DispatchKey, double share) override {
+  void talk_progress(AttemptId, double share) override {
     text += "p" + std::to_string(share).substr(0, 4) + ";";
   }
-  void talk_spill(DispatchKey, double mb) override { text += "s" + std::to_string(mb).substr(0, 4) + ";"; }
-  void talk_wait(DispatchKey, Wait wait) override { text += wait == Wait::load ? "load;" : "memory;"; }
+  void talk_spill(AttemptId, double mb) override { text += "s" + std::to_string(mb).substr(0, 4) + ";"; }
+  void talk_wait(AttemptId, WaitCause wait) override {
+    text += wait == WaitCause::data_load ? "load;" : "memory;";
+  }
 };
 
 std::string answer(std::initializer_list<std::string_view> words) {
@@ -150,7 +152,7 @@
     EngineTalk talk(notes);
     std::string out;
     const Want want{.id = id, .kind = "x", .token = "", .statement = "s"};
-    talk.want({JobId{10}, 0}, want, out);
+    talk.want({RequestId{10}, 0}, want, out);
     const std::size_t sent = out.size();
     for (const std::string_view part : parts) {
       if (talk.feed(part, out)) continue;
@@ -187,7 +189,7 @@
     TalkNotes notes;
     EngineTalk talk(notes);
     std::string out;
-    const DispatchKey key{JobId{10}, 0};
+    const AttemptId key{RequestId{10}, 0};
     talk.want(key, {.id = id, .kind = "x", .token = "", .statement = "s", .grant_mb = 7, .priority = 2}, out);
     assert(out.find("kind=x,ms=0,workmem=7,weight=2") != std::string::npos);
     talk.never_mind(key, out);
@@ -201,9 +203,9 @@
   TalkNotes notes;  // what never left can't have run
   EngineTalk talk(notes);
   std::string out;
-  talk.want({JobId{1}, 0}, {.id = "1", .kind = "x", .token = "", .statement = "s"}, out);
+  talk.want({RequestId{1}, 0}, {.id = "1", .kind = "x", .token = "", .statement = "s"}, out);
   const std::size_t first = out.size();
-  talk.want({JobId{2}, 0}, {.id = "2", .kind = "x", .token = "", .statement = "s"}, out);
+  talk.want({RequestId{2}, 0}, {.id = "2", .kind = "x", .token = "", .statement = "s"}, out);
   talk.broke(first);
   assert(notes.text == "1.0=5;2.0=4;");
 }
@@ -250,8 +252,9 @@
   const char* left = R"({"id":"s-1","phase":"left"})";
   const auto known =
       list.known(nlohmann::json::parse(R"({"cursor":2,"cmds":[)" + event(1, "true", one) + "]}"));
-  assert(known.news == ListNews::remembered && known.members.size() == 1 && list.cursor() == 2);
-  assert(known.members[0].engine.online_since == Span(2'000'000) && known.members[0].engine.zone.value == 0);
+  assert(known.news == EndpointUpdate::cached && known.members.size() == 1 && list.cursor() == 2);
+  assert(known.members[0].engine.started_at == Duration(2'000'000) &&
+         known.members[0].engine.zone.value == 0);
   struct Case {
     const char* id;
     std::string data;
@@ -332,7 +335,7 @@
     TalkNotes notes;
     EngineTalk talk(notes);
     std::string out;
-    talk.want({JobId{1}, 0}, {.id = "a", .kind = "x", .token = "", .statement = "s"}, out);
+    talk.want({RequestId{1}, 0}, {.id = "a", .kind = "x", .token = "", .statement = "s"}, out);
     talk.feed(bytes, out), talk.broke(0);
     EventNotes event_notes;
     EventFeed feed(event_notes);
@@ -347,8 +350,8 @@
   int came = 0;
   loop.soon([] { throw pearchute::SystemError("one of what is put off"); });
   loop.soon([&] { ++came; });
-  loop.at(pearchute::Span(0), [] { throw pearchute::SystemError("a timer"); });
-  loop.at(pearchute::Span(1), [&] {
+  loop.at(pearchute::Duration(0), [] { throw pearchute::SystemError("a timer"); });
+  loop.at(pearchute::Duration(1), [&] {
     ++came;
     loop.soon([&] { ++came, loop.stop(); });
   });
