--- a/src/admin/caller.cpp
+++ b/src/admin/caller.cpp
@@ -4,7 +4,7 @@
 
 namespace pearchute::admin {
 
-std::string_view word_for(CallEnd end) {
+std::string_view name_of(CallEnd end) {
   constexpr std::string_view words[] = {"answered", "unreachable", "silent", "broken"};
   return words[static_cast<int>(end)];
 }
--- a/src/admin/caller.h
+++ b/src/admin/caller.h
@@ -20,7 +20,7 @@
   silent,       // no answer in time: it may have been done
   broken,       // the connection ended, or what came is no reply: it may have been done
 };
-std::string_view word_for(CallEnd end);
+std::string_view name_of(CallEnd end);
 
 class Caller final : public net::Wire::User {
  public:
--- a/src/admin/orders_file.cpp
+++ b/src/admin/orders_file.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::string_view mark = "pearchute orders 1\n";
 // Twice the most orders at their longest: id, subject and holder, the reason, and what frames them.
-constexpr std::size_t largest =
-    2 * fleet::Drains::most_orders * (3 * fleet::Drains::longest_name + fleet::Drains::longest_reason + 64);
+constexpr std::size_t largest = 2 * fleet::Drains::max_directives *
+                                (3 * fleet::Drains::max_name_bytes + fleet::Drains::max_reason_bytes + 64);
 
 std::string checksum_of(std::string_view text) {
   Poco::Checksum sum(Poco::Checksum::TYPE_CRC32);
@@ -73,25 +73,25 @@
     return found;
   }
   for (const auto& one : kept.orders()) {
-    fleet::Order order;
+    fleet::DrainDirective order;
     order.id = one.id(), order.subject = one.subject(), order.holder = one.holder();
-    order.generation = one.generation(), order.drains = one.drains(), order.everyone = one.everyone();
+    order.generation = one.generation(), order.drains = one.drains(), order.all_holders = one.everyone();
     order.reason = one.reason();
     const milliseconds left = milliseconds(one.until_unix_ms()) - unix_now;
-    order.lease = std::clamp<fleet::Span>(left, fleet::Span(1), fleet::Drains::longest_lease);
+    order.lease = std::clamp<fleet::Duration>(left, fleet::Duration(1), fleet::Drains::max_lease);
     found.orders.emplace_back(std::move(order), left);
   }
   return found;
 }
 
-bool OrdersFile::write(const std::vector<fleet::Held>& orders, fleet::Span now, milliseconds unix_now,
-                       std::string& fault) {
+bool OrdersFile::write(const std::vector<fleet::ActiveDirective>& orders, fleet::TimePoint now,
+                       milliseconds unix_now, std::string& fault) {
   kept::v1::KeptOrders kept;
-  for (const fleet::Held& held : orders) {
+  for (const fleet::ActiveDirective& held : orders) {
     auto& one = *kept.add_orders();
     one.set_id(held.order.id), one.set_subject(held.order.subject), one.set_holder(held.order.holder);
     one.set_generation(held.order.generation), one.set_drains(held.order.drains);
-    one.set_everyone(held.order.everyone), one.set_reason(held.order.reason);
+    one.set_everyone(held.order.all_holders), one.set_reason(held.order.reason);
     const milliseconds until = unix_now + duration_cast<milliseconds>(held.until - now);
     one.set_until_unix_ms(static_cast<std::uint64_t>(until.count()));
   }
--- a/src/admin/orders_file.h
+++ b/src/admin/orders_file.h
@@ -18,12 +18,12 @@
   struct Found {
     bool damaged = false;  // and set aside under the same name with `.damaged`
     std::string fault;
-    std::vector<std::pair<fleet::Order, fleet::Span>> orders;  // with what is left of each lease
+    std::vector<std::pair<fleet::DrainDirective, fleet::Duration>> orders;  // with what is left of each lease
   };
   Found read(std::chrono::milliseconds unix_now);
   // False, with the reason in `fault`, where it can't be written; the file is as it was then.
-  bool write(const std::vector<fleet::Held>& orders, fleet::Span now, std::chrono::milliseconds unix_now,
-             std::string& fault);
+  bool write(const std::vector<fleet::ActiveDirective>& orders, fleet::TimePoint now,
+             std::chrono::milliseconds unix_now, std::string& fault);
   static const std::vector<const char*>& points();
 
  private:
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -25,8 +25,8 @@
 constexpr milliseconds look_every(100), look_again_after(1000);
 constexpr milliseconds manager_answers_within(1000);
 
-std::map<std::string, fleet::ConfigPlace> peers_of(const AgentConfig& config) {
-  std::map<std::string, fleet::ConfigPlace> peers;
+std::map<std::string, fleet::ConfigLocation> peers_of(const AgentConfig& config) {
+  std::map<std::string, fleet::ConfigLocation> peers;
   for (const auto& [name, reach] : config.peers) {
     const auto zone = config.peer_zones.find(name);
     peers[name].zone = zone == config.peer_zones.end() ? "" : zone->second;
@@ -137,7 +137,7 @@
 void ConfigService::exchange(const std::string& peer) {
   const v1::ConfigMessage question = to_wire(spread_.question(loop_thread_.loop().now(), peer));
   peers_.call<v1::ConfigMessage, v1::ConfigMessage>(
-      peer, duration_cast<milliseconds>(fleet::ConfigSpread::answers_within),
+      peer, duration_cast<milliseconds>(fleet::ConfigSpread::answer_timeout),
       [](auto* to, auto... what) { to->Synchronize(what...); }, question,
       [this, alive = alive_, peer](bool ok, const v1::ConfigMessage& answer) {
         if (!*alive) return;
@@ -162,7 +162,7 @@
   const fleet::PublishRequest request = {publication.parent(), publication.content(),
                                          publication.new_epoch()};
   const fleet::PublishResult result = spread_.publish(loop_thread_.loop().now(), request);
-  published.set_result(std::string(word_for(result)));
+  published.set_result(std::string(name_of(result)));
   *published.mutable_mark() = to_wire(spread_.replica().mark());
   turn();
 }
@@ -193,8 +193,8 @@
 void ConfigService::configure(const std::string& name, Instance& instance, const ConfigDocument& document) {
   // One in which it is in force is only asked whether that is still so.
   if (instance.in_force != document.mark)
-    instance.why_not = write_candidate(instance.base, instance.file, document);
-  if (!instance.why_not.empty() && instance.in_force != document.mark) return;
+    instance.not_in_force_reason = write_candidate(instance.base, instance.file, document);
+  if (!instance.not_in_force_reason.empty() && instance.in_force != document.mark) return;
   instance.calling = true;
   admin::v1::Call call;
   admin::v1::Configure& to = *call.mutable_configure();
@@ -213,15 +213,15 @@
         const admin::v1::Configured& configured = reply.configured();
         if (end == CallEnd::answered && reply.has_configured()) {
           asked.in_force = mark_in(configured.in_force());
-          asked.why_not = configured.state() == "next_start"
-                              ? "in force at the next start: " + configured.what()
-                          : configured.state() == "refused" ? "refused: " + configured.what()
-                                                            : "";
+          asked.not_in_force_reason = configured.state() == "next_start"
+                                          ? "in force at the next start: " + configured.what()
+                                      : configured.state() == "refused" ? "refused: " + configured.what()
+                                                                        : "";
         } else if (end == CallEnd::answered) {
-          asked.in_force = {}, asked.why_not = "its manager does not know the call";
+          asked.in_force = {}, asked.not_in_force_reason = "its manager does not know the call";
         } else {
           // What was in force stands in its file: a manager that is down starts with it.
-          asked.why_not = "its manager is " + std::string(admin::word_for(end));
+          asked.not_in_force_reason = "its manager is " + std::string(admin::name_of(end));
         }
         report_instances();
         turn();
@@ -230,7 +230,8 @@
 
 void ConfigService::report_instances() {
   std::vector<fleet::InstanceConfig> all;
-  for (const auto& [name, instance] : instances_) all.push_back({name, instance.in_force, instance.why_not});
+  for (const auto& [name, instance] : instances_)
+    all.push_back({name, instance.in_force, instance.not_in_force_reason});
   // What no manager has been asked about yet is unknown, not in force.
   const bool known =
       std::ranges::all_of(instances_, [](const auto& one) { return one.second.look_at > Span(); });
--- a/src/agent/config_service.h
+++ b/src/agent/config_service.h
@@ -31,7 +31,7 @@
     std::unique_ptr<admin::Caller> caller;
     bool calling = false;
     fleet::ConfigMark in_force;
-    std::string why_not;
+    std::string not_in_force_reason;
     Span look_at{};
   };
   bool write_config(const fleet::ConfigReplica::State& state) override;
--- a/src/agent/config_wire.cpp
+++ b/src/agent/config_wire.cpp
@@ -76,7 +76,7 @@
       for (const fleet::ConfigObstacle& obstacle : one.obstacles) {
         v1::ConfigObstacle& named = *acknowledgement.add_obstacles();
         named.set_instance(obstacle.instance);
-        named.set_why(obstacle.why);
+        named.set_why(obstacle.reason);
       }
     }
   }
--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -25,9 +25,9 @@
 struct Coordinator::One final : Rollout::Host {
   One(Coordinator& c, const fleet::RolloutPlan& plan, std::int64_t begun)
       : owner(c), begun_unix_ms(begun), rollout(*this, plan) {}
-  bool keep(Rollout::State state) override {
+  bool persist(Rollout::State state) override {
     return owner.store_.write_rollout(
-        {rollout.plan(), state, rollout.stages(), rollout.word(), begun_unix_ms});
+        {rollout.plan(), state, rollout.stages(), rollout.detail(), begun_unix_ms});
   }
   Span now() const { return owner.loop_thread_.loop().now(); }
   // What comes back after this rollout has gone is dropped.
@@ -40,19 +40,20 @@
   void again(std::function<void()> what) {
     owner.loop_thread_.loop().at(now() + ask_again_after, while_here(what));
   }
-  void ask_claims(const std::string& agent, const std::vector<std::string>& instances) override {
+  void request_leases(const std::string& agent, const std::vector<std::string>& instances) override {
     v1::ClaimAsk ask;
     ask.set_operation(rollout.plan().id), ask.set_who(rollout.plan().who);
     for (const std::string& instance : instances) ask.add_instances(instance);
-    ask.set_lease_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(rollout.plan().lease).count()));
+    ask.set_lease_ms(
+        static_cast<std::uint64_t>(duration_cast<milliseconds>(rollout.plan().lease_duration).count()));
     ask.set_take_over(rollout.plan().take_over);
     const Span sent = now();
     owner.peers_.call<v1::ClaimAsk, v1::ClaimAnswer>(
         agent, answers_within, [](auto* to, auto... what) { to->Claim(what...); }, ask,
         while_here([this, agent, instances, sent](bool ok, const v1::ClaimAnswer& answer) {
           if (!ok) {
-            if (rollout.state() == Rollout::State::claiming)
-              again([this, agent, instances] { ask_claims(agent, instances); });
+            if (rollout.state() == Rollout::State::acquiring_leases)
+              again([this, agent, instances] { request_leases(agent, instances); });
             return;
           }
           std::string holder = answer.fault();
@@ -62,15 +63,16 @@
                       std::to_string(held.claim().held_ms() / 1000) + " s, for " +
                       std::to_string(held.claim().left_ms() / 1000) + " s more";
           }
-          rollout.claims_answered(now(), sent, agent, answer.granted(),
-                                  {answer.fences().begin(), answer.fences().end()}, holder);
+          rollout.on_lease_response(now(), sent, agent, answer.granted(),
+                                    {answer.fences().begin(), answer.fences().end()}, holder);
         }));
   }
   void renew(const std::string& agent, const std::vector<std::string>& instances) override {
     v1::Renewal ask;
     ask.set_operation(rollout.plan().id);
     for (const std::string& instance : instances) ask.add_instances(instance);
-    ask.set_lease_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(rollout.plan().lease).count()));
+    ask.set_lease_ms(
+        static_cast<std::uint64_t>(duration_cast<milliseconds>(rollout.plan().lease_duration).count()));
     const Span sent = now();
     owner.peers_.call<v1::Renewal, v1::Renewed>(
         agent, answers_within, [](auto* to, auto... what) { to->Renew(what...); }, ask,
@@ -92,15 +94,15 @@
     owner.peers_.call<v1::StepAsk, v1::StepAnswer>(
         agent, answers_within, [](auto* to, auto... what) { to->DoStep(what...); }, ask,
         while_here([this, agent, instance, step](bool ok, const v1::StepAnswer& answer) {
-          if (ok) return rollout.step_answered(now(), instance, answer.accepted(), answer.fault());
+          if (ok) return rollout.on_step_response(now(), instance, answer.accepted(), answer.fault());
           // Only while its own claim lasts: later it would be refused.
           const auto until = rollout.lease_until(agent);
           const auto stages = rollout.stages();
-          if (until && now() + ask_again_after < *until && stages.at(instance) == Rollout::Stage::asked)
+          if (until && now() + ask_again_after < *until && stages.at(instance) == Rollout::Stage::requested)
             again([this, agent, instance, step] { this->step(agent, instance, step); });
         }));
   }
-  void ask_fleet() override {
+  void request_fleet_status() override {
     for (const std::string& agent : owner.peers_.names()) {
       owner.peers_.call<v1::Empty, v1::Shown>(
           agent, answers_within, [](auto* to, auto... what) { to->Show(what...); }, {},
@@ -111,10 +113,10 @@
   }
   void heard(const v1::Shown& shown) {
     for (const v1::Instance& one : shown.instances()) {
-      rollout.seen(now(), one.name(), one.zone(), condition_in(one.condition()));
+      rollout.on_instance_state(now(), one.name(), one.zone(), parse_instance_state(one.condition()));
       if (one.has_last() && one.last().step().operation() == rollout.plan().id) {
-        const fleet::Life::Past past = from_wire(one.last());
-        rollout.step_ended(now(), one.name(), past.step, past.end, past.word);
+        const fleet::InstanceLifecycle::CompletedStep past = from_wire(one.last());
+        rollout.step_ended(now(), one.name(), past.step, past.end, past.detail);
       }
       // What was answered since the last look; one that started anew counts from nothing.
       Counted& before = counted[one.name()];
@@ -126,9 +128,9 @@
     }
     // Each look at an agent counts a little less than the next; with hardly any traffic nothing has fallen.
     done *= 0.97, all *= 0.97;
-    rollout.service(now(), all < 5 ? 1.0 : done / all);
+    rollout.on_service_level(now(), all < 5 ? 1.0 : done / all);
   }
-  void told(std::string_view what) override { spdlog::info("rollout {}: {}", rollout.plan().id, what); }
+  void on_event(std::string_view what) override { spdlog::info("rollout {}: {}", rollout.plan().id, what); }
 
   struct Counted {
     std::uint64_t pid = 0, done = 0, answered = 0;
@@ -151,7 +153,7 @@
         continue;
       }
       auto& one = rollouts_[kept.plan.id] = std::make_unique<One>(*this, kept.plan, kept.begun_unix_ms);
-      one->rollout.remembered(loop_thread_.loop().now(), kept.stages);
+      one->rollout.restore(loop_thread_.loop().now(), kept.stages);
     }
   }
   wake();
@@ -160,7 +162,7 @@
 Coordinator::~Coordinator() { *alive_ = false; }
 
 void Coordinator::wake() {
-  for (const auto& [id, one] : rollouts_) one->rollout.woken(loop_thread_.loop().now());
+  for (const auto& [id, one] : rollouts_) one->rollout.on_timer(loop_thread_.loop().now());
   loop_thread_.loop().at(loop_thread_.loop().now() + milliseconds(200), [this, alive = alive_] {
     if (*alive) wake();
   });
@@ -205,9 +207,9 @@
     if (!id.empty() && plan.id != id) return nullptr;
     v1::Rollout& to = *list.add_rollouts();
     *to.mutable_plan() = to_wire(plan);
-    to.set_state(std::string(fleet::word_for(state))), to.set_word(word);
+    to.set_state(std::string(fleet::name_of(state))), to.set_word(word);
     for (const auto& [instance, stage] : stages) {
-      const std::string text(fleet::word_for(stage));
+      const std::string text(fleet::name_of(stage));
       ++(*to.mutable_counts())[text];
       if (!id.empty()) (*to.mutable_stages())[instance] = text;
     }
@@ -217,9 +219,9 @@
   };
   for (const auto& [name, one] : rollouts_) {
     const Rollout& rollout = one->rollout;
-    v1::Rollout* to = add(rollout.plan(), rollout.state(), rollout.word(), rollout.stages());
+    v1::Rollout* to = add(rollout.plan(), rollout.state(), rollout.detail(), rollout.stages());
     if (!to || id.empty()) continue;
-    for (const auto& [instance, word] : rollout.words()) (*to->mutable_words())[instance] = word;
+    for (const auto& [instance, word] : rollout.details()) (*to->mutable_words())[instance] = word;
   }
   for (const store::KeptRollout& kept : past_) add(kept.plan, kept.state, kept.word, kept.stages);
 }
--- a/src/agent/gossip_service.cpp
+++ b/src/agent/gossip_service.cpp
@@ -34,14 +34,14 @@
 }
 
 void GossipService::change(const AgentConfig& next) {
-  gossip_state_.charter(peers_of(next)), scheduler_.charter(peers_of(next));
+  gossip_state_.set_agents(peers_of(next)), scheduler_.set_peers(peers_of(next));
 }
 
-bool GossipService::keep_incarnation(std::uint64_t incarnation) {
+bool GossipService::persist_incarnation(std::uint64_t incarnation) {
   return supervisor_.trouble().empty() && supervisor_.store().write_incarnation(incarnation);
 }
 
-void GossipService::told(const std::string& agent, std::string_view what) {
+void GossipService::on_event(const std::string& agent, std::string_view what) {
   PEARCHUTE_LOG(spdlog::level::info, "word of agent {}: {}", agent, what);
 }
 
@@ -51,7 +51,7 @@
   std::map<std::string, Before> present;
   for (const ProcessSupervisor::Seen& seen : supervisor_.seen()) {
     // What has not been looked at yet is not stated: others keep what they last heard, as old as it is.
-    if (seen.condition == fleet::Condition::unseen) continue;
+    if (seen.condition == fleet::InstanceState::unseen) continue;
     Before& one = present[seen.instance] = before_[seen.instance];
     if (one.condition != seen.condition || one.life != seen.life) one.since = now;
     if (one.life == seen.life && now > one.looked && seen.answered >= one.answered) {
@@ -66,8 +66,8 @@
     one.condition = seen.condition, one.life = seen.life, one.looked = now;
     one.done = seen.done, one.answered = seen.answered;
     fleet::StatusReport& word = words.emplace_back();
-    word.instance = seen.instance, word.zone = seen.zone, word.condition = seen.condition;
-    word.life = seen.life, word.lived = now - one.since;
+    word.instance = seen.instance, word.zone = seen.zone, word.state = seen.condition;
+    word.process_incarnation = seen.life, word.in_state_for = now - one.since;
     word.traffic = one.traffic, word.done = one.share, word.open = seen.open;
   }
   before_ = std::move(present);
@@ -76,8 +76,8 @@
 
 void GossipService::beat() {
   const Span now = loop_thread_.loop().now();
-  if (supervisor_.looked_at_all()) gossip_state_.say(own_words());
-  gossip_state_.woken(now);
+  if (supervisor_.looked_at_all()) gossip_state_.publish(own_words());
+  gossip_state_.on_timer(now);
   for (const std::string& peer : scheduler_.due(now)) ask(peer);
   loop_thread_.loop().at(scheduler_.next(now), [this, alive = alive_] {
     if (*alive) beat();
@@ -93,7 +93,7 @@
   }
   const Span asked = loop_thread_.loop().now();
   peers_.call<v1::Question, v1::Bulletin>(
-      peer, duration_cast<milliseconds>(fleet::AntiEntropyScheduler::answers_within),
+      peer, duration_cast<milliseconds>(fleet::AntiEntropyScheduler::answer_timeout),
       [](auto* to, auto... what) { to->Exchange(what...); }, question,
       [this, alive = alive_, peer, asked](bool ok, const v1::Bulletin& bulletin) {
         if (!*alive) return;
@@ -104,7 +104,7 @@
           else
             PEARCHUTE_LOG(spdlog::level::warn, "agent {} tells what can't be read of {}", peer, news.agent());
         }
-        gossip_state_.heard(now, asked, all);
+        gossip_state_.receive(now, asked, all);
         if (ok) scheduler_.answered(now, peer);
         else scheduler_.missed(now, peer);
       });
@@ -123,12 +123,12 @@
     const fleet::GossipState::Known known = gossip_state_.known(now, agent);
     v1::Heard& to = *shown.add_heard();
     to.set_agent(agent), to.set_incarnation(known.mark.incarnation), to.set_number(known.mark.through);
-    to.set_freshness(std::string(word_for(known.freshness))), to.set_disputed(known.disputed);
+    to.set_freshness(std::string(name_of(known.freshness))), to.set_disputed(known.disputed);
     to.set_ever(known.age.has_value());
     if (known.age) to.set_age_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(*known.age).count()));
-    for (const auto& [instance, word] : gossip_state_.words(agent)) *to.add_words() = to_wire(word);
+    for (const auto& [instance, word] : gossip_state_.reports(agent)) *to.add_words() = to_wire(word);
   }
-  shown.set_speaks(gossip_state_.speaks());
+  shown.set_speaks(gossip_state_.can_publish());
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/gossip_service.h
+++ b/src/agent/gossip_service.h
@@ -26,13 +26,13 @@
  private:
   // An instance as it was at the last beat.
   struct Before {
-    fleet::Condition condition{};
+    fleet::InstanceState condition{};
     std::uint64_t life = 0, done = 0, answered = 0;
     Span since{}, looked{};
     double traffic = 0, share = 1;
   };
-  bool keep_incarnation(std::uint64_t incarnation) override;
-  void told(const std::string& agent, std::string_view what) override;
+  bool persist_incarnation(std::uint64_t incarnation) override;
+  void on_event(const std::string& agent, std::string_view what) override;
   void beat();
   void ask(const std::string& peer);
   std::vector<fleet::StatusReport> own_words();
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -44,12 +44,12 @@
         revocations_(charter.tls) {}
 
   grpc::Status Show(grpc::ServerContext* context, const v1::Empty*, v1::Shown* shown) override {
-    return on(*context, Act::look, "", [&] {
+    return on(*context, Action::look, "", [&] {
       shown->set_name(name_), shown->set_build(PEARCHUTE_VERSION), shown->set_trouble(supervisor_.trouble());
       for (const ProcessSupervisor::Seen& seen : supervisor_.seen()) {
         v1::Instance& to = *shown->add_instances();
         to.set_name(seen.instance), to.set_zone(seen.zone);
-        to.set_condition(std::string(fleet::word_for(seen.condition)));
+        to.set_condition(std::string(fleet::name_of(seen.condition)));
         to.set_version(seen.version), to.set_falls(static_cast<std::uint32_t>(seen.falls));
         to.set_pid(static_cast<std::uint64_t>(seen.pid)), to.set_done(seen.done),
             to.set_answered(seen.answered);
@@ -63,29 +63,29 @@
   grpc::Status Exchange(grpc::ServerContext* context, const v1::Question* question,
                         v1::Bulletin* bulletin) override {
     if (!gossip_) return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no word"};
-    return on(*context, Act::look, "", [&] { gossip_->answer(*question, *bulletin); });
+    return on(*context, Action::look, "", [&] { gossip_->answer(*question, *bulletin); });
   }
   grpc::Status Synchronize(grpc::ServerContext* context, const v1::ConfigMessage* question,
                            v1::ConfigMessage* answer) override {
     if (!configuration_) return no_configuration();
     if (caller_of(*context).role != fleet::Role::agent)
       return {grpc::StatusCode::PERMISSION_DENIED, "only agents exchange versions of the configuration"};
-    return on(*context, Act::change, "", [&] { configuration_->synchronize(*question, *answer); });
+    return on(*context, Action::change, "", [&] { configuration_->synchronize(*question, *answer); });
   }
   grpc::Status PublishConfig(grpc::ServerContext* context, const v1::ConfigPublication* publication,
                              v1::ConfigPublished* published) override {
     if (!configuration_) return no_configuration();
-    return on(*context, publication->new_epoch() ? Act::take_over : Act::change, "",
+    return on(*context, publication->new_epoch() ? Action::take_over : Action::change, "",
               [&] { configuration_->publish(*publication, *published); });
   }
   grpc::Status ShowConfig(grpc::ServerContext* context, const v1::Empty*, v1::ConfigShown* shown) override {
     if (!configuration_) return no_configuration();
-    return on(*context, Act::look, "", [&] { configuration_->show(*shown); });
+    return on(*context, Action::look, "", [&] { configuration_->show(*shown); });
   }
   grpc::Status Claim(grpc::ServerContext* context, const v1::ClaimAsk* ask, v1::ClaimAnswer* to) override {
-    return on(*context, ask->take_over() ? Act::take_over : Act::change, ask->who(), [&] {
+    return on(*context, ask->take_over() ? Action::take_over : Action::change, ask->who(), [&] {
       if (ask->lease_ms() > 24 * 3600 * 1000) throw MessageError("a lease out of bounds");
-      const fleet::Claims::Answer answer =
+      const fleet::LeaseTable::Answer answer =
           supervisor_.ask({ask->operation(),
                            ask->who(),
                            {ask->instances().begin(), ask->instances().end()},
@@ -93,56 +93,56 @@
                            ask->take_over()});
       to->set_granted(answer.granted), to->set_fault(answer.fault);
       for (const auto& [instance, fence] : answer.fences) (*to->mutable_fences())[instance] = fence;
-      for (const auto& held : answer.held) {
+      for (const auto& held : answer.conflicts) {
         auto& one = *to->add_held();
         one.set_instance(held.instance);
-        fill(*one.mutable_claim(), held.claim);
+        fill(*one.mutable_claim(), held.lease);
       }
     });
   }
   grpc::Status Renew(grpc::ServerContext* context, const v1::Renewal* ask, v1::Renewed* to) override {
-    return on(*context, Act::change, holder_of(ask->operation()), [&] {
+    return on(*context, Action::change, holder_of(ask->operation()), [&] {
       if (ask->lease_ms() > 24 * 3600 * 1000) throw MessageError("a lease out of bounds");
       to->set_live(supervisor_.renew(ask->operation(), {ask->instances().begin(), ask->instances().end()},
                                      milliseconds(ask->lease_ms())));
     });
   }
   grpc::Status Release(grpc::ServerContext* context, const v1::Operation* ask, v1::Empty*) override {
-    return on(*context, Act::change, holder_of(ask->id()), [&] { supervisor_.release(ask->id()); });
+    return on(*context, Action::change, holder_of(ask->id()), [&] { supervisor_.release(ask->id()); });
   }
   grpc::Status DoStep(grpc::ServerContext* context, const v1::StepAsk* ask, v1::StepAnswer* to) override {
-    return on(*context, Act::change, holder_of(ask->step().operation()), [&] {
+    return on(*context, Action::change, holder_of(ask->step().operation()), [&] {
       std::string fault;
       to->set_accepted(supervisor_.step(ask->instance(), from_wire(ask->step()), fault));
       to->set_fault(fault);
     });
   }
   grpc::Status StartRollout(grpc::ServerContext* context, const v1::Plan* plan, v1::Said* said) override {
-    return on(*context, plan->take_over() ? Act::take_over : Act::change, plan->who(),
+    return on(*context, plan->take_over() ? Action::take_over : Action::change, plan->who(),
               [&] { said->set_fault(coordinator_.start(from_wire(*plan))); });
   }
   grpc::Status Rollouts(grpc::ServerContext* context, const v1::Operation* one,
                         v1::RolloutList* list) override {
-    return on(*context, Act::look, "", [&] { coordinator_.tell(one->id(), *list); });
+    return on(*context, Action::look, "", [&] { coordinator_.tell(one->id(), *list); });
   }
   // Whoever may change anything may hold a rollout up, whose it is.
   grpc::Status Say(grpc::ServerContext* context, const v1::Word* word, v1::Said* said) override {
-    return on(*context, Act::change, "",
+    return on(*context, Action::change, "",
               [&] { said->set_fault(coordinator_.say(word->id(), word->word())); });
   }
 
  private:
-  using Act = fleet::Act;
+  using Action = fleet::Action;
   static grpc::Status no_configuration() {
     return {grpc::StatusCode::FAILED_PRECONDITION, "this agent takes no part in configuration versions"};
   }
   template <class What>
-  grpc::Status on(const grpc::ServerContext& context, Act act, const std::string& as, What what) {
+  grpc::Status on(const grpc::ServerContext& context, Action act, const std::string& as, What what) {
     const Caller caller = caller_of(context);
     std::optional<std::string> refusal;
     if (!caller.role) refusal = "a certificate without a role";
     else if (revocations_.hold(caller.serial)) refusal = "the certificate is revoked";
-    else refusal = fleet::refusal(*caller.role, act, caller.name, as);
+    else refusal = fleet::denial_reason(*caller.role, act, caller.name, as);
     if (refusal) {
       PEARCHUTE_LOG(spdlog::level::warn, "{} at {} is refused: {}", caller.name, context.peer(), *refusal);
       return {grpc::StatusCode::PERMISSION_DENIED, *refusal};
@@ -163,7 +163,7 @@
       return "";
     });
   }
-  void fill(v1::Claim& to, const fleet::Claim& claim) const {
+  void fill(v1::Claim& to, const fleet::Lease& claim) const {
     const Span now = loop_thread_.loop().now();
     const auto in_ms = [](Span span) {
       return static_cast<std::uint64_t>(std::max<Span::rep>(duration_cast<milliseconds>(span).count(), 0));
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -41,7 +41,8 @@
   const bool usable = open_store();
   if (usable) lease_owner_ = std::make_unique<fleet::LeaseOwner>(*this);
   else spdlog::error("{}; this agent observes and takes no orders until its state is mended", trouble_);
-  const auto kept = usable ? store_.instances() : std::map<std::string, fleet::LeaseOwner::Kept>();
+  const auto kept =
+      usable ? store_.instances() : std::map<std::string, fleet::LeaseOwner::PersistedInstance>();
   const auto processes = usable ? store_.processes() : std::map<std::string, store::Process>();
   for (const auto& [name, owned] : config_.instances) own(name, owned, kept, processes);
   look();
@@ -73,13 +74,13 @@
 }
 
 void ProcessSupervisor::own(const std::string& name, const Owned& owned,
-                            const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
+                            const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
                             const std::map<std::string, store::Process>& processes) {
   auto& eye = eyes_[name] = std::make_unique<Eye>();
   eye->caller = std::make_unique<admin::Caller>(loop_, owned.admin);
   eye->version = owned.version;
   if (!lease_owner_) return;
-  fleet::LeaseOwner::Kept one;
+  fleet::LeaseOwner::PersistedInstance one;
   one.wanted = owned.wanted, one.version = owned.version;
   if (const auto at = kept.find(name); at != kept.end()) one = at->second;
   // A version that the charter names no more can't be started: the charter's own is.
@@ -90,7 +91,7 @@
     if (ours && at->second.version > 0) eye->version = at->second.version;
     spdlog::info("instance {}: process {} {}", name, at->second.pid, ours ? "is adopted" : "has ended");
   }
-  lease_owner_->owns(loop_.now(), name, one);
+  lease_owner_->add_instance(loop_.now(), name, one);
 }
 
 std::vector<std::string> ProcessSupervisor::change(const AgentConfig& next) {
@@ -102,7 +103,7 @@
     // Where it is reached is what makes it this instance: another place is another one.
     const bool same = at != next.instances.end() && at->second.admin.text == owned.admin.text;
     if (same) continue;
-    if (lease_owner_ && !lease_owner_->disown(loop_.now(), name)) {
+    if (lease_owner_ && !lease_owner_->remove_instance(loop_.now(), name)) {
       config_.instances[name] = owned;
       told.push_back("instance " + name + " stays as it was: it is claimed");
       continue;
@@ -122,9 +123,9 @@
 
 // ---- What operators ask
 
-fleet::Claims::Answer ProcessSupervisor::ask(const fleet::ClaimAsk& ask) {
-  if (lease_owner_) return lease_owner_->ask(loop_.now(), ask);
-  fleet::Claims::Answer answer;
+fleet::LeaseTable::Answer ProcessSupervisor::ask(const fleet::LeaseRequest& ask) {
+  if (lease_owner_) return lease_owner_->acquire(loop_.now(), ask);
+  fleet::LeaseTable::Answer answer;
   answer.fault = trouble_;
   return answer;
 }
@@ -156,17 +157,17 @@
     one.pid = eye.pid, one.done = eye.done, one.answered = eye.answered;
     one.open = eye.open, one.life = eye.life;
     if (!lease_owner_) {
-      one.condition = !eye.answers             ? fleet::Condition::unseen
-                      : eye.rest == "drained"  ? fleet::Condition::drained
-                      : eye.rest == "draining" ? fleet::Condition::draining
-                      : eye.phase == "serving" ? fleet::Condition::serving
-                                               : fleet::Condition::starting;
+      one.condition = !eye.answers             ? fleet::InstanceState::unseen
+                      : eye.rest == "drained"  ? fleet::InstanceState::drained
+                      : eye.rest == "draining" ? fleet::InstanceState::draining
+                      : eye.phase == "serving" ? fleet::InstanceState::serving
+                                               : fleet::InstanceState::starting;
       continue;
     }
-    const fleet::Life& life = *lease_owner_->life(name);
-    one.condition = life.condition(), one.version = life.version(), one.falls = life.falls();
-    one.claim = lease_owner_->claims().claim_on(loop_.now(), name);
-    one.under_way = life.under_way(), one.last = life.last();
+    const fleet::InstanceLifecycle& life = *lease_owner_->lifecycle(name);
+    one.condition = life.condition(), one.version = life.version(), one.falls = life.crash_count();
+    one.claim = lease_owner_->leases().lease_on(loop_.now(), name);
+    one.under_way = life.current_step(), one.last = life.last_step();
     if (const auto process = processes_.process_of(name)) one.pid = process->pid;
   }
   return all;
@@ -210,7 +211,7 @@
 void ProcessSupervisor::looked(const std::string& name) {
   if (!lease_owner_) return;
   const Eye& eye = *eyes_.at(name);
-  fleet::Life::Look look;
+  fleet::InstanceLifecycle::Observation look;
   look.ours = processes_.alive(name);
   look.answers = eye.answers;
   // The shell that was started may have become the manager or be its parent: a session of ours holds both.
@@ -220,7 +221,7 @@
   look.serves = eye.phase == "serving";
   look.drains = eye.rest == "draining", look.drained = eye.rest == "drained";
   look.version = eye.version;
-  lease_owner_->looked(loop_.now(), name, look);
+  lease_owner_->observe(loop_.now(), name, look);
 }
 
 void ProcessSupervisor::wake_at(Span when) {
@@ -229,13 +230,13 @@
   loop_.at(when, [this, alive = alive_] {
     if (!*alive) return;
     wake_.reset();
-    lease_owner_->woken(loop_.now());
+    lease_owner_->on_timer(loop_.now());
   });
 }
 
 // ---- Hands
 
-bool ProcessSupervisor::write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
+bool ProcessSupervisor::write(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
                               const std::string& why) {
   if (store_.write(kept)) return true;
   PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.fault(), why);
@@ -262,20 +263,20 @@
                 started ? "started, version " + std::to_string(version) : "can't be started: " + fault);
 }
 
-void ProcessSupervisor::ask_to_end(const std::string& name, Span within) {
+void ProcessSupervisor::request_shutdown(const std::string& name, Span within) {
   admin::v1::Call call;
   call.mutable_end()->set_within_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(within).count()));
   eyes_.at(name)->caller->call(call, answers_within, {});
 }
 
-void ProcessSupervisor::call_off_end(const std::string& name) {
+void ProcessSupervisor::cancel_shutdown(const std::string& name) {
   admin::v1::Call call;
   call.mutable_end()->set_called_off(true);
   eyes_.at(name)->caller->call(call, answers_within, {});
 }
 
 // Under the operation's name, and with a generation over all that the manager knows.
-void ProcessSupervisor::order_drain(const std::string& name, bool drains, const fleet::Step& step) {
+void ProcessSupervisor::set_drain(const std::string& name, bool drains, const fleet::Step& step) {
   admin::v1::Call known;
   known.mutable_orders();
   eyes_.at(name)->caller->call(
@@ -306,11 +307,11 @@
 void ProcessSupervisor::step_ended(const std::string& name, const fleet::Step& step, fleet::StepEnd end,
                                    const std::string& word) {
   spdlog::info("instance {}: step of {} under fence {}: {}, {}", name, step.operation, step.fence,
-               word_for(end), word);
+               name_of(end), word);
 }
 
-void ProcessSupervisor::claim_over(const std::string& name, const fleet::Claim& claim,
-                                   fleet::Claims::Ended why) {
+void ProcessSupervisor::lease_ended(const std::string& name, const fleet::Lease& claim,
+                                    fleet::LeaseTable::EndReason why) {
   constexpr std::string_view words[] = {"has run out", "is given back", "is taken over"};
   spdlog::info("instance {}: the claim of {} for {} {}", name, claim.who, claim.operation,
                words[static_cast<int>(why)]);
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -25,7 +25,7 @@
   // words.
   std::vector<std::string> change(const AgentConfig& next);
   // What operators ask; `fault` says why not.
-  fleet::Claims::Answer ask(const fleet::ClaimAsk& ask);
+  fleet::LeaseTable::Answer ask(const fleet::LeaseRequest& ask);
   bool renew(const std::string& operation, const std::vector<std::string>& instances, Span lease);
   store::Store& store() { return store_; }
   void release(const std::string& operation);
@@ -33,14 +33,14 @@
 
   struct Seen {
     std::string instance, zone;
-    fleet::Condition condition = fleet::Condition::unseen;
+    fleet::InstanceState condition = fleet::InstanceState::unseen;
     int version = 0, falls = 0;
     std::int64_t pid = 0;
     std::uint64_t done = 0, answered = 0;  // jobs, since its process started
     std::uint64_t open = 0, life = 0;      // jobs now; which process it is, by when it says that it started
-    std::optional<fleet::Claim> claim;     // `until` as on this agent's clock
+    std::optional<fleet::Lease> claim;     // `until` as on this agent's clock
     std::optional<fleet::Step> under_way;
-    std::optional<fleet::Life::Past> last;
+    std::optional<fleet::InstanceLifecycle::CompletedStep> last;
   };
   std::vector<Seen> seen() const;
   const std::string& trouble() const { return trouble_; }  // empty: it takes orders
@@ -52,18 +52,20 @@
   bool adopt(const std::string& instance, const store::Process& process);
   struct Eye;
   void own(const std::string& name, const Owned& owned,
-           const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
+           const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
            const std::map<std::string, store::Process>& processes);
-  bool write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept, const std::string& why) override;
+  bool write(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
+             const std::string& why) override;
   void start(const std::string& instance, int version) override;
-  void ask_to_end(const std::string& instance, Span within) override;
-  void call_off_end(const std::string& instance) override;
-  void order_drain(const std::string& instance, bool drains, const fleet::Step& step) override;
+  void request_shutdown(const std::string& instance, Span within) override;
+  void cancel_shutdown(const std::string& instance) override;
+  void set_drain(const std::string& instance, bool drains, const fleet::Step& step) override;
   void terminate(const std::string& instance) override;
   void kill(const std::string& instance) override;
   void step_ended(const std::string& instance, const fleet::Step& step, fleet::StepEnd end,
                   const std::string& word) override;
-  void claim_over(const std::string& instance, const fleet::Claim& claim, fleet::Claims::Ended why) override;
+  void lease_ended(const std::string& instance, const fleet::Lease& claim,
+                   fleet::LeaseTable::EndReason why) override;
   void wake_at(Span when) override;
   void look();
   void looked(const std::string& instance);
--- a/src/ctl/agents.cpp
+++ b/src/ctl/agents.cpp
@@ -12,19 +12,19 @@
 #include "agent/grpc_credentials.h"
 #include "agent/rpc_deadline.h"
 #include "agent/wire.h"
-#include "fleet/caution.h"
+#include "fleet/command_outcome.h"
 
 namespace pearchute::ctl {
 
 using agent::v1::Agent;
-using fleet::Done;
+using fleet::CommandOutcome;
 using json = nlohmann::ordered_json;
 using std::chrono::milliseconds;
 
 struct AgentCommands::Seen {
   std::string agent, trouble;
-  Done end = Done::unreachable;
-  bool answered() const { return end == Done::yes; }
+  CommandOutcome end = CommandOutcome::unreachable;
+  bool answered() const { return end == CommandOutcome::yes; }
   agent::v1::Shown shown;
 };
 
@@ -36,11 +36,11 @@
 
 std::string in_seconds(std::uint64_t ms) { return std::to_string(ms / 1000) + "s"; }
 
-Done done_of(const grpc::Status& status) {
-  if (status.ok()) return Done::yes;
+CommandOutcome done_of(const grpc::Status& status) {
+  if (status.ok()) return CommandOutcome::yes;
   const bool said_no = status.error_code() == grpc::StatusCode::PERMISSION_DENIED ||
                        status.error_code() == grpc::StatusCode::INVALID_ARGUMENT;
-  return said_no ? Done::refused : Done::unreachable;
+  return said_no ? CommandOutcome::refused : CommandOutcome::unreachable;
 }
 
 std::string fresh_id() {
@@ -60,7 +60,7 @@
   return text;
 }
 
-fleet::Status status_of(const std::string& state) {
+fleet::ExitStatus status_of(const std::string& state) {
   if (state == "done") return fleet::all_done;
   return is_over(state) ? fleet::partly_done : fleet::time_was_up;
 }
@@ -96,7 +96,7 @@
 }
 
 int AgentCommands::agents() {
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   Rows rows;
   for (const Seen& seen : look()) {
     each.push_back(seen.end);
@@ -126,11 +126,11 @@
   }
   output_.rows(rows, {"agent", "instance", "zone", "condition", "version", "pid", "falls", "claimed_by",
                       "step", "last_step", "hears", "trouble"});
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 int AgentCommands::claims() {
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   Rows rows;
   for (const Seen& seen : look()) {
     each.push_back(seen.end);
@@ -148,7 +148,7 @@
     }
   }
   output_.rows(rows, {"instance", "agent", "operation", "held_by", "fence", "since", "left"});
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 int AgentCommands::rollout(fleet::RolloutPlan plan, const std::string& coordinator, bool start, bool follow) {
@@ -173,12 +173,12 @@
       row["agent"] = at->second.first, row["zone"] = at->second.second.zone();
       row["condition"] = at->second.second.condition(), row["version"] = at->second.second.version();
       if (at->second.second.has_claim()) row["claimed_by"] = at->second.second.claim().who();
-      row["result"] = start ? "asked for" : "would be stepped: " + std::string(agent::word_for(plan.kind));
+      row["result"] = start ? "asked for" : "would be stepped: " + std::string(agent::name_of(plan.kind));
     }
     rows.push_back(std::move(row));
   }
   output_.rows(rows, {"instance", "agent", "zone", "condition", "version", "claimed_by", "result"});
-  for (const auto& [zone, least] : plan.least_serving) {
+  for (const auto& [zone, least] : plan.min_serving) {
     if (serving[zone] <= least)
       output_.line("zone " + zone + ": " + std::to_string(serving[zone]) + " serve, and " +
                    std::to_string(least) + " are to stay: nothing there can be stepped now");
@@ -196,7 +196,7 @@
   agent::v1::Said said;
   const grpc::Status status = stub_to(*place)->StartRollout(&context, agent::to_wire(plan), &said);
   if (!status.ok()) {
-    const bool refused = done_of(status) == Done::refused;
+    const bool refused = done_of(status) == CommandOutcome::refused;
     std::cerr << place->name << ": " << status.error_message()
               << (refused ? "" : "; whether it was started tells: pearchutectl rollout status " + plan.id)
               << std::endl;
@@ -230,10 +230,10 @@
 }
 
 int AgentCommands::rollouts(bool past) {
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   Rows rows;
   for (const Told& told : ask_rollouts("")) {
-    each.push_back(told.answered ? Done::yes : Done::unreachable);
+    each.push_back(told.answered ? CommandOutcome::yes : CommandOutcome::unreachable);
     for (const auto& one : told.list.rollouts()) {
       if (!past && is_over(one.state())) continue;
       rows.push_back({{"rollout", one.plan().id()},
@@ -246,7 +246,7 @@
     }
   }
   output_.rows(rows, {"rollout", "coordinator", "by", "kind", "state", "stages", "word"});
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 int AgentCommands::status(const std::string& id, bool follow) {
@@ -294,7 +294,8 @@
     if (status.ok() && said.fault().empty()) return this->status(id, false), fleet::all_done;
     std::cerr << told.place->name << ": " << (status.ok() ? said.fault() : status.error_message())
               << std::endl;
-    return status.ok() || done_of(status) == Done::refused ? fleet::was_refused : fleet::some_unreachable;
+    return status.ok() || done_of(status) == CommandOutcome::refused ? fleet::was_refused
+                                                                     : fleet::some_unreachable;
   }
   std::cerr << "no agent that answers knows rollout " << id << std::endl;
   return fleet::some_unreachable;
--- a/src/ctl/batch_executor.cpp
+++ b/src/ctl/batch_executor.cpp
@@ -8,7 +8,7 @@
 using admin::Caller;
 
 std::string CallResult::trouble() const {
-  if (!answered()) return std::string(word_for(end));
+  if (!answered()) return std::string(name_of(end));
   switch (reply.outcome()) {
     case admin::v1::ok:
       return "";
--- a/src/ctl/changes.cpp
+++ b/src/ctl/changes.cpp
@@ -13,7 +13,7 @@
 
 using admin::CallEnd;
 using admin::v1::Call;
-using fleet::Done;
+using fleet::CommandOutcome;
 using json = nlohmann::ordered_json;
 using std::chrono::milliseconds;
 
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-bool Commands::confirmed(const std::vector<fleet::Loss>& losses, const std::string& what,
+bool Commands::confirmed(const std::vector<fleet::ZoneDisruption>& losses, const std::string& what,
                          const ChangeOptions& options) {
   if (losses.empty() || options.yes) return true;
-  for (const fleet::Loss& loss : losses) {
+  for (const fleet::ZoneDisruption& loss : losses) {
     std::cerr << what << ": " << loss.stopping << " of the " << loss.serving << " that serve in zone "
               << (loss.zone.empty() ? "(none)" : loss.zone) << " would stop" << std::endl;
   }
@@ -46,11 +46,11 @@
 }
 
 // Counted over the whole file: what is not chosen goes on serving.
-std::vector<fleet::Loss> Commands::losses_of_managers() {
+std::vector<fleet::ZoneDisruption> Commands::losses_of_managers() {
   BatchExecutor::Instances all;
   for (const Instance& one : fleet_.instances) all.push_back(&one);
   const std::vector<CallResult> heard = executor_.ask(all, identity_request());
-  std::vector<fleet::Serving> serving;
+  std::vector<fleet::InstanceAvailability> serving;
   std::vector<std::string> stopped;
   for (std::size_t i = 0; i < all.size(); ++i) {
     const admin::v1::Identity& identity = heard[i].reply.identity();
@@ -58,7 +58,7 @@
                        heard[i].ok() && identity.phase() == "serving" && identity.rest() == "serving"});
   }
   for (const Instance* one : chosen_) stopped.push_back(one->facts.name);
-  return fleet::losses(serving, stopped);
+  return fleet::zone_disruptions(serving, stopped);
 }
 
 Commands::OrderResults Commands::give(const std::string& subject, bool drains, const ChangeOptions& options) {
@@ -112,9 +112,10 @@
     if (!holders.empty()) row["also_held_by"] = holders;
     if (heard[i].ok() && !ordered.listed())
       row["note"] = "not in this manager's list; the order waits for it";
-    Done done = outcome_of(heard[i]);
+    CommandOutcome done = outcome_of(heard[i]);
     // A restore that was taken, and others still hold it.
-    if (done == Done::yes && !drains && ordered.in_force_size() > 0) done = Done::conflict;
+    if (done == CommandOutcome::yes && !drains && ordered.in_force_size() > 0)
+      done = CommandOutcome::conflict;
     told.each.push_back(done);
     told.rows.push_back(std::move(row));
   }
@@ -124,7 +125,7 @@
 int Commands::drain(const ChangeOptions& options) {
   if (!options.dry_run && !confirmed(losses_of_managers(), "drain", options)) return fleet::not_confirmed;
   if (options.dry_run) {
-    for (const fleet::Loss& loss : losses_of_managers())
+    for (const fleet::ZoneDisruption& loss : losses_of_managers())
       output_.line("zone " + loss.zone + ": " + std::to_string(loss.stopping) + " of " +
                    std::to_string(loss.serving) + " would stop serving");
   }
@@ -133,7 +134,7 @@
   const auto until = std::chrono::steady_clock::now() + options.within;
   std::vector<std::size_t> open;
   for (std::size_t i = 0; i < told.each.size() && !options.dry_run; ++i) {
-    if (told.each[i] == Done::yes) open.push_back(i);
+    if (told.each[i] == CommandOutcome::yes) open.push_back(i);
   }
   while (!open.empty() && !interrupted()) {
     BatchExecutor::Instances instances;
@@ -148,7 +149,7 @@
       if (heard[at].ok() && status.identity().rest() == "drained") continue;
       if (!up) left.push_back(open[at]);
       else
-        told.each[open[at]] = heard[at].ok() ? Done::time_up : Done::unreachable,
+        told.each[open[at]] = heard[at].ok() ? CommandOutcome::time_up : CommandOutcome::unreachable,
         row["result"] = heard[at].ok() ? "drains, but not within the time" : heard[at].trouble();
     }
     open = left;
@@ -158,7 +159,7 @@
   }
   output_.progress_over();
   output_.rows(told.rows, {"instance", "zone", "result", "state", "jobs", "also_held_by"});
-  return fleet::status_of_change(told.each);
+  return fleet::exit_status_of_change(told.each);
 }
 
 int Commands::resume(const ChangeOptions& options) {
@@ -170,30 +171,30 @@
   }
   const OrderResults told = give("", false, options);
   output_.rows(told.rows, {"instance", "zone", "result", "state", "also_held_by"});
-  return fleet::status_of_change(told.each);
+  return fleet::exit_status_of_change(told.each);
 }
 
 int Commands::engine_orders(const std::vector<std::string>& engines, bool drains,
                             const ChangeOptions& options) {
   if (drains) {
     // What each zone has, by the managers' own lists.
-    std::map<std::string, fleet::Serving> seen;
+    std::map<std::string, fleet::InstanceAvailability> seen;
     for (const BatchExecutor::Pages& pages : executor_.ask_pages(chosen_, engines_request)) {
       for (const CallResult& page : pages) {
         for (const admin::v1::Engine& engine : page.reply.engines().engines()) {
-          fleet::Serving& one = seen[engine.name()];
+          fleet::InstanceAvailability& one = seen[engine.name()];
           one.name = engine.name(), one.zone = engine.zone();
           one.serves = one.serves || engine.state() == "up";
         }
       }
     }
-    std::vector<fleet::Serving> serving;
+    std::vector<fleet::InstanceAvailability> serving;
     std::vector<std::string> stopped;
     for (const auto& [name, one] : seen) serving.push_back(one);
     for (const std::string& name : engines) stopped.push_back(name);
-    const auto losses = fleet::losses(serving, stopped);
+    const auto losses = fleet::zone_disruptions(serving, stopped);
     if (options.dry_run) {
-      for (const fleet::Loss& loss : losses)
+      for (const fleet::ZoneDisruption& loss : losses)
         output_.line("zone " + loss.zone + ": " + std::to_string(loss.stopping) + " of " +
                      std::to_string(loss.serving) + " engines would stop serving");
     } else if (!confirmed(losses, "engine drain", options)) {
@@ -207,7 +208,7 @@
     all.each.insert(all.each.end(), told.each.begin(), told.each.end());
   }
   output_.rows(all.rows, {"instance", "zone", "subject", "result", "state", "also_held_by", "note"});
-  return fleet::status_of_change(all.each);
+  return fleet::exit_status_of_change(all.each);
 }
 
 }  // namespace pearchute::ctl
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -9,7 +9,7 @@
 #include "ctl/batch_executor.h"
 #include "ctl/fleet_file.h"
 #include "ctl/output.h"
-#include "fleet/caution.h"
+#include "fleet/command_outcome.h"
 
 namespace pearchute::ctl {
 
@@ -44,16 +44,16 @@
  private:
   struct OrderResults {
     Rows rows;
-    std::vector<fleet::Done> each;
+    std::vector<fleet::CommandOutcome> each;
   };
   int question(const std::vector<BatchExecutor::Pages>& answers, const std::vector<std::string>& columns,
                const std::function<void(const Instance&, const admin::v1::Reply&, Rows&)>& rows_of);
-  Rows status_rows(std::vector<fleet::Done>& each);
+  Rows status_rows(std::vector<fleet::CommandOutcome>& each);
   // One order of `subject` to each chosen instance, with a generation over all that they know of.
   OrderResults give(const std::string& subject, bool drains, const ChangeOptions& options);
-  bool confirmed(const std::vector<fleet::Loss>& losses, const std::string& what,
+  bool confirmed(const std::vector<fleet::ZoneDisruption>& losses, const std::string& what,
                  const ChangeOptions& options);
-  std::vector<fleet::Loss> losses_of_managers();
+  std::vector<fleet::ZoneDisruption> losses_of_managers();
 
   const Fleet& fleet_;
   const std::vector<const Instance*> chosen_;
--- a/src/ctl/keys.cpp
+++ b/src/ctl/keys.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "fleet/caution.h"
+#include "fleet/command_outcome.h"
 #include "keys/authority.h"
 
 namespace pearchute::ctl {
@@ -26,7 +26,7 @@
     const bool gone = std::ranges::find(revoked, one.serial) != revoked.end();
     const char* state = gone ? "revoked" : now > one.until ? "expired" : now < one.from ? "not yet" : "holds";
     rows.push_back({{"name", one.name},
-                    {"role", one.role ? std::string(fleet::word_for(*one.role)) : "none"},
+                    {"role", one.role ? std::string(fleet::name_of(*one.role)) : "none"},
                     {"until", day_of(one.until)},
                     {"state", state},
                     {"serial", one.serial}});
@@ -45,7 +45,8 @@
 
 int keys_issue(const KeyAsk& ask, Output& output) {
   keys::Authority authority(ask.folder);
-  tell({authority.issue(ask.name, fleet::role_in(ask.role), std::chrono::hours(24 * ask.days))}, {}, output);
+  tell({authority.issue(ask.name, fleet::parse_role(ask.role), std::chrono::hours(24 * ask.days))}, {},
+       output);
   return fleet::all_done;
 }
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -123,7 +123,8 @@
         ->check(CLI::IsMember({"serve_again", "finish"}));
     command->add_option("--version-to", plan.version, "of the command, for a change");
     command->add_option("--version-from", plan.version_before, "to which a rollback goes");
-    command->add_option("--at-once", plan.at_once, "so many under way at a time")->check(CLI::Range(1, 5000));
+    command->add_option("--at-once", plan.max_concurrent, "so many under way at a time")
+        ->check(CLI::Range(1, 5000));
     command->add_option("--batch", batch, "so many between two gates; 0: no gate")
         ->check(CLI::Range(0, 5000));
     command->add_option("--gate", gate, "how long service is looked at")
@@ -234,14 +235,14 @@
                                    : fleet::StepKind::restart;
     plan.fallback = fallback == "finish" ? fleet::Fallback::finish : fleet::Fallback::serve_again;
     plan.batch = batch, plan.warm = std::chrono::seconds(warm), plan.gate = std::chrono::seconds(gate);
-    plan.lease = std::chrono::seconds(roll_lease);
+    plan.lease_duration = std::chrono::seconds(roll_lease);
     plan.drain_within = std::chrono::seconds(within), plan.up_within = std::chrono::seconds(up_within);
     if (plan.kind == fleet::StepKind::change && (plan.version < 1 || plan.version_before < 1))
       throw UsageError("a change needs --version-to and --version-from");
     for (const std::string& one : least) {
       const std::size_t equal = one.find('=');
       if (equal == std::string::npos) throw UsageError("--least is ZONE=N, not " + one);
-      plan.least_serving[one.substr(0, equal)] =
+      plan.min_serving[one.substr(0, equal)] =
           static_cast<int>(ini::whole("--least", one.substr(equal + 1), 0, 5000));
     }
     return of_agents.rollout(plan, coordinator, roll_start->parsed(), follow);
--- a/src/ctl/queries.cpp
+++ b/src/ctl/queries.cpp
@@ -14,7 +14,7 @@
 namespace pearchute::ctl {
 
 using admin::v1::Call;
-using fleet::Done;
+using fleet::CommandOutcome;
 using json = nlohmann::ordered_json;
 using std::chrono::milliseconds;
 
@@ -26,7 +26,7 @@
   watch_for_interrupt();
 }
 
-Rows Commands::status_rows(std::vector<Done>& each) {
+Rows Commands::status_rows(std::vector<CommandOutcome>& each) {
   const std::vector<CallResult> heard = executor_.ask(chosen_, status_request());
   Rows rows;
   for (std::size_t i = 0; i < heard.size(); ++i) {
@@ -64,18 +64,18 @@
 }
 
 int Commands::status() {
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   const Rows rows = status_rows(each);
   output_.rows(rows,
                {"instance", "zone", "state", "up", "jobs", "held", "engines", "orders", "build", "trouble"});
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 // Rows of what each tells; where one did not answer, a row with the trouble behind its name.
 int Commands::question(const std::vector<BatchExecutor::Pages>& answers,
                        const std::vector<std::string>& columns,
                        const std::function<void(const Instance&, const admin::v1::Reply&, Rows&)>& rows_of) {
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   Rows rows;
   for (std::size_t i = 0; i < answers.size(); ++i) {
     for (const CallResult& heard : answers[i]) {
@@ -88,7 +88,7 @@
     rows.push_back(std::move(row));
   }
   output_.rows(rows, columns);
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 int Commands::engines() {
@@ -152,9 +152,9 @@
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> before;  // jobs taken, when
   for (int round = 0; !interrupted() && (rounds == 0 || round < rounds); ++round) {
     if (round > 0) std::this_thread::sleep_for(every);
-    std::vector<Done> each;
+    std::vector<CommandOutcome> each;
     Rows rows = status_rows(each);
-    status = fleet::status_of_question(each);
+    status = fleet::exit_status_of_query(each);
     const std::uint64_t now = unix_milliseconds();
     for (json& row : rows) {
       if (!row.contains("counters") || !row["counters"].is_object()) continue;
@@ -177,7 +177,7 @@
 }
 
 int Commands::watch(milliseconds time) {
-  std::vector<Done> each(chosen_.size(), Done::yes);
+  std::vector<CommandOutcome> each(chosen_.size(), CommandOutcome::yes);
   std::mutex mutex;
   executor_.watch(
       chosen_, time,
@@ -198,17 +198,17 @@
       [&](const Instance& instance, const std::string& why) {
         const std::lock_guard lock(mutex);
         for (std::size_t i = 0; i < chosen_.size(); ++i) {
-          if (chosen_[i] == &instance) each[i] = Done::unreachable;
+          if (chosen_[i] == &instance) each[i] = CommandOutcome::unreachable;
         }
         std::cerr << instance.facts.name << ": the watch has ended: " << why << std::endl;
       },
       [] { return interrupted(); });
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 int Commands::engine_list() {
   const std::vector<BatchExecutor::Pages> heard = executor_.ask_pages(chosen_, engines_request);
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   struct Seen {
     std::string zone, address;
     std::map<std::string, int> states;
@@ -240,18 +240,18 @@
                     {"held_by", holders}});
   }
   for (std::size_t i = 0; i < heard.size(); ++i) {
-    if (each[i] != Done::yes)
+    if (each[i] != CommandOutcome::yes)
       std::cerr << chosen_[i]->facts.name << ": " << heard[i].back().trouble() << std::endl;
   }
   output_.rows(rows, {"engine", "zone", "address", "states", "held_by"});
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 int Commands::log_level(const std::string& level) {
   Call call;
   call.mutable_log_level()->set_level(level);
   const std::vector<CallResult> heard = executor_.ask(chosen_, call);
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   Rows rows;
   for (std::size_t i = 0; i < heard.size(); ++i) {
     each.push_back(outcome_of(heard[i]));
@@ -260,12 +260,12 @@
     rows.push_back(std::move(row));
   }
   output_.rows(rows, {"instance", "result"});
-  return fleet::status_of_change(each);
+  return fleet::exit_status_of_change(each);
 }
 
 int Commands::check() {
   const std::vector<CallResult> heard = executor_.ask(chosen_, identity_request());
-  std::vector<Done> each;
+  std::vector<CommandOutcome> each;
   Rows rows;
   for (std::size_t i = 0; i < heard.size(); ++i) {
     each.push_back(outcome_of(heard[i]));
@@ -276,12 +276,12 @@
     const std::string& name = heard[i].reply.identity().name();
     if (heard[i].ok() && name != chosen_[i]->facts.name) {
       row["result"] = "calls itself " + name;
-      each.back() = Done::refused;
+      each.back() = CommandOutcome::refused;
     }
     rows.push_back(std::move(row));
   }
   output_.rows(rows, {"instance", "zone", "admin", "result"});
-  return fleet::status_of_question(each);
+  return fleet::exit_status_of_query(each);
 }
 
 }  // namespace pearchute::ctl
--- a/src/ctl/requests.cpp
+++ b/src/ctl/requests.cpp
@@ -3,7 +3,7 @@
 namespace pearchute::ctl {
 
 using admin::v1::Call;
-using fleet::Done;
+using fleet::CommandOutcome;
 
 Call identity_request() {
   Call call;
@@ -35,11 +35,11 @@
   return call;
 }
 
-Done outcome_of(const CallResult& result) {
-  if (result.ok()) return Done::yes;
-  if (!result.answered()) return Done::unreachable;
+CommandOutcome outcome_of(const CallResult& result) {
+  if (result.ok()) return CommandOutcome::yes;
+  if (!result.answered()) return CommandOutcome::unreachable;
   const std::string& verdict = result.reply.ordered().verdict();
-  return verdict == "conflict" || verdict == "stale" ? Done::conflict : Done::refused;
+  return verdict == "conflict" || verdict == "stale" ? CommandOutcome::conflict : CommandOutcome::refused;
 }
 
 }  // namespace pearchute::ctl
--- a/src/ctl/requests.h
+++ b/src/ctl/requests.h
@@ -4,7 +4,7 @@
 
 #include "admin.pb.h"
 #include "ctl/batch_executor.h"
-#include "fleet/caution.h"
+#include "fleet/command_outcome.h"
 
 namespace pearchute::ctl {
 
@@ -15,6 +15,6 @@
 admin::v1::Call orders_request(const BatchExecutor::Pages& before);
 
 // The outcome of one instance's call, as the exit status counts it.
-fleet::Done outcome_of(const CallResult& result);
+fleet::CommandOutcome outcome_of(const CallResult& result);
 
 }  // namespace pearchute::ctl
--- a/src/ctl/restarts.cpp
+++ b/src/ctl/restarts.cpp
@@ -17,7 +17,7 @@
 
 using admin::CallEnd;
 using admin::v1::Call;
-using fleet::Done;
+using fleet::CommandOutcome;
 using json = nlohmann::ordered_json;
 using std::chrono::milliseconds;
 
@@ -64,23 +64,23 @@
 struct OneRestart final : fleet::Restart::Host {
   OneRestart(const Instance& which, const fleet::Restart::Limits& limits)
       : instance(which), steps(*this, limits) {}
-  void ask_to_end(Span within) override { end_within = within; }
+  void request_shutdown(fleet::Duration within) override { end_within = within; }
   void start_program() override { start = true; }
-  void ask_orders() override { orders = true; }
-  void give_orders(const std::set<std::string>& ids) override { give = ids; }
-  using Span = fleet::Restart::Span;
+  void request_directives() override { orders = true; }
+  void reissue_directives(const std::set<std::string>& ids) override { give = ids; }
 
   const Instance& instance;
-  std::optional<Span> end_within;
+  std::optional<fleet::Duration> end_within;
   bool start = false, orders = false;
   std::set<std::string> give;
   std::map<std::string, admin::v1::Order> kept;  // the open orders of before
   fleet::Restart steps;
 };
 
-fleet::Restart::Seen seen_by(const CallResult& heard) {
-  if (heard.answered()) return fleet::Restart::Seen::answered;
-  return heard.end == CallEnd::unreachable ? fleet::Restart::Seen::gone : fleet::Restart::Seen::silent;
+fleet::Restart::ProbeResult seen_by(const CallResult& heard) {
+  if (heard.answered()) return fleet::Restart::ProbeResult::answered;
+  return heard.end == CallEnd::unreachable ? fleet::Restart::ProbeResult::gone
+                                           : fleet::Restart::ProbeResult::silent;
 }
 
 fleet::Restart::Identity identity_in(const admin::v1::Identity& told) {
@@ -112,7 +112,7 @@
         static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(*one.end_within).count()));
     one.end_within.reset();
     const CallResult heard = executor.ask_one(one.instance, call);
-    return one.steps.end_answered(steady(), seen_by(heard), heard.ok());
+    return one.steps.on_shutdown_response(steady(), seen_by(heard), heard.ok());
   }
   if (std::exchange(one.start, false)) start_again(one.instance);
   if (!one.give.empty()) {
@@ -125,11 +125,11 @@
   }
   if (std::exchange(one.orders, false)) {
     const auto orders = orders_at(executor, one.instance);
-    return one.steps.orders_told(steady(), orders ? std::optional(ids_of(*orders)) : std::nullopt);
+    return one.steps.on_directives(steady(), orders ? std::optional(ids_of(*orders)) : std::nullopt);
   }
   const CallResult heard = executor.ask_one(one.instance, identity_request());
-  one.steps.seen(steady(), seen_by(heard),
-                 heard.ok() ? std::optional(identity_in(heard.reply.identity())) : std::nullopt);
+  one.steps.on_probe(steady(), seen_by(heard),
+                     heard.ok() ? std::optional(identity_in(heard.reply.identity())) : std::nullopt);
 }
 
 }  // namespace
@@ -139,7 +139,7 @@
   if (options.at_once > 1 && !options.dry_run && !confirmed(losses_of_managers(), "restart", options))
     return fleet::not_confirmed;
   std::vector<json> rows;
-  std::vector<Done> each(chosen_.size(), Done::not_begun);
+  std::vector<CommandOutcome> each(chosen_.size(), CommandOutcome::not_begun);
   for (const Instance* instance : chosen_) {
     rows.push_back(instance_row(*instance));
     rows.back()["result"] = options.dry_run ? "would be restarted" : "not begun";
@@ -156,7 +156,7 @@
       const CallResult known = executor_.ask_one(instance, identity_request());
       const auto orders = orders_at(executor_, instance);
       if (!known.ok() || !orders) {
-        each[next] = known.ok() ? Done::unreachable : outcome_of(known);
+        each[next] = known.ok() ? CommandOutcome::unreachable : outcome_of(known);
         rows[next]["result"] = known.ok() ? "its orders can't be read" : known.trouble();
         stopped = true;
         ++next;
@@ -174,24 +174,24 @@
       step(*one, executor_);
       if (!one->steps.over()) {
         progress += (progress.empty() ? "" : ", ") + one->instance.facts.name + " " +
-                    std::string(fleet::word_for(one->steps.state()));
+                    std::string(fleet::name_of(one->steps.state()));
         ++it;
         continue;
       }
       each[number] = one->steps.outcome();
-      rows[number]["result"] = one->steps.word();
-      rows[number]["handed_over"] = one->steps.handed_over();
+      rows[number]["result"] = one->steps.detail();
+      rows[number]["handed_over"] = one->steps.reissued_count();
       // One that does not come back stops the rest: the fault may be everyone's.
-      if (one->steps.outcome() != Done::yes) stopped = true;
+      if (one->steps.outcome() != CommandOutcome::yes) stopped = true;
       it = open.erase(it);
     }
     if (!progress.empty()) output_.progress(progress);
     if (!open.empty()) std::this_thread::sleep_for(milliseconds(100));
   }
   output_.progress_over();
-  if (options.dry_run) std::ranges::fill(each, Done::yes);
+  if (options.dry_run) std::ranges::fill(each, CommandOutcome::yes);
   output_.rows(rows, {"instance", "zone", "result", "start"});
-  return fleet::status_of_change(each);
+  return fleet::exit_status_of_change(each);
 }
 
 }  // namespace pearchute::ctl
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-using fleet::Standing;
+using fleet::AdminState;
 using net::Member;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
@@ -32,30 +32,30 @@
   return static_cast<std::uint64_t>(std::max<Span::rep>(span.count() / 1000, 0));
 }
 
-Standing standing_of(EngineState state) {
-  return state == EngineState::up         ? Standing::up
-         : state == EngineState::draining ? Standing::draining
-                                          : Standing::gone;
+AdminState standing_of(EngineState state) {
+  return state == EngineState::up         ? AdminState::up
+         : state == EngineState::draining ? AdminState::draining
+                                          : AdminState::gone;
 }
 
-EngineState state_of(Standing standing) {
-  return standing == Standing::up         ? EngineState::up
-         : standing == Standing::draining ? EngineState::draining
-                                          : EngineState::gone;
+EngineState state_of(AdminState standing) {
+  return standing == AdminState::up         ? EngineState::up
+         : standing == AdminState::draining ? EngineState::draining
+                                            : EngineState::gone;
 }
 
-std::string_view word_for(Trouble trouble) {
+std::string_view name_of(Trouble trouble) {
   constexpr std::string_view words[] = {"", "errors", "unreachable", "unanswered", "silent"};
   return words[static_cast<int>(trouble)];
 }
 
-std::string_view word_for(Waits waits) {
+std::string_view name_of(Waits waits) {
   constexpr std::string_view words[] = {"", "its turn in the order of its key", "its key to rest",
                                         "the ration of further dispatches", "room on an engine"};
   return words[static_cast<int>(waits)];
 }
 
-std::string_view word_for(fleet::Rest::State state) {
+std::string_view name_of(fleet::Quiescence::State state) {
   constexpr std::string_view words[] = {"serving", "draining", "drained"};
   return words[static_cast<int>(state)];
 }
@@ -83,7 +83,7 @@
 class AdminBinding final : public net::Program::Annex,
                            public admin::Desk,
                            public fleet::Drains::Host,
-                           public fleet::Rest::Host {
+                           public fleet::Quiescence::Host {
  public:
   AdminBinding(const admin::Terms& terms, const std::string& file, const net::Program::Parts& parts)
       : parts_(parts),
@@ -91,7 +91,7 @@
         started_unix_(unix_now()),
         orders_file_(terms.orders_file),
         drains_(*this),
-        rest_(*this, terms.notice),
+        quiescence_(*this, terms.notice),
         configuration_(file),
         admin_server_(parts.loop, terms, *this) {
     parts_.front.on_remark([this](std::string_view text) { tell("remark", "", text); });
@@ -110,9 +110,10 @@
       const Member* before = nullptr;
       if (const auto at = members_.find(member.name); at != members_.end()) before = &at->second;
       const EngineState said = member.engine.state;
-      const Standing standing = drains_.channel_said(now, member.name, member.address, standing_of(said));
+      const AdminState standing =
+          drains_.on_discovery_update(now, member.name, member.address, standing_of(said));
       if (!before || before->engine.state != said)
-        tell("engine", member.name, "the channel says " + std::string(fleet::word_for(standing_of(said))));
+        tell("engine", member.name, "the channel says " + std::string(fleet::name_of(standing_of(said))));
       if (said == EngineState::gone) {
         members_.erase(member.name);
       } else {
@@ -125,41 +126,41 @@
     }
     if (news != ListNews::changes) {
       std::erase_if(members_, [&](const auto& one) { return !named.contains(one.first); });
-      drains_.channel_told_all(now, named);
+      drains_.on_discovery_snapshot(now, named);
     }
     parts_.front.list_changed(news, merged);
   }
   void entered(net::Program::Phase phase) override {
     phase_ = phase;
-    tell("phase", "", net::Program::word_for(phase));
+    tell("phase", "", net::Program::name_of(phase));
   }
   void looked(Span now) override {
     configuration_.looked();
-    if (phase_ < net::Program::Phase::leaving) rest_.looked(now, parts_.front.idle());
+    if (phase_ < net::Program::Phase::leaving) quiescence_.update(now, parts_.front.idle());
   }
 
   // ---- What orders do
 
-  void engine_stands(const std::string& engine, Standing standing) override {
+  void engine_state_changed(const std::string& engine, AdminState standing) override {
     const auto at = members_.find(engine);
     if (at == members_.end()) return;
     Member member = at->second;
     member.engine.state = state_of(standing);
-    tell("engine", engine, "by orders it is " + std::string(fleet::word_for(standing)));
+    tell("engine", engine, "by orders it is " + std::string(fleet::name_of(standing)));
     parts_.front.list_changed(ListNews::changes, {member});
   }
   void manager_drains(bool drains) override {
-    rest_.drain_ordered(parts_.loop.now(), drains, parts_.front.idle());
+    quiescence_.set_drain_ordered(parts_.loop.now(), drains, parts_.front.idle());
   }
   void wake_at(Span when) override {
     if (wake_ && *wake_ <= when && *wake_ > parts_.loop.now()) return;
     wake_ = when;
     parts_.loop.at(when, [this] {
       wake_.reset();
-      drains_.woken(parts_.loop.now());
+      drains_.on_timer(parts_.loop.now());
     });
   }
-  void orders_changed() override {
+  void directives_changed() override {
     tell("order", "", std::to_string(drains_.in_force().size()) + " orders are in force");
     if (terms_.orders_file.empty()) return;
     std::string fault;
@@ -171,15 +172,15 @@
                  "): they hold, and would be lost with the manager";
     PEARCHUTE_LOG(spdlog::level::err, "{}", unwritten_);
   }
-  void remark(std::string_view text) override {
+  void log(std::string_view text) override {
     PEARCHUTE_LOG(spdlog::level::info, "{}", text);
     tell("order", "", text);
   }
-  void turn_away(bool away) override { parts_.front.turn_away(away); }
+  void reject_requests(bool away) override { parts_.front.turn_away(away); }
   void end() override { parts_.end(); }
-  void rests(fleet::Rest::State state) override {
-    spdlog::info("the manager is {}", word_for(state));
-    tell("rest", "", word_for(state));
+  void state_changed(fleet::Quiescence::State state) override {
+    spdlog::info("the manager is {}", name_of(state));
+    tell("rest", "", name_of(state));
   }
 
   // ---- Calls
@@ -200,7 +201,7 @@
       case Call::kOrders:
         return tell_orders(call.orders().orders(), *reply.mutable_orders());
       case Call::kEnd:
-        return end_asked(call.end(), reply);
+        return request_shutdown(call.end(), reply);
       case Call::kLogLevel:
         return set_log_level(call.log_level().level(), reply);
       case Call::kWatch:
@@ -220,7 +221,7 @@
                 "): what was drained by an order is not any more; give the orders again";
       spdlog::error("{}", damage_);
     }
-    for (const auto& [order, left] : found.orders) drains_.remembered(parts_.loop.now(), order, left);
+    for (const auto& [order, left] : found.orders) drains_.restore(parts_.loop.now(), order, left);
     if (!found.orders.empty())
       spdlog::info("{} orders from before the start hold", drains_.in_force().size());
   }
@@ -228,8 +229,8 @@
   void identify(admin::v1::Identity& identity) const {
     identity.set_name(parts_.name);
     identity.set_build(PEARCHUTE_VERSION);
-    identity.set_phase(std::string(net::Program::word_for(phase_)));
-    identity.set_rest(std::string(word_for(rest_.state())));
+    identity.set_phase(std::string(net::Program::name_of(phase_)));
+    identity.set_rest(std::string(name_of(quiescence_.state())));
     identity.set_started_unix_ms(static_cast<std::uint64_t>(started_unix_.count()));
     identity.set_pid(static_cast<std::uint64_t>(::getpid()));
     identity.set_digest(parts_.digest);
@@ -242,7 +243,7 @@
     status.set_open_jobs(parts_.front.open_jobs());
     status.set_held_jobs(parts_.front.held_jobs());
     for (const auto& [waits, count] : parts_.front.tell_waits())
-      (*status.mutable_held_by_reason())[std::string(word_for(waits))] = count;
+      (*status.mutable_held_by_reason())[std::string(name_of(waits))] = count;
     std::uint64_t up = 0, draining = 0, left_out = 0;
     const Span now = parts_.loop.now();
     parts_.front.tell_engines([&](const Engine& engine, const auto&, const auto&, Span) {
@@ -252,14 +253,14 @@
     });
     status.set_engines_up(up), status.set_engines_draining(draining), status.set_engines_left_out(left_out);
     status.set_orders(drains_.in_force().size());
-    status.set_ending(rest_.ending() || phase_ >= net::Program::Phase::leaving);
+    status.set_ending(quiescence_.ending() || phase_ >= net::Program::Phase::leaving);
     status.set_trouble(damage_.empty() ? unwritten_ : damage_);
     status.set_memory_kb(memory_kb());
     status.set_descriptors(parts_.loop.descriptors());
     configuration_.tell(status);
   }
 
-  static void fill(admin::v1::Order& to, const fleet::Held& held, Span now) {
+  static void fill(admin::v1::Order& to, const fleet::ActiveDirective& held, Span now) {
     to.set_id(held.order.id), to.set_subject(held.order.subject), to.set_holder(held.order.holder);
     to.set_generation(held.order.generation), to.set_drains(held.order.drains);
     to.set_reason(held.order.reason), to.set_lease_ms(in_ms(held.until - now));
@@ -291,20 +292,20 @@
       };
       to.set_zone(name_at(parts_.deployment.zones, member.engine.zone.value));
       to.set_kind(name_at(parts_.deployment.kinds, member.engine.kind.value));
-      to.set_said(std::string(fleet::word_for(standing_of(member.engine.state))));
-      to.set_state(std::string(fleet::word_for(drains_.standing(member.name))));
+      to.set_said(std::string(fleet::name_of(standing_of(member.engine.state))));
+      to.set_state(std::string(fleet::name_of(drains_.state_of(member.name))));
       to.set_cold(belief.is_cold), to.set_live_mb(engine.live_bytes), to.set_capacity_mb(belief.capacity_mb);
       to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.live_threads, 0)));
       to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.closed_until - now));
       if (now < engine.closed_until || engine.on_trial)
-        to.set_closed_why(std::string(word_for(engine.trouble)));
+        to.set_closed_why(std::string(name_of(engine.trouble)));
       to.set_on_trial(engine.on_trial), to.set_pace(engine.pace.stretch),
           to.set_error_rate(engine.error_rate);
       to.set_connections(static_cast<std::uint32_t>(sockets.connections));
       to.set_dispatches(static_cast<std::uint32_t>(sockets.dispatches));
       to.set_kept_back(static_cast<std::uint32_t>(sockets.kept_back));
       to.set_oldest_ms(in_ms(oldest));
-      for (const fleet::Held& held : drains_.in_force(member.name)) {
+      for (const fleet::ActiveDirective& held : drains_.in_force(member.name)) {
         if (to.orders_size() < 4) fill(*to.add_orders(), held, now);
       }
     });
@@ -328,7 +329,7 @@
                              to.set_age_ms(in_ms(job.age)), to.set_left_ms(job.left.count() / 1000);
                              to.set_dispatches(static_cast<std::uint32_t>(job.dispatches));
                              for (const EngineId engine : job.out) to.add_out(names[engine]);
-                             to.set_waits_for(std::string(word_for(job.waits)));
+                             to.set_waits_for(std::string(name_of(job.waits)));
                              if (room.takes(to)) *jobs.add_jobs() = std::move(to);
                            });
   }
@@ -336,28 +337,29 @@
   void take_order(const admin::v1::Order& from, admin::v1::Reply& reply) {
     const Span now = parts_.loop.now();
     const auto came = std::chrono::steady_clock::now().time_since_epoch();
-    fleet::Order order;
+    fleet::DrainDirective order;
     order.id = from.id(), order.subject = from.subject(), order.holder = from.holder();
-    order.generation = from.generation(), order.drains = from.drains(), order.everyone = from.everyone();
+    order.generation = from.generation(), order.drains = from.drains(), order.all_holders = from.everyone();
     order.reason = from.reason();
-    const std::uint64_t most = in_ms(fleet::Drains::longest_lease) + 1;
+    const std::uint64_t most = in_ms(fleet::Drains::max_lease) + 1;
     order.lease = milliseconds(std::min(from.lease_ms(), most));
-    const fleet::Verdict verdict = drains_.ordered(now, order);
+    const fleet::DirectiveResult verdict = drains_.apply(now, order);
     admin::v1::Ordered& ordered = *reply.mutable_ordered();
-    const bool done = verdict == fleet::Verdict::done || verdict == fleet::Verdict::repeated;
+    const bool done = verdict == fleet::DirectiveResult::done || verdict == fleet::DirectiveResult::repeated;
     if (!done) {
-      reply.set_outcome(verdict == fleet::Verdict::unusable ? admin::v1::unusable : admin::v1::refused);
-      reply.set_fault("the order is " + std::string(fleet::word_for(verdict)));
+      reply.set_outcome(verdict == fleet::DirectiveResult::unusable ? admin::v1::unusable
+                                                                    : admin::v1::refused);
+      reply.set_fault("the order is " + std::string(fleet::name_of(verdict)));
     }
-    ordered.set_verdict(std::string(fleet::word_for(verdict)));
+    ordered.set_verdict(std::string(fleet::name_of(verdict)));
     const bool own = order.subject.empty();
     ordered.set_standing(
-        std::string(own ? word_for(rest_.state()) : fleet::word_for(drains_.standing(order.subject))));
+        std::string(own ? name_of(quiescence_.state()) : fleet::name_of(drains_.state_of(order.subject))));
     ordered.set_listed(own || members_.contains(order.subject));
     ordered.set_came_monotonic_us(
         static_cast<std::uint64_t>(duration_cast<std::chrono::microseconds>(came).count()));
     ordered.set_newest_generation(drains_.newest_generation());
-    for (const fleet::Held& held : drains_.in_force()) {
+    for (const fleet::ActiveDirective& held : drains_.in_force()) {
       if (held.order.subject == order.subject && ordered.in_force_size() < 16)
         fill(*ordered.add_in_force(), held, now);
     }
@@ -365,7 +367,7 @@
 
   void tell_orders(std::size_t skip, admin::v1::Orders& orders) const {
     orders.set_newest_generation(drains_.newest_generation());
-    const std::vector<fleet::Held> all = drains_.in_force();
+    const std::vector<fleet::ActiveDirective> all = drains_.in_force();
     Room room;
     for (std::size_t i = skip; i < all.size(); ++i) {
       admin::v1::Order order;
@@ -375,18 +377,18 @@
     }
   }
 
-  void end_asked(const admin::v1::End& end, admin::v1::Reply& reply) {
+  void request_shutdown(const admin::v1::End& end, admin::v1::Reply& reply) {
     const Span now = parts_.loop.now();
     if (phase_ >= net::Program::Phase::leaving) {
       reply.set_outcome(admin::v1::refused);
       reply.set_fault("the manager is ending already");
     } else if (end.called_off()) {
-      rest_.end_called_off(now, parts_.front.idle());
+      quiescence_.cancel_shutdown(now, parts_.front.idle());
     } else if (end.within_ms() > 24 * 3600 * 1000) {
       reply.set_outcome(admin::v1::unusable);
       reply.set_fault("a day is the longest that an end may wait");
     } else {
-      rest_.end_asked(now, milliseconds(end.within_ms()), parts_.front.idle());
+      quiescence_.request_shutdown(now, milliseconds(end.within_ms()), parts_.front.idle());
     }
     identify(*reply.mutable_identity());
   }
@@ -438,7 +440,7 @@
   std::string damage_, unwritten_;
   admin::OrdersFile orders_file_;
   fleet::Drains drains_;
-  fleet::Rest rest_;
+  fleet::Quiescence quiescence_;
   ConfigurationBinding configuration_;
   admin::AdminServer admin_server_;
 };
--- a/src/daemon/admin_binding.h
+++ b/src/daemon/admin_binding.h
@@ -1,6 +1,6 @@
 // A running manager under its operators: answers the admin channel's calls, merges their orders into the list
 // of engines, and drains the manager. It puts the parts together; what an order does is decided by
-// fleet::Drains, when to turn calls away and end by fleet::Rest, and where jobs go by the module alone.
+// fleet::Drains, when to turn calls away and end by fleet::Quiescence, and where jobs go by the module alone.
 #pragma once
 
 #include "admin/terms.h"
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -97,7 +97,7 @@
 
 }  // namespace
 
-std::string_view Program::word_for(Phase phase) {
+std::string_view Program::name_of(Phase phase) {
   constexpr std::string_view words[] = {"starting", "listing", "serving", "leaving", "finishing", "ended"};
   return words[static_cast<int>(phase)];
 }
@@ -179,7 +179,7 @@
 }
 
 void Program::enter(Phase phase) {
-  spdlog::info("{} -> {}", word_for(phase_), word_for(phase));
+  spdlog::info("{} -> {}", name_of(phase_), name_of(phase));
   phase_ = phase;
   if (annex_) annex_->entered(phase);
   front_->set_ready(phase == Phase::serving || phase == Phase::leaving);
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -47,7 +47,7 @@
   int run();
   // Reads a configuration as a start would, and starts nothing. Throws as the constructor does.
   static void check(const std::string& file);
-  static std::string_view word_for(Phase phase);
+  static std::string_view name_of(Phase phase);
 
  private:
   void enter(Phase phase);
--- a/src/fleet/anti_entropy_scheduler.cpp
+++ b/src/fleet/anti_entropy_scheduler.cpp
@@ -4,59 +4,62 @@
 
 namespace pearchute::fleet {
 
-void AntiEntropyScheduler::charter(const std::set<std::string>& peers) {
-  for (auto& [name, peer] : peers_) peer.known = peers.contains(name);
-  std::erase_if(peers_, [](const auto& one) { return !one.second.known && !one.second.open; });
+void AntiEntropyScheduler::set_peers(const std::set<std::string>& peers) {
+  for (auto& [name, peer] : peers_) peer.is_member = peers.contains(name);
+  std::erase_if(peers_, [](const auto& one) { return !one.second.is_member && !one.second.in_flight; });
   for (const std::string& name : peers) {
     const auto [at, is_new] = peers_.try_emplace(name);
-    if (is_new) at->second.lot = chance_();
+    if (is_new) at->second.tie_breaker = random_();
   }
 }
 
-Span AntiEntropyScheduler::about(Span span) {
-  const Span::rep whole = span.count();
-  return Span(whole * 3 / 4 + static_cast<Span::rep>(chance_() % static_cast<std::uint64_t>(whole / 2 + 1)));
+Duration AntiEntropyScheduler::jittered(Duration span) {
+  const Duration::rep whole = span.count();
+  return Duration(whole * 3 / 4 +
+                  static_cast<Duration::rep>(random_() % static_cast<std::uint64_t>(whole / 2 + 1)));
 }
 
-std::vector<std::string> AntiEntropyScheduler::due(Span now) {
+std::vector<std::string> AntiEntropyScheduler::due(TimePoint now) {
   std::vector<std::map<std::string, Peer>::iterator> ready;
   for (auto at = peers_.begin(); at != peers_.end(); ++at) {
-    if (at->second.known && !at->second.open && at->second.not_before <= now) ready.push_back(at);
+    if (at->second.is_member && !at->second.in_flight && at->second.not_before <= now) ready.push_back(at);
   }
-  std::ranges::sort(ready, {}, [](const auto& at) { return std::pair(at->second.asked, at->second.lot); });
-  if (ready.size() > peers_at_once_) ready.resize(peers_at_once_);
+  std::ranges::sort(ready, {}, [](const auto& at) {
+    return std::pair(at->second.last_queried_at, at->second.tie_breaker);
+  });
+  if (ready.size() > max_concurrent_) ready.resize(max_concurrent_);
   std::vector<std::string> names;
   for (const auto& at : ready) {
-    at->second.open = true, at->second.asked = now, at->second.lot = chance_();
+    at->second.in_flight = true, at->second.last_queried_at = now, at->second.tie_breaker = random_();
     names.push_back(at->first);
   }
   return names;
 }
 
-Span AntiEntropyScheduler::next(Span now) { return now + about(every); }
+TimePoint AntiEntropyScheduler::next(TimePoint now) { return now + jittered(round_interval); }
 
-void AntiEntropyScheduler::answered(Span now, const std::string& name) {
+void AntiEntropyScheduler::answered(TimePoint now, const std::string& name) {
   const auto at = peers_.find(name);
   if (at == peers_.end()) return;
-  at->second.open = false, at->second.misses = 0, at->second.not_before = now;
-  if (!at->second.known) peers_.erase(at);
+  at->second.in_flight = false, at->second.consecutive_failures = 0, at->second.not_before = now;
+  if (!at->second.is_member) peers_.erase(at);
 }
 
-void AntiEntropyScheduler::missed(Span now, const std::string& name) {
+void AntiEntropyScheduler::missed(TimePoint now, const std::string& name) {
   const auto at = peers_.find(name);
   if (at == peers_.end()) return;
   Peer& peer = at->second;
-  peer.open = false;
-  Span pause = every;
-  for (int n = 0; n < peer.misses && pause < longest_pause; ++n) pause *= 2;
-  ++peer.misses;
-  peer.not_before = now + about(std::min(pause, longest_pause));
-  if (!peer.known) peers_.erase(at);
+  peer.in_flight = false;
+  Duration pause = round_interval;
+  for (int n = 0; n < peer.consecutive_failures && pause < max_backoff; ++n) pause *= 2;
+  ++peer.consecutive_failures;
+  peer.not_before = now + jittered(std::min(pause, max_backoff));
+  if (!peer.is_member) peers_.erase(at);
 }
 
-std::size_t AntiEntropyScheduler::open() const {
+std::size_t AntiEntropyScheduler::in_flight() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(peers_, [](const auto& one) { return one.second.open; }));
+      std::ranges::count_if(peers_, [](const auto& one) { return one.second.in_flight; }));
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/budget_leases.h
+++ b/src/fleet/budget_leases.h
@@ -1,4 +1,4 @@
-// Parts of a cold engine's budget, lent by one manager to another: what one agent decides for its own
+// BudgetLeases of a cold engine's budget, lent by one manager to another: what one agent decides for its own
 // managers. Each manager has an even part of what such an engine bears in a window; it may lend eighths of
 // it, under a lease. Give before take, pair by pair: the lender's loan is on disk and its manager has heard
 // that it may send less, and a whole window has passed since, before the borrower may send more. The borrower
@@ -22,126 +22,129 @@
 namespace pearchute::fleet {
 
 // An engine in one cold time: with another start it is another one.
-struct ColdEngine {
+struct WarmingEngine {
   std::string name;
   std::uint64_t start = 0;
-  auto operator<=>(const ColdEngine&) const = default;
+  auto operator<=>(const WarmingEngine&) const = default;
 };
 
-struct LoanAsk {
+struct BudgetLeaseRequest {
   std::string id;  // of this loan, from its first ask to its last renewal
-  ColdEngine engine;
+  WarmingEngine engine;
   std::string borrower;     // the manager
   int eighths = 0;          // that it wants
   int used = 0;             // of what it has by this loan: what it had no use for is not renewed
   std::uint64_t round = 1;  // of this loan's asks; its answer names it, and so when it was asked
-  auto operator<=>(const LoanAsk&) const = default;
+  auto operator<=>(const BudgetLeaseRequest&) const = default;
 };
 // For one ask. None granted: nothing (or nothing more) to lend; what was granted before runs out.
-struct LoanAnswer {
+struct BudgetLeaseResponse {
   std::string id;
   int eighths = 0;
   std::uint64_t round = 1;
 };
 
-class Parts {
+class BudgetLeases {
  public:
-  static constexpr int whole = 8;  // a manager's even part, in eighths: finer ones are less than a short job
+  static constexpr int full_share =
+      8;  // a manager's even part, in eighths: finer ones are less than a short job
   // That a manager never lends: with it, a short job goes in every other window, however long others borrow.
-  static constexpr int kept_back = 2;
+  static constexpr int min_retained_share = 2;
 
-  struct Loan {
-    ColdEngine engine;
+  struct BudgetLease {
+    WarmingEngine engine;
     std::string lender, borrower, to;  // managers, and the borrower's agent
     int eighths = 0;
-    bool operator==(const Loan&) const = default;
+    bool operator==(const BudgetLease&) const = default;
   };
   class Host {
    public:
     virtual ~Host() = default;
     // All loans that stand, by id, on disk when it returns true; false, and nothing new is lent.
-    virtual bool keep(const std::map<std::string, Loan>& loans) = 0;
+    virtual bool persist(const std::map<std::string, BudgetLease>& loans) = 0;
     // To an own manager: so many eighths there until then, and the even part again afterwards. Where it is
     // less than the even part it has to hold until then by the manager's own clock, at least; else at most.
     // An order with a lesser fence than one that it had is not for it to take.
-    virtual void tell(const std::string& manager, const ColdEngine& engine, int eighths, Span until,
-                      std::uint64_t fence) = 0;
-    virtual void ask(const std::string& agent, const LoanAsk& ask) = 0;
-    virtual void answer(const std::string& agent, const LoanAnswer& answer) = 0;
+    virtual void send_share(const std::string& manager, const WarmingEngine& engine, int eighths,
+                            TimePoint until, std::uint64_t fence) = 0;
+    virtual void send_request(const std::string& agent, const BudgetLeaseRequest& send_request) = 0;
+    virtual void send_response(const std::string& agent, const BudgetLeaseResponse& send_response) = 0;
   };
 
   // `window` is the span in which a cold engine's budget counts; `lease` how long a loan lasts.
   // The incarnation is this agent's, kept on disk; orders and loans are numbered within it.
-  Parts(Host& host, std::string self, std::uint64_t incarnation, Span window, Span lease);
+  BudgetLeases(Host& host, std::string self, std::uint64_t incarnation, Duration window, Duration lease);
   // For so long a manager that has just begun has no part by itself, unless it is told: as long as anything
   // may still hold that was told to, or lent by, the life before it.
-  static Span silent_start(Span window, Span lease);
-  Parts(const Parts&) = delete;
-  Parts& operator=(const Parts&) = delete;
+  static Duration startup_quiet_period(Duration window, Duration lease);
+  BudgetLeases(const BudgetLeases&) = delete;
+  BudgetLeases& operator=(const BudgetLeases&) = delete;
 
   // At start, what the disk held: each loan's whole lease is counted once more. Without a disk that can be
   // believed (`lost`), nothing is lent or borrowed until the longest lease and a window are over.
-  void remembered(Span now, const std::map<std::string, Loan>& loans, bool lost);
+  void restore(TimePoint now, const std::map<std::string, BudgetLease>& loans, bool lost);
   // The own managers that take orders, with their even parts in eighths: `whole`, or 0 for one that came
   // after the parts were handed out, and has what others lend.
-  void manages(const std::map<std::string, int>& managers);
-  void began(Span now, const std::string& manager);  // another life of it, which has heard nothing yet
+  void set_managers(const std::map<std::string, int>& managers);
+  void on_manager_restarted(TimePoint now,
+                            const std::string& manager);  // another life of it, which has heard nothing yet
 
   // What a manager could send there, in eighths of an even part, as its traffic asks.
-  void wants(Span now, const std::string& manager, const ColdEngine& engine, int eighths);
+  void set_demand(TimePoint now, const std::string& manager, const WarmingEngine& engine, int eighths);
   // It has heard an order with this fence.
-  void heard(Span now, const std::string& manager, const ColdEngine& engine, std::uint64_t fence);
-  void asked(Span now, const std::string& agent, const LoanAsk& ask);
-  void answered(Span now, const std::string& agent, const LoanAnswer& answer);
+  void on_share_acknowledged(TimePoint now, const std::string& manager, const WarmingEngine& engine,
+                             std::uint64_t fence);
+  void on_request(TimePoint now, const std::string& agent, const BudgetLeaseRequest& send_request);
+  void on_response(TimePoint now, const std::string& agent, const BudgetLeaseResponse& send_response);
   // Whom to ask first: agents whose word is fresh, the idlest first.
-  void woken(Span now, const std::vector<std::string>& lenders);
+  void on_timer(TimePoint now, const std::vector<std::string>& lenders);
 
-  int share(Span now, const std::string& manager, const ColdEngine& engine) const;
-  std::size_t lent() const { return lent_.size(); }
-  std::size_t borrowed() const { return borrowed_.size(); }
+  int share(TimePoint now, const std::string& manager, const WarmingEngine& engine) const;
+  std::size_t lent() const { return granted_leases_.size(); }
+  std::size_t borrowed() const { return borrowed_leases_.size(); }
 
  private:
-  struct Lent {
-    Loan loan;
-    std::optional<Span> stopped;   // when its manager had heard
-    std::optional<Span> granted;   // by the last answer
-    Span told_until{};             // what its manager was told,
-    Span held_until{};             // and has heard
-    std::uint64_t told_fence = 0;  // by which order; 0: it has heard
-    LoanAsk last;
+  struct Granted {
+    BudgetLease loan;
+    std::optional<TimePoint> stopped;  // when its manager had heard
+    std::optional<TimePoint> granted;  // by the last answer
+    TimePoint sent_until{};            // what its manager was told,
+    TimePoint acknowledged_until{};    // and has heard
+    std::uint64_t sent_fence = 0;      // by which order; 0: it has heard
+    BudgetLeaseRequest last;
     bool answers = false;  // an answer is owed
   };
   struct Borrowed {
-    LoanAsk ask;
+    BudgetLeaseRequest send_request;
     std::string from;
-    std::map<std::uint64_t, Span> asked;  // when, by round
-    Span first_asked{};
+    std::map<std::uint64_t, TimePoint> on_request;  // when, by round
+    TimePoint first_requested_at{};
     int eighths = 0;  // granted; 0: not yet
-    Span until{};
+    TimePoint until{};
     bool over = false;  // not wanted any more, or refused
   };
-  using At = std::pair<std::string, ColdEngine>;  // a manager and an engine
-  int lent_by(const At& at) const;
-  int borrowed_by(Span now, const At& at) const;
-  int spare(Span now, const At& at) const;
-  int base(const std::string& manager) const;
-  int needs(const At& at) const;
-  void order(Span now, const At& at);
-  void grant_due(Span now);
-  bool keep();
+  using ShareKey = std::pair<std::string, WarmingEngine>;  // a manager and an engine
+  int lent_from(const ShareKey& at) const;
+  int borrowed_by(TimePoint now, const ShareKey& at) const;
+  int lendable(TimePoint now, const ShareKey& at) const;
+  int own_share_of(const std::string& manager) const;
+  int demand_of(const ShareKey& at) const;
+  void send_order(TimePoint now, const ShareKey& at);
+  void send_due_grants(TimePoint now);
+  bool persist();
 
   Host& host_;
   const std::string self_;
-  const Span window_, lease_;
+  const Duration window_, lease_;
   std::map<std::string, int> managers_;
-  std::map<At, int> wants_;
-  std::map<std::string, Lent> lent_;          // by id
-  std::map<std::string, Borrowed> borrowed_;  // by id
-  std::set<At> ordered_;                      // that have had an order in this life of theirs
+  std::map<ShareKey, int> demand_;
+  std::map<std::string, Granted> granted_leases_;    // by id
+  std::map<std::string, Borrowed> borrowed_leases_;  // by id
+  std::set<ShareKey> ordered_keys_;                  // that have had an order in this life of theirs
   const std::uint64_t incarnation_;
   std::uint64_t last_fence_ = 0, next_ask_ = 1;
-  std::optional<Span> quiet_until_;
-  std::size_t turn_ = 0;
+  std::optional<TimePoint> quiet_until_;
+  std::size_t next_lender_ = 0;
 };
 
 }  // namespace pearchute::fleet
--- a/src/fleet/caution.h
+++ b/src/fleet/command_outcome.h
@@ -9,23 +9,24 @@
 
 namespace pearchute::fleet {
 
-struct Serving {
+struct InstanceAvailability {
   std::string name, zone;
   bool serves = false;  // now, as far as it is known
 };
 
 // Zones of which over half of what serves now would stop, with the figures; empty: go on.
-struct Loss {
+struct ZoneDisruption {
   std::string zone;
   int serving = 0, stopping = 0;
 };
-std::vector<Loss> losses(const std::vector<Serving>& fleet, const std::vector<std::string>& stopped);
+std::vector<ZoneDisruption> zone_disruptions(const std::vector<InstanceAvailability>& fleet,
+                                             const std::vector<std::string>& stopped);
 
 // What became of a command on one instance.
-enum class Done { yes, unreachable, refused, conflict, time_up, not_begun };
+enum class CommandOutcome { yes, unreachable, refused, conflict, time_up, not_begun };
 
 // The exit status of a command: see docs/operating.md.
-enum Status {
+enum ExitStatus {
   all_done = 0,
   usage = 2,
   some_unreachable = 3,
@@ -36,8 +37,8 @@
   not_confirmed = 8,
 };
 // Of a question, whose answers are told as far as they came.
-Status status_of_question(const std::vector<Done>& each);
+ExitStatus exit_status_of_query(const std::vector<CommandOutcome>& each);
 // Of a change: whatever was done on some and not on others is partly done.
-Status status_of_change(const std::vector<Done>& each);
+ExitStatus exit_status_of_change(const std::vector<CommandOutcome>& each);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/config_spread.cpp
+++ b/src/fleet/config_spread.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr int most_failed_pushes = 3;
-constexpr std::size_t longest_why = 200;
+constexpr int max_failed_pushes = 3;
+constexpr std::size_t max_reason_length = 200;
 
 // FNV-1a: the same on every machine and at every start.
 class Hash {
@@ -56,7 +56,7 @@
     for (const AgentAcknowledgement& one : *message.acknowledgements) {
       sum += one.revision < 64 ? 1 : 3;
       for (const ConfigObstacle& obstacle : one.obstacles)
-        sum += obstacle.instance.size() + obstacle.why.size() + 8;
+        sum += obstacle.instance.size() + obstacle.reason.size() + 8;
     }
   }
   for (const SupersededConfig& one : message.superseded)
@@ -64,8 +64,8 @@
   return sum;
 }
 
-ConfigSpread::ConfigSpread(ConfigReplica::Host& host, std::string self, ConfigPlace place, std::uint64_t seed,
-                           ConfigReplica::State on_disk)
+ConfigSpread::ConfigSpread(ConfigReplica::Host& host, std::string self, ConfigLocation place,
+                           std::uint64_t seed, ConfigReplica::State on_disk)
     : replica_(host, self, std::move(on_disk)),
       self_(std::move(self)),
       place_(std::move(place)),
@@ -74,7 +74,7 @@
   set_peers({}, {});
 }
 
-void ConfigSpread::set_peers(Span now, const std::map<std::string, ConfigPlace>& peers) {
+void ConfigSpread::set_peers(TimePoint now, const std::map<std::string, ConfigLocation>& peers) {
   std::erase_if(peers_, [&](const auto& one) {
     if (peers.contains(one.first)) return false;
     open_ -= one.second.open;
@@ -92,18 +92,18 @@
   if (members_ == before) return;
   acknowledgements_.assign(members_.size(), {});
   acknowledgements_hash_ = hash_of(acknowledgements_);
-  std::erase_if(heard_, [&](const std::string& name) { return !peers_.contains(name); });
+  std::erase_if(verified_peers_, [&](const std::string& name) { return !peers_.contains(name); });
   acknowledge(now);
 }
 
-PublishResult ConfigSpread::publish(Span now, const PublishRequest& request) {
+PublishResult ConfigSpread::publish(TimePoint now, const PublishRequest& request) {
   if (!verified()) return PublishResult::unverified;
   const PublishResult result = replica_.publish(request);
   if (result == PublishResult::accepted) version_changed(now, true);
   return result;
 }
 
-void ConfigSpread::set_instances(Span now, const std::vector<InstanceConfig>& instances) {
+void ConfigSpread::set_instances(TimePoint now, const std::vector<InstanceConfig>& instances) {
   instances_ = instances;
   instances_known_ = true;
   acknowledge(now);
@@ -111,7 +111,7 @@
 
 // ---- Exchanges
 
-std::vector<std::string> ConfigSpread::due(Span now) {
+std::vector<std::string> ConfigSpread::due(TimePoint now) {
   std::vector<std::string> begun;
   const auto begin = [&](const std::string& name, Peer& peer) {
     peer.open = true;
@@ -120,22 +120,22 @@
   };
   for (const std::string& name : pushes_) {
     Peer& peer = peers_.at(name);
-    if (!peer.open && open_ < most_open) begin(name, peer);
+    if (!peer.open && open_ < max_open_exchanges) begin(name, peer);
   }
   if (now < next_exchange_ || peers_.empty()) return begun;
-  const Span interval = active(now) || !verified() ? active_interval : rest_interval;
+  const Duration interval = active(now) || !verified() ? active_interval : idle_interval;
   // Three quarters to five quarters of it: agents that start together drift apart.
   const auto quarter = interval.count() / 4;
-  next_exchange_ = now + Span(3 * quarter + static_cast<Span::rep>(random_()) % (2 * quarter));
+  next_exchange_ = now + Duration(3 * quarter + static_cast<Duration::rep>(random_()) % (2 * quarter));
   const auto chosen = std::next(peers_.begin(), static_cast<std::ptrdiff_t>(random_() % peers_.size()));
-  if (!chosen->second.open && open_ < most_open) begin(chosen->first, chosen->second);
+  if (!chosen->second.open && open_ < max_open_exchanges) begin(chosen->first, chosen->second);
   return begun;
 }
 
-Span ConfigSpread::next(Span now) const {
-  const bool pushes = open_ < most_open && std::ranges::any_of(pushes_, [this](const std::string& name) {
-                        return !peers_.at(name).open;
-                      });
+TimePoint ConfigSpread::next(TimePoint now) const {
+  const bool pushes =
+      open_ < max_open_exchanges &&
+      std::ranges::any_of(pushes_, [this](const std::string& name) { return !peers_.at(name).open; });
   return pushes ? now : std::max(now, next_exchange_);
 }
 
@@ -153,19 +153,19 @@
   ConfigAcknowledgements all = acknowledgements_;
   std::size_t with_obstacles = 0;
   for (AgentAcknowledgement& one : all) {
-    if (!one.obstacles.empty() && ++with_obstacles > most_agents_with_obstacles) one.obstacles.clear();
+    if (!one.obstacles.empty() && ++with_obstacles > max_agents_with_obstacles) one.obstacles.clear();
   }
   return all;
 }
 
-ConfigMessage ConfigSpread::question(Span now, const std::string& peer) const {
+ConfigMessage ConfigSpread::question(TimePoint now, const std::string& peer) const {
   ConfigMessage message = marks();
   if (pushes_.contains(peer)) message.document = shared_;
   if (active(now) && shared_) message.acknowledgements = acknowledgements_to_send();
   return message;
 }
 
-ConfigMessage ConfigSpread::receive(Span now, const ConfigMessage& question) {
+ConfigMessage ConfigSpread::receive(TimePoint now, const ConfigMessage& question) {
   merge(now, question);
   ConfigMessage answer = marks();
   if (answer.mark > question.mark) answer.document = shared_;
@@ -176,19 +176,19 @@
   return answer;
 }
 
-void ConfigSpread::answered(Span now, const std::string& peer, const ConfigMessage& answer) {
+void ConfigSpread::answered(TimePoint now, const std::string& peer, const ConfigMessage& answer) {
   const auto at = peers_.find(peer);
   if (at == peers_.end() || !at->second.open) return;
   at->second.open = false;
   --open_;
   merge(now, answer);
-  heard_.insert(peer);
+  verified_peers_.insert(peer);
   const bool behind = shared_ && answer.mark < replica_.mark();
   // An answer that carries an older mark than was pushed comes from a peer that could not write it.
   const bool refused = behind && pushes_.contains(peer);
   if (refused) ++at->second.failed_pushes;
   else at->second.failed_pushes = 0;
-  if (behind && at->second.failed_pushes < most_failed_pushes) pushes_.insert(peer);
+  if (behind && at->second.failed_pushes < max_failed_pushes) pushes_.insert(peer);
   else pushes_.erase(peer);
   if (shared_ && answer.mark == replica_.mark()) copies_.insert(peer);
   const ConfigMessage own = marks();
@@ -198,19 +198,19 @@
   if (lacks) changed(now);
 }
 
-void ConfigSpread::missed(Span now, const std::string& peer) {
+void ConfigSpread::missed(TimePoint now, const std::string& peer) {
   const auto at = peers_.find(peer);
   if (at == peers_.end() || !at->second.open) return;
   at->second.open = false;
   --open_;
-  if (!pushes_.contains(peer) || ++at->second.failed_pushes < most_failed_pushes) return;
+  if (!pushes_.contains(peer) || ++at->second.failed_pushes < max_failed_pushes) return;
   pushes_.erase(peer);
   // Somebody else in that zone may be reached.
   at->second.failed_pushes = 0;
   if (active(now)) push_to_some(peers_in(at->second.place.zone, true), 1);
 }
 
-void ConfigSpread::merge(Span now, const ConfigMessage& message) {
+void ConfigSpread::merge(TimePoint now, const ConfigMessage& message) {
   if (message.document && replica_.receive(*message.document)) version_changed(now, false);
   if (!message.superseded.empty() && replica_.receive_superseded(message.superseded)) changed(now);
   const bool comparable = message.acknowledgements && message.mark == replica_.mark() &&
@@ -219,16 +219,16 @@
   if (comparable) merge_acknowledgements(now, *message.acknowledgements);
 }
 
-void ConfigSpread::merge_acknowledgements(Span now, const ConfigAcknowledgements& told) {
-  bool news = false;
+void ConfigSpread::merge_acknowledgements(TimePoint now, const ConfigAcknowledgements& acknowledgements) {
+  bool changed_any = false;
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    const AgentAcknowledgement& theirs = told[i];
+    const AgentAcknowledgement& theirs = acknowledgements[i];
     AgentAcknowledgement& ours = acknowledgements_[i];
-    if (theirs.obstacles.size() > AgentAcknowledgement::most_obstacles) continue;
+    if (theirs.obstacles.size() > AgentAcknowledgement::max_obstacles) continue;
     if (members_[i] == self_) {
       const bool from_before = theirs.revision > ours.revision ||
                                (theirs.revision == ours.revision && theirs.in_force != ours.in_force);
-      if (from_before) own_revision_heard_ = std::max(own_revision_heard_, theirs.revision);
+      if (from_before) own_revision_received_ = std::max(own_revision_received_, theirs.revision);
       continue;
     }
     // Of two under one revision, from before and after a restart, the one that promises less.
@@ -236,27 +236,27 @@
                        (theirs.revision == ours.revision && ours.in_force && !theirs.in_force);
     if (!newer) continue;
     ours = theirs;
-    news = true;
+    changed_any = true;
   }
   acknowledge(now);
-  if (!news) return;
+  if (!changed_any) return;
   acknowledgements_hash_ = hash_of(acknowledgements_);
   changed(now);
 }
 
 // ---- Changes
 
-void ConfigSpread::changed(Span now) {
+void ConfigSpread::changed(TimePoint now) {
   active_until_ = now + active_for;
   next_exchange_ = std::min(next_exchange_, now + active_interval);
 }
 
-void ConfigSpread::version_changed(Span now, bool author) {
+void ConfigSpread::version_changed(TimePoint now, bool author) {
   shared_ = std::make_shared<const ConfigDocument>(*replica_.current());
   copies_.clear();
   acknowledgements_.assign(members_.size(), {});
   acknowledgements_hash_ = hash_of(acknowledgements_);
-  own_revision_heard_ = 0;
+  own_revision_received_ = 0;
   acknowledge(now);
   changed(now);
   pushes_.clear();
@@ -282,22 +282,23 @@
     pushes_.insert(candidates[random_() % candidates.size()]);
 }
 
-void ConfigSpread::acknowledge(Span now) {
+void ConfigSpread::acknowledge(TimePoint now) {
   if (!shared_ || !instances_known_) return;
   AgentAcknowledgement next;
   next.in_force = true;
   for (const InstanceConfig& one : instances_) {
     if (one.in_force == replica_.mark()) continue;
     next.in_force = false;
-    if (!one.why_not.empty() && next.obstacles.size() < AgentAcknowledgement::most_obstacles)
-      next.obstacles.push_back({one.instance, one.why_not.substr(0, longest_why)});
+    if (!one.not_in_force_reason.empty() && next.obstacles.size() < AgentAcknowledgement::max_obstacles)
+      next.obstacles.push_back({one.instance, one.not_in_force_reason.substr(0, max_reason_length)});
   }
   AgentAcknowledgement& own = acknowledgements_[index_of(self_)];
-  const bool nothing_to_say = own.revision == 0 && own_revision_heard_ == 0 && next == AgentAcknowledgement();
+  const bool nothing_to_say =
+      own.revision == 0 && own_revision_received_ == 0 && next == AgentAcknowledgement();
   next.revision = own.revision;
-  if (nothing_to_say || (next == own && own_revision_heard_ < own.revision)) return;
-  next.revision = std::max(own.revision, own_revision_heard_) + 1;
-  own_revision_heard_ = 0;
+  if (nothing_to_say || (next == own && own_revision_received_ < own.revision)) return;
+  next.revision = std::max(own.revision, own_revision_received_) + 1;
+  own_revision_received_ = 0;
   own = next;
   acknowledgements_hash_ = hash_of(acknowledgements_);
   changed(now);
@@ -311,7 +312,9 @@
   return found ? static_cast<std::size_t>(at - members_.begin()) : members_.size();
 }
 
-bool ConfigSpread::verified() const { return heard_.size() >= std::min(verifying_peers, peers_.size()); }
+bool ConfigSpread::verified() const {
+  return verified_peers_.size() >= std::min(verifying_peers, peers_.size());
+}
 
 bool ConfigSpread::confirmed() const {
   return shared_ && copies_.size() + 1 >= std::min(confirming_copies, members_.size());
@@ -322,7 +325,7 @@
   return replica_.current();
 }
 
-bool ConfigSpread::told_in_force(const std::string& agent) const {
+bool ConfigSpread::reported_in_force(const std::string& agent) const {
   const std::size_t index = index_of(agent);
   return shared_ && index < members_.size() && acknowledgements_[index].in_force;
 }
@@ -343,11 +346,11 @@
       continue;
     }
     ++report.not_in_force;
-    if (report.names.size() >= ConfigReport::most_names) continue;
+    if (report.names.size() >= ConfigReport::max_listed_names) continue;
     if (known.obstacles.empty())
       report.names.push_back(name + (known.revision == 0 ? ": unknown" : ": not in force"));
     for (const ConfigObstacle& one : known.obstacles)
-      report.names.push_back(name + "/" + one.instance + ": " + one.why);
+      report.names.push_back(name + "/" + one.instance + ": " + one.reason);
   }
   return report;
 }
--- a/src/fleet/config_version.cpp
+++ b/src/fleet/config_version.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t digest_bytes = 16;
-constexpr std::size_t longest_name = 128;
+constexpr std::size_t max_name_bytes = 128;
 
 bool is_hex_digest(const std::string& text) {
   return text.size() == 2 * digest_bytes && text.find_first_not_of("0123456789abcdef") == std::string::npos;
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::string_view word_for(PublishResult result) {
+std::string_view name_of(PublishResult result) {
   constexpr std::string_view words[] = {"accepted",     "unverified", "unknown",
                                         "stale parent", "too large",  "not written"};
   return words[static_cast<std::size_t>(result)];
@@ -59,9 +59,9 @@
 }
 
 bool is_intact(const ConfigDocument& document) {
-  if (document.content.size() > ConfigDocument::most_content) return false;
-  if (document.ancestors.size() > ConfigDocument::most_ancestors) return false;
-  if (document.author.empty() || document.author.size() > longest_name) return false;
+  if (document.content.size() > ConfigDocument::max_content_bytes) return false;
+  if (document.ancestors.size() > ConfigDocument::max_ancestors) return false;
+  if (document.author.empty() || document.author.size() > max_name_bytes) return false;
   if (document.mark.epoch == 0 || document.mark.number == 0) return false;
   if (!std::ranges::all_of(document.ancestors, is_hex_digest)) return false;
   return document.mark.digest == digest_of(document);
@@ -71,7 +71,7 @@
     : host_(host), self_(std::move(self)), state_(std::move(on_disk)) {}
 
 PublishResult ConfigReplica::publish(const PublishRequest& request) {
-  if (request.content.size() > ConfigDocument::most_content) return PublishResult::too_large;
+  if (request.content.size() > ConfigDocument::max_content_bytes) return PublishResult::too_large;
   if (!state_.current && !request.new_epoch) return PublishResult::unknown;
   if (state_.current && request.parent != state_.current->mark.digest) return PublishResult::stale_parent;
   if (!state_.current && !request.parent.empty()) return PublishResult::stale_parent;
@@ -84,7 +84,7 @@
   if (state_.current) {
     next.ancestors = state_.current->ancestors;
     next.ancestors.insert(next.ancestors.begin(), state_.current->mark.digest);
-    if (next.ancestors.size() > ConfigDocument::most_ancestors) next.ancestors.pop_back();
+    if (next.ancestors.size() > ConfigDocument::max_ancestors) next.ancestors.pop_back();
   }
   next.mark.digest = digest_of(next);
 
@@ -116,8 +116,8 @@
   State after = state_;
   for (const SupersededConfig& record : records) {
     const bool sound = is_hex_digest(record.mark.digest) && is_hex_digest(record.by.digest) &&
-                       record.mark < record.by && record.author.size() <= longest_name &&
-                       record.ancestors.size() <= ConfigDocument::most_ancestors &&
+                       record.mark < record.by && record.author.size() <= max_name_bytes &&
+                       record.ancestors.size() <= ConfigDocument::max_ancestors &&
                        std::ranges::all_of(record.ancestors, is_hex_digest);
     if (sound) add(after, record);
   }
@@ -135,7 +135,7 @@
     return;
   }
   all.insert(at, record);
-  if (all.size() > most_superseded) all.erase(all.begin());
+  if (all.size() > max_superseded) all.erase(all.begin());
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/config_version.h
+++ b/src/fleet/config_version.h
@@ -23,8 +23,8 @@
 };
 
 struct ConfigDocument {
-  static constexpr std::size_t most_content = 64 * 1024;
-  static constexpr std::size_t most_ancestors = 32;
+  static constexpr std::size_t max_content_bytes = 64 * 1024;
+  static constexpr std::size_t max_ancestors = 32;
 
   ConfigMark mark;
   std::string author;                  // the agent at which it was published
@@ -55,7 +55,7 @@
   too_large,
   not_written,  // the disk took nothing, and nothing is published
 };
-std::string_view word_for(PublishResult result);
+std::string_view name_of(PublishResult result);
 
 struct PublishRequest {
   std::string parent;  // the digest of the version that the author had seen
@@ -66,7 +66,7 @@
 // The versions that one agent holds. Each change is durable before it can be seen.
 class ConfigReplica {
  public:
-  static constexpr std::size_t most_superseded = 16;
+  static constexpr std::size_t max_superseded = 16;
   struct State {
     std::optional<ConfigDocument> current;     // none: unknown
     std::vector<SupersededConfig> superseded;  // the greatest marks, in their order
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -8,7 +8,6 @@
 // runs out returns to the channel's word. The same order again changes nothing.
 #pragma once
 
-#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -18,24 +17,24 @@
 #include <string_view>
 #include <vector>
 
-namespace pearchute::fleet {
+#include "fleet/time.h"
 
-using Span = std::chrono::microseconds;  // since the manager's start
+namespace pearchute::fleet {
 
-enum class Standing { up, draining, gone };
+enum class AdminState { up, draining, gone };
 
-struct Order {
+struct DrainDirective {
   std::string id;       // the same when it is sent again
   std::string subject;  // an engine's name; "@" and an address: whatever engine is there; "": the manager
   std::string holder;   // who answers for it
   std::uint64_t generation = 0;
-  bool drains = true;     // false: restores
-  bool everyone = false;  // a restore that ends older orders of all holders, not its own only
-  Span lease{};           // how long it holds, of a drain
+  bool drains = true;        // false: restores
+  bool all_holders = false;  // a restore that ends older orders of all holders, not its own only
+  Duration lease{};          // how long it holds, of a drain
   std::string reason;
 };
 
-enum class Verdict {
+enum class DirectiveResult {
   done,      // in force
   repeated,  // was in force already, or has been since; nothing changed
   stale,     // a newer generation stands
@@ -44,9 +43,9 @@
   unusable,  // names or figures out of bounds
 };
 
-struct Held {
-  Order order;
-  Span since{}, until{};
+struct ActiveDirective {
+  DrainDirective order;
+  TimePoint since{}, until{};
 };
 
 class Drains {
@@ -55,59 +54,61 @@
    public:
     virtual ~Host() = default;
     // An order, or the end of one, has changed how a listed engine stands.
-    virtual void engine_stands(const std::string& engine, Standing standing) = 0;
+    virtual void engine_state_changed(const std::string& engine, AdminState state_of) = 0;
     virtual void manager_drains(bool drains) = 0;
-    virtual void wake_at(Span when) = 0;
-    virtual void orders_changed() = 0;  // what is to survive a restart is other than before
-    virtual void remark(std::string_view text) = 0;
+    virtual void wake_at(TimePoint when) = 0;
+    virtual void directives_changed() = 0;  // what is to survive a restart is other than before
+    virtual void log(std::string_view text) = 0;
   };
-  static constexpr Span longest_lease =
-      std::chrono::hours(7 * 24);                   // the longest works on a machine take days
-  static constexpr std::size_t most_orders = 2048;  // 1,024 engines, each twice; at their longest 1.4 MB
-  static constexpr std::size_t longest_name = 128;  // as the protocol's own tokens
-  static constexpr std::size_t longest_reason = 256;
+  static constexpr Duration max_lease =
+      std::chrono::hours(7 * 24);                      // the longest works on a machine take days
+  static constexpr std::size_t max_directives = 2048;  // 1,024 engines, each twice; at their longest 1.4 MB
+  static constexpr std::size_t max_name_bytes = 128;   // as the protocol's own tokens
+  static constexpr std::size_t max_reason_bytes = 256;
 
   explicit Drains(Host& host) : host_(host) {}
   Drains(const Drains&) = delete;
   Drains& operator=(const Drains&) = delete;
 
   // The channel's word on one engine; what the manager goes by instead. The caller passes that on.
-  Standing channel_said(Span now, const std::string& engine, const std::string& address, Standing said);
+  AdminState on_discovery_update(TimePoint now, const std::string& engine, const std::string& address,
+                                 AdminState discovered);
   // The channel has told all there is: other engines are gone.
-  void channel_told_all(Span now, const std::set<std::string>& engines);
-  Verdict ordered(Span now, const Order& order);
+  void on_discovery_snapshot(TimePoint now, const std::set<std::string>& engines);
+  DirectiveResult apply(TimePoint now, const DrainDirective& order);
   // An order from before a restart, with what was left of its lease. It comes first or not at all.
-  void remembered(Span now, const Order& order, Span left);
-  void woken(Span now);
+  void restore(TimePoint now, const DrainDirective& order, Duration left);
+  void on_timer(TimePoint now);
 
   bool manager_drains() const;
-  Standing standing(const std::string& engine) const;  // gone where it is not listed
-  std::vector<Held> all() const;                       // by subject and holder, restores that are known too
-  std::vector<Held> in_force() const;                  // drains only
-  std::vector<Held> in_force(const std::string& engine) const;  // those that hold this engine
-  std::uint64_t newest_generation() const { return newest_; }
+  AdminState state_of(const std::string& engine) const;  // gone where it is not listed
+  std::vector<ActiveDirective> all() const;              // by subject and holder, restores that are known too
+  std::vector<ActiveDirective> in_force() const;         // drains only
+  std::vector<ActiveDirective> in_force(const std::string& engine) const;  // those that hold this engine
+  std::uint64_t newest_generation() const { return newest_generation_; }
 
  private:
-  struct Listed {
+  struct ListedEngine {
     std::string address;
-    Standing said = Standing::up, told = Standing::up;
+    AdminState discovered = AdminState::up, announced = AdminState::up;
   };
-  using Subject = std::map<std::string, Held>;  // by holder; "" is the newest that spoke for everyone
+  using Subject =
+      std::map<std::string, ActiveDirective>;  // by holder; "" is the newest that spoke for everyone
 
-  Standing merged(const std::string& engine, const Listed& listed) const;
-  bool held(const std::string& subject) const;
-  void settle();
-  std::size_t orders() const;
-  bool usable(const Order& order) const;
+  AdminState merged(const std::string& engine, const ListedEngine& listed) const;
+  bool has_drain(const std::string& subject) const;
+  void announce_changes();
+  std::size_t directive_count() const;
+  bool is_valid(const DrainDirective& order) const;
 
   Host& host_;
-  std::map<std::string, Listed> engines_;
+  std::map<std::string, ListedEngine> engines_;
   std::map<std::string, Subject> subjects_;
-  bool manager_told_ = false;
-  std::uint64_t newest_ = 0;
+  bool manager_announced_ = false;
+  std::uint64_t newest_generation_ = 0;
 };
 
-std::string_view word_for(Standing standing);
-std::string_view word_for(Verdict verdict);
+std::string_view name_of(AdminState state_of);
+std::string_view name_of(DirectiveResult verdict);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/gossip_state.cpp
+++ b/src/fleet/gossip_state.cpp
@@ -15,7 +15,8 @@
 }
 
 bool differs_enough(const StatusReport& said, const StatusReport& now) {
-  return std::tie(said.zone, said.condition, said.life) != std::tie(now.zone, now.condition, now.life) ||
+  return std::tie(said.zone, said.state, said.process_incarnation) !=
+             std::tie(now.zone, now.state, now.process_incarnation) ||
          moved(said.traffic, now.traffic, 1) || moved(said.done, now.done, 0.05) ||
          moved(static_cast<double>(said.open), static_cast<double>(now.open), 4);
 }
@@ -29,9 +30,9 @@
 }
 
 // Any order over all words will do, so long as everybody has the same.
-auto rank(const StatusReport& word) {
-  return std::tie(word.instance, word.zone, word.condition, word.life, word.lived, word.traffic, word.done,
-                  word.open);
+auto rank(const StatusReport& report) {
+  return std::tie(report.instance, report.zone, report.state, report.process_incarnation, report.in_state_for,
+                  report.traffic, report.done, report.open);
 }
 bool greater(const std::optional<StatusReport>& a, const std::optional<StatusReport>& b) {
   if (!a || !b) return a.has_value() && !b.has_value();
@@ -40,14 +41,14 @@
 
 }  // namespace
 
-std::string_view word_for(Freshness freshness) {
-  constexpr std::string_view words[] = {"unknown", "old", "fresh"};
-  return words[static_cast<int>(freshness)];
+std::string_view name_of(Freshness freshness) {
+  constexpr std::string_view reports[] = {"unknown", "old", "fresh"};
+  return reports[static_cast<int>(freshness)];
 }
 
 GossipState::GossipState(Host& host, std::string self, std::uint64_t incarnation, std::uint64_t seed,
-                         std::size_t most_in_answer)
-    : host_(host), chance_(stirred(seed)), self_(std::move(self)), most_in_answer_(most_in_answer) {
+                         std::size_t max_answer_bytes)
+    : host_(host), random_(stirred(seed)), self_(std::move(self)), max_answer_bytes_(max_answer_bytes) {
   begin_incarnation(incarnation);
 }
 
@@ -55,194 +56,196 @@
 // from nothing, and be taken for a repeat.
 void GossipState::begin_incarnation(std::uint64_t above) {
   own_ = {};
-  own_.mark.incarnation = ((above >> 32) + 1) << 32 | (chance_() & 0xffffffff);
-  gone_ = 0, said_ = false;
-  speaks_ = host_.keep_incarnation(own_.mark.incarnation);
+  own_.mark.incarnation = ((above >> 32) + 1) << 32 | (random_() & 0xffffffff);
+  removed_ = 0, published_ = false;
+  can_publish_ = host_.persist_incarnation(own_.mark.incarnation);
 }
 
-void GossipState::charter(const std::set<std::string>& agents) {
-  std::erase_if(others_, [&](const auto& one) { return !agents.contains(one.first); });
+void GossipState::set_agents(const std::set<std::string>& agents) {
+  std::erase_if(peers_, [&](const auto& one) { return !agents.contains(one.first); });
   for (const std::string& agent : agents) {
-    if (agent != self_) others_.try_emplace(agent);
+    if (agent != self_) peers_.try_emplace(agent);
   }
 }
 
 // ---- What this agent says
 
-void GossipState::say(const std::vector<StatusReport>& words) {
+void GossipState::publish(const std::vector<StatusReport>& reports) {
   last_.clear();
-  for (const StatusReport& word : words) {
-    if (last_.size() < most_instances) last_.emplace(word.instance, word);
+  for (const StatusReport& report : reports) {
+    if (last_.size() < max_instances) last_.emplace(report.instance, report);
   }
-  looked_ = true;
-  state();
+  instances_known_ = true;
+  publish_changes();
 }
 
-void GossipState::state() {
-  if (!speaks_) {
+void GossipState::publish_changes() {
+  if (!can_publish_) {
     begin_incarnation(own_.mark.incarnation);  // the disk may be mended by now
-    if (!speaks_) return;
+    if (!can_publish_) return;
   }
   std::vector<std::string> gone;
   for (const auto& [instance, entry] : own_.by_instance) {
-    if (entry.word && !last_.contains(instance)) gone.push_back(instance);
+    if (entry.report && !last_.contains(instance)) gone.push_back(instance);
   }
-  if (gone_ + gone.size() > most_gone) {
+  if (removed_ + gone.size() > max_removed_instances) {
     begin_incarnation(own_.mark.incarnation);
-    if (!speaks_) return;
+    if (!can_publish_) return;
     gone.clear();
   }
   for (const std::string& instance : gone) {
     put(own_, {++own_.mark.through, instance, std::nullopt});
-    ++gone_;
+    ++removed_;
   }
-  for (const auto& [instance, word] : last_) {
+  for (const auto& [instance, report] : last_) {
     const auto at = own_.by_instance.find(instance);
-    const bool stands = at != own_.by_instance.end() && at->second.word;
-    if (stands && !differs_enough(*at->second.word, word)) continue;
-    if (at != own_.by_instance.end() && !stands) --gone_;  // it is owned again
-    put(own_, {++own_.mark.through, instance, word});
+    const bool stands = at != own_.by_instance.end() && at->second.report;
+    if (stands && !differs_enough(*at->second.report, report)) continue;
+    if (at != own_.by_instance.end() && !stands) --removed_;  // it is owned again
+    put(own_, {++own_.mark.through, instance, report});
   }
-  said_ = true;
+  published_ = true;
 }
 
 // Somebody has heard this name with more than was said under it: its own past, where the disk was lost or an
 // older copy of it put back, or another agent of the same name.
-void GossipState::overruled(const ReportDelta& news) {
-  if (news.upto.incarnation < own_.mark.incarnation) return;
-  if (news.upto.incarnation == own_.mark.incarnation && news.upto.through <= own_.mark.through) return;
-  host_.told(self_, "others have heard more under this agent's name; it begins another incarnation");
-  begin_incarnation(news.upto.incarnation);
-  if (looked_) state();
+void GossipState::on_own_past_received(const ReportDelta& delta) {
+  if (delta.upto.incarnation < own_.mark.incarnation) return;
+  if (delta.upto.incarnation == own_.mark.incarnation && delta.upto.through <= own_.mark.through) return;
+  host_.on_event(self_, "others have heard more under this agent's name; it begins another incarnation");
+  begin_incarnation(delta.upto.incarnation);
+  if (instances_known_) publish_changes();
 }
 
 // ---- What is merged
 
-void GossipState::put(Board& board, const Entry& entry) {
-  const auto [at, is_new] = board.by_instance.try_emplace(entry.instance, entry);
+void GossipState::put(AgentRecord& record, const Entry& entry) {
+  const auto [at, is_new] = record.by_instance.try_emplace(entry.instance, entry);
   if (!is_new) {
     Entry& held = at->second;
     if (held.number > entry.number) return;
     if (held.number == entry.number) {
       // One writer never says two things under one number: two speak under its name. All keep the same one.
-      if (held != entry) board.disputed = true;
-      if (greater(entry.word, held.word)) held.word = entry.word;
+      if (held != entry) record.disputed = true;
+      if (greater(entry.report, held.report)) held.report = entry.report;
       return;
     }
-    board.by_number.erase(held.number);
+    record.by_number.erase(held.number);
     held = entry;
   }
-  const auto [slot, free] = board.by_number.try_emplace(entry.number, entry.instance);
-  if (!free && slot->second != entry.instance) board.disputed = true;
+  const auto [slot, free] = record.by_number.try_emplace(entry.number, entry.instance);
+  if (!free && slot->second != entry.instance) record.disputed = true;
 }
 
 bool GossipState::fits(const Entry& entry) {
-  return entry.instance.size() <= longest_name && (!entry.word || entry.word->zone.size() <= longest_name);
+  return entry.instance.size() <= max_name_bytes &&
+         (!entry.report || entry.report->zone.size() <= max_name_bytes);
 }
 
 // False where it is of no use, or not yet.
-bool GossipState::merge(Board& board, const ReportDelta& news) {
-  const ReportVersion& upto = news.upto;
-  if (upto.incarnation < board.mark.incarnation) return false;
-  if (board.parts && board.parts->incarnation < upto.incarnation) board.parts.reset();
+bool GossipState::merge(AgentRecord& record, const ReportDelta& delta) {
+  const ReportVersion& upto = delta.upto;
+  if (upto.incarnation < record.mark.incarnation) return false;
+  if (record.parts && record.parts->incarnation < upto.incarnation) record.parts.reset();
   // No agent of this kind says so much, or in such words: what it says stays unknown.
-  const std::size_t held = board.parts ? board.parts->entries.size() : 0;
-  if (held + news.entries.size() > 2 * (most_instances + most_gone) ||
-      !std::ranges::all_of(news.entries, fits))
+  const std::size_t held = record.parts ? record.parts->entries.size() : 0;
+  if (held + delta.entries.size() > 2 * (max_instances + max_removed_instances) ||
+      !std::ranges::all_of(delta.entries, fits))
     return false;
-  const bool later = upto.incarnation > board.mark.incarnation;
-  const std::uint64_t base = later ? 0 : board.mark.through;
-  const bool last = news.through >= upto.through;
+  const bool later = upto.incarnation > record.mark.incarnation;
+  const std::uint64_t base = later ? 0 : record.mark.through;
+  const bool last = delta.through >= upto.through;
   std::vector<Entry> staged;
-  if (news.since > base || !last) {
-    const bool goes_on = board.parts && board.parts->incarnation == upto.incarnation &&
-                         news.since <= board.parts->resume && upto.through >= board.parts->target;
+  if (delta.since > base || !last) {
+    const bool goes_on = record.parts && record.parts->incarnation == upto.incarnation &&
+                         delta.since <= record.parts->resume && upto.through >= record.parts->target;
     // Entries above a number are of no use to one that does not know all below it.
-    if (!goes_on && news.since > base) return false;
+    if (!goes_on && delta.since > base) return false;
     if (!goes_on) {
       // A first part does not put back one that is further on.
-      if (board.parts && board.parts->resume >= news.through) return false;
-      board.parts = Parts{upto.incarnation, 0, 0, {}};
+      if (record.parts && record.parts->resume >= delta.through) return false;
+      record.parts = Parts{upto.incarnation, 0, 0, {}};
     }
-    Parts& parts = *board.parts;
-    parts.entries.insert(parts.entries.end(), news.entries.begin(), news.entries.end());
-    parts.resume = std::max(parts.resume, news.through), parts.target = std::max(parts.target, upto.through);
+    Parts& parts = *record.parts;
+    parts.entries.insert(parts.entries.end(), delta.entries.begin(), delta.entries.end());
+    parts.resume = std::max(parts.resume, delta.through), parts.target = std::max(parts.target, upto.through);
     if (!last) return false;
     staged = std::move(parts.entries);
   }
   if (later) {
-    const Freshness told = board.told;
-    board = {};
-    board.told = told, board.mark.incarnation = upto.incarnation;
+    const Freshness on_event = record.on_event;
+    record = {};
+    record.on_event = on_event, record.mark.incarnation = upto.incarnation;
   }
-  for (const Entry& entry : staged) put(board, entry);
-  for (const Entry& entry : news.entries) put(board, entry);
-  board.mark.through = std::max(board.mark.through, upto.through);
-  if (board.parts && board.parts->target <= board.mark.through) board.parts.reset();
+  for (const Entry& entry : staged) put(record, entry);
+  for (const Entry& entry : delta.entries) put(record, entry);
+  record.mark.through = std::max(record.mark.through, upto.through);
+  if (record.parts && record.parts->target <= record.mark.through) record.parts.reset();
   return true;
 }
 
-bool GossipState::heard(Span now, Span asked, const std::vector<ReportDelta>& all) {
+bool GossipState::receive(TimePoint now, TimePoint asked, const std::vector<ReportDelta>& all) {
   bool of_use = false;
-  for (const ReportDelta& news : all) {
-    if (news.agent == self_) {
-      overruled(news);
+  for (const ReportDelta& delta : all) {
+    if (delta.agent == self_) {
+      on_own_past_received(delta);
       continue;
     }
-    const auto at = others_.find(news.agent);
-    if (at == others_.end()) continue;  // not in this charter, whatever the teller's says
-    Board& board = at->second;
-    if (!merge(board, news)) continue;
+    const auto at = peers_.find(delta.agent);
+    if (at == peers_.end()) continue;  // not in this charter, whatever the teller's says
+    AgentRecord& record = at->second;
+    if (!merge(record, delta)) continue;
     // That this was all it had said then is worth something now that all of it is here.
-    if (news.age_known && !board.disputed) {
-      const Span as_of = asked - std::max(news.age, Span(0));
-      if (!board.as_of || as_of > *board.as_of) board.as_of = as_of;
+    if (delta.age_known && !record.disputed) {
+      const TimePoint as_of = asked - std::max(delta.age, Duration(0));
+      if (!record.as_of || as_of > *record.as_of) record.as_of = as_of;
     }
     of_use = true;
-    tell(now, news.agent, board);
+    report_freshness(now, delta.agent, record);
   }
   return of_use;
 }
 
 std::map<std::string, ReportVersion> GossipState::marks() const {
   std::map<std::string, ReportVersion> all;
-  for (const auto& [agent, board] : others_)
-    all[agent] = board.parts ? ReportVersion{board.parts->incarnation, board.parts->resume} : board.mark;
+  for (const auto& [agent, record] : peers_)
+    all[agent] = record.parts ? ReportVersion{record.parts->incarnation, record.parts->resume} : record.mark;
   return all;
 }
 
 // The own word first, then the others' in turn, so that none is left out for ever by those before it.
-std::vector<ReportDelta> GossipState::answer(Span now, const std::map<std::string, ReportVersion>& marks) {
+std::vector<ReportDelta> GossipState::answer(TimePoint now,
+                                             const std::map<std::string, ReportVersion>& marks) {
   std::vector<ReportDelta> all;
-  std::size_t room = most_in_answer_;
-  const auto add = [&](const std::string& agent, const Board& board, std::optional<Span> as_of) {
-    if (board.mark.incarnation == 0) return;
+  std::size_t room = max_answer_bytes_;
+  const auto add = [&](const std::string& agent, const AgentRecord& record, std::optional<TimePoint> as_of) {
+    if (record.mark.incarnation == 0) return;
     const auto at = marks.find(agent);
     const ReportVersion theirs = at == marks.end() ? ReportVersion{} : at->second;
-    if (theirs.incarnation > board.mark.incarnation) return;
-    ReportDelta news;
-    news.agent = agent, news.upto = board.mark;
-    if (theirs.incarnation == board.mark.incarnation) news.since = theirs.through;
-    news.through = std::max(news.since, board.mark.through);
-    if (as_of) news.age_known = true, news.age = now - *as_of;
-    for (auto one = board.by_number.upper_bound(news.since);
-         one != board.by_number.end() && one->first <= board.mark.through; ++one) {
-      const Entry& entry = board.by_instance.at(one->second);
+    if (theirs.incarnation > record.mark.incarnation) return;
+    ReportDelta delta;
+    delta.agent = agent, delta.upto = record.mark;
+    if (theirs.incarnation == record.mark.incarnation) delta.since = theirs.through;
+    delta.through = std::max(delta.since, record.mark.through);
+    if (as_of) delta.age_known = true, delta.age = now - *as_of;
+    for (auto one = record.by_number.upper_bound(delta.since);
+         one != record.by_number.end() && one->first <= record.mark.through; ++one) {
+      const Entry& entry = record.by_instance.at(one->second);
       const std::size_t size = bytes_of(entry);
       if (size > room) {
-        news.through = news.entries.empty() ? news.since : news.entries.back().number;
+        delta.through = delta.entries.empty() ? delta.since : delta.entries.back().number;
         break;
       }
       room -= size;
-      news.entries.push_back(entry);
+      delta.entries.push_back(entry);
     }
-    all.push_back(std::move(news));
+    all.push_back(std::move(delta));
   };
-  if (said_) add(self_, own_, now);  // to have said nothing yet is not to own nothing
-  if (others_.empty()) return all;
-  const std::size_t first = turn_++ % others_.size();
-  for (std::size_t n = 0; n < others_.size(); ++n) {
-    const auto at = std::next(others_.begin(), static_cast<std::ptrdiff_t>((first + n) % others_.size()));
+  if (published_) add(self_, own_, now);  // to have said nothing yet is not to own nothing
+  if (peers_.empty()) return all;
+  const std::size_t first = next_first_++ % peers_.size();
+  for (std::size_t n = 0; n < peers_.size(); ++n) {
+    const auto at = std::next(peers_.begin(), static_cast<std::ptrdiff_t>((first + n) % peers_.size()));
     add(at->first, at->second, at->second.disputed ? std::nullopt : at->second.as_of);
   }
   return all;
@@ -250,69 +253,69 @@
 
 // ---- What is known
 
-Freshness GossipState::freshness_of(Span now, const Board& board) const {
-  if (!board.as_of || board.disputed || now - *board.as_of > old_for) return Freshness::unknown;
-  return now - *board.as_of <= fresh_for ? Freshness::fresh : Freshness::old;
+Freshness GossipState::freshness_of(TimePoint now, const AgentRecord& record) const {
+  if (!record.as_of || record.disputed || now - *record.as_of > old_for) return Freshness::unknown;
+  return now - *record.as_of <= fresh_for ? Freshness::fresh : Freshness::old;
 }
 
-void GossipState::tell(Span now, const std::string& agent, Board& board) {
-  const Freshness is = freshness_of(now, board);
-  if (std::exchange(board.told, is) == is) return;
-  host_.told(agent, board.disputed ? "two speak under its name" : word_for(is));
+void GossipState::report_freshness(TimePoint now, const std::string& agent, AgentRecord& record) {
+  const Freshness is = freshness_of(now, record);
+  if (std::exchange(record.on_event, is) == is) return;
+  host_.on_event(agent, record.disputed ? "two speak under its name" : name_of(is));
 }
 
-void GossipState::woken(Span now) {
-  for (auto& [agent, board] : others_) tell(now, agent, board);
+void GossipState::on_timer(TimePoint now) {
+  for (auto& [agent, record] : peers_) report_freshness(now, agent, record);
 }
 
-GossipState::Known GossipState::known(Span now, const std::string& agent) const {
+GossipState::Known GossipState::known(TimePoint now, const std::string& agent) const {
   Known known;
-  const auto at = others_.find(agent);
-  if (agent != self_ && at == others_.end()) return known;
-  const Board& board = agent == self_ ? own_ : at->second;
-  known.mark = board.mark, known.disputed = board.disputed;
-  known.stated = static_cast<std::uint64_t>(
-      std::ranges::count_if(board.by_instance, [](const auto& one) { return one.second.word.has_value(); }));
+  const auto at = peers_.find(agent);
+  if (agent != self_ && at == peers_.end()) return known;
+  const AgentRecord& record = agent == self_ ? own_ : at->second;
+  known.mark = record.mark, known.disputed = record.disputed;
+  known.instance_count = static_cast<std::uint64_t>(std::ranges::count_if(
+      record.by_instance, [](const auto& one) { return one.second.report.has_value(); }));
   if (agent == self_) {
-    if (speaks_) known.age = Span(0), known.freshness = Freshness::fresh;
+    if (can_publish_) known.age = Duration(0), known.freshness = Freshness::fresh;
     return known;
   }
-  if (board.as_of) known.age = now - *board.as_of;
-  known.freshness = freshness_of(now, board);
+  if (record.as_of) known.age = now - *record.as_of;
+  known.freshness = freshness_of(now, record);
   return known;
 }
 
-std::map<std::string, StatusReport> GossipState::words(const std::string& agent) const {
+std::map<std::string, StatusReport> GossipState::reports(const std::string& agent) const {
   std::map<std::string, StatusReport> all;
   if (agent == self_) return last_;  // of itself it knows more than it has said
-  const auto at = others_.find(agent);
-  if (at == others_.end()) return all;
+  const auto at = peers_.find(agent);
+  if (at == peers_.end()) return all;
   for (const auto& [instance, entry] : at->second.by_instance) {
-    if (entry.word) all.emplace(instance, *entry.word);
+    if (entry.report) all.emplace(instance, *entry.report);
   }
   return all;
 }
 
 std::set<std::string> GossipState::agents() const {
   std::set<std::string> all;
-  for (const auto& [agent, board] : others_) all.insert(agent);
+  for (const auto& [agent, record] : peers_) all.insert(agent);
   return all;
 }
 
 std::size_t GossipState::bytes_of(const Entry& entry) {
   // Numbers, and what surrounds a field of a message.
-  return 48 + 2 * entry.instance.size() + (entry.word ? 48 + entry.word->zone.size() : 0);
+  return 48 + 2 * entry.instance.size() + (entry.report ? 48 + entry.report->zone.size() : 0);
 }
 
 std::size_t GossipState::bytes() const {
   std::size_t sum = 0;
-  const auto add = [&](const Board& board) {
-    for (const auto& [instance, entry] : board.by_instance) sum += bytes_of(entry);
-    if (!board.parts) return;
-    for (const Entry& entry : board.parts->entries) sum += bytes_of(entry);
+  const auto add = [&](const AgentRecord& record) {
+    for (const auto& [instance, entry] : record.by_instance) sum += bytes_of(entry);
+    if (!record.parts) return;
+    for (const Entry& entry : record.parts->entries) sum += bytes_of(entry);
   };
   add(own_);
-  for (const auto& [agent, board] : others_) add(board);
+  for (const auto& [agent, record] : peers_) add(record);
   return sum;
 }
 
--- a/src/fleet/gossip_state.h
+++ b/src/fleet/gossip_state.h
@@ -29,9 +29,10 @@
 // What an agent says of one of its instances.
 struct StatusReport {
   std::string instance, zone;
-  Condition condition = Condition::unseen;
-  std::uint64_t life = 0;  // which of its processes this is; another one is another life
-  Span lived{};        // how long it has been in this condition, when this was said: at least so long since
+  InstanceState state = InstanceState::unseen;
+  std::uint64_t process_incarnation = 0;  // which of its processes this is; another one is another life
+  Duration
+      in_state_for{};  // how long it has been in this condition, when this was said: at least so long since
   double traffic = 0;  // jobs answered a second
   double done = 1;     // the share of them that was done
   std::uint64_t open = 0;  // jobs that wait for their answer
@@ -47,7 +48,7 @@
 struct Entry {
   std::uint64_t number = 0;
   std::string instance;
-  std::optional<StatusReport> word;  // none: the agent owns it no more
+  std::optional<StatusReport> report;  // none: the agent owns it no more
   bool operator==(const Entry&) const = default;
 };
 
@@ -55,7 +56,7 @@
 struct ReportDelta {
   std::string agent;
   ReportVersion upto;      // the teller knows all up to here
-  Span age{};              // so long ago at most, by the teller's clock, this was all that the agent had said
+  Duration age{};          // so long ago at most, by the teller's clock, this was all that the agent had said
   bool age_known = false;  // else the teller can't say
   std::uint64_t since = 0;    // the entries are all those above this number,
   std::uint64_t through = 0;  // up to this one; less than `upto` where an answer could hold no more
@@ -63,7 +64,7 @@
 };
 
 enum class Freshness { unknown, old, fresh };
-std::string_view word_for(Freshness freshness);
+std::string_view name_of(Freshness freshness);
 
 class GossipState {
  public:
@@ -71,55 +72,55 @@
    public:
     virtual ~Host() = default;
     // On disk when it returns true; false, and nothing is said until it can be.
-    virtual bool keep_incarnation(std::uint64_t incarnation) = 0;
+    virtual bool persist_incarnation(std::uint64_t incarnation) = 0;
     // For the log: who is heard again, falls behind, speaks under this agent's name.
-    virtual void told(const std::string& agent, std::string_view what) = 0;
+    virtual void on_event(const std::string& agent, std::string_view what) = 0;
   };
   // Two rounds of asking by way of a third agent and the slowest answer that is waited for: less would call
   // a sound agent old at one lost answer.
-  static constexpr Span fresh_for = std::chrono::seconds(3);
+  static constexpr Duration fresh_for = std::chrono::seconds(3);
   // Beyond it nothing is left that a decision should lean on; five times, as of leases that were not renewed.
-  static constexpr Span old_for = std::chrono::seconds(15);
+  static constexpr Duration old_for = std::chrono::seconds(15);
   // A message of a call holds a mebibyte; a fleet's first answer comes in parts.
-  static constexpr std::size_t answer_bytes = 256 * 1024;
+  static constexpr std::size_t default_max_answer_bytes = 256 * 1024;
   // Instances that an agent has let go are named until so many have; then it starts another incarnation.
-  static constexpr std::size_t most_gone = 256;
-  static constexpr std::size_t most_instances = 1024,
-                               longest_name = 128;  // of an agent, as its charter holds
+  static constexpr std::size_t max_removed_instances = 256;
+  static constexpr std::size_t max_instances = 1024,
+                               max_name_bytes = 128;  // of an agent, as its charter holds
 
   // `incarnation` is the last that this agent kept on disk; 0: none. The seed has to be another at each
   // start: the upper half of an incarnation counts, the lower is drawn, so that one after a lost disk, which
   // counts from the beginning again, is never taken for the one before.
   GossipState(Host& host, std::string self, std::uint64_t incarnation, std::uint64_t seed,
-              std::size_t most_in_answer = answer_bytes);
+              std::size_t max_answer_bytes = default_max_answer_bytes);
   GossipState(const GossipState&) = delete;
   GossipState& operator=(const GossipState&) = delete;
 
   // The agents by the charter: whoever is not named is not listened to, and what it said goes.
-  void charter(const std::set<std::string>& agents);
+  void set_agents(const std::set<std::string>& agents);
   // The own instances as they are now. Only what has changed enough to matter is said anew.
-  void say(const std::vector<StatusReport>& words);
+  void publish(const std::vector<StatusReport>& reports);
 
   std::map<std::string, ReportVersion> marks() const;  // of all others, for a question
   // To whoever asks with its marks, itself included as far as it is known.
-  std::vector<ReportDelta> answer(Span now, const std::map<std::string, ReportVersion>& marks);
+  std::vector<ReportDelta> answer(TimePoint now, const std::map<std::string, ReportVersion>& marks);
   // What `asked` at that time has brought. False where it was of no use at all.
-  bool heard(Span now, Span asked, const std::vector<ReportDelta>& all);
-  void woken(Span now);  // tells whose word has grown old since
+  bool receive(TimePoint now, TimePoint asked, const std::vector<ReportDelta>& all);
+  void on_timer(TimePoint now);  // tells whose word has grown old since
 
   struct Known {
     ReportVersion mark;
-    std::uint64_t stated = 0;  // as many as stand, at present
-    std::optional<Span> age;   // none: never, or it can't be said
+    std::uint64_t instance_count = 0;  // as many as stand, at present
+    std::optional<Duration> age;       // none: never, or it can't be said
     Freshness freshness = Freshness::unknown;
     bool disputed = false;  // two have spoken under its name
   };
-  Known known(Span now, const std::string& agent) const;
+  Known known(TimePoint now, const std::string& agent) const;
   // By instance; empty of one that nobody knows.
-  std::map<std::string, StatusReport> words(const std::string& agent) const;
+  std::map<std::string, StatusReport> reports(const std::string& agent) const;
   std::set<std::string> agents() const;  // the others of the charter
   const std::string& self() const { return self_; }
-  bool speaks() const { return speaks_; }
+  bool can_publish() const { return can_publish_; }
   std::size_t bytes() const;  // of all that is kept, about
 
  private:
@@ -130,36 +131,36 @@
                   target = 0;  // has what lies up to `resume` of what was then `target`
     std::vector<Entry> entries;
   };
-  struct Board {
+  struct AgentRecord {
     ReportVersion mark;  // all that its agent had stated at this number stands here, and nothing else
     std::map<std::string, Entry> by_instance;
     std::map<std::uint64_t, std::string> by_number;
     std::optional<Parts> parts;
-    std::optional<Span> as_of;  // by this clock: all that it had said then is known
-    Freshness told = Freshness::unknown;
+    std::optional<TimePoint> as_of;  // by this clock: all that it had said then is known
+    Freshness on_event = Freshness::unknown;
     bool disputed = false;
   };
-  static void put(Board& board, const Entry& entry);
+  static void put(AgentRecord& record, const Entry& entry);
   static bool fits(const Entry& entry);
-  static bool merge(Board& board, const ReportDelta& news);
+  static bool merge(AgentRecord& record, const ReportDelta& delta);
   static std::size_t bytes_of(const Entry& entry);
   void begin_incarnation(std::uint64_t above);
-  void state();
-  void overruled(const ReportDelta& news);
-  void tell(Span now, const std::string& agent, Board& board);
-  Freshness freshness_of(Span now, const Board& board) const;
+  void publish_changes();
+  void on_own_past_received(const ReportDelta& delta);
+  void report_freshness(TimePoint now, const std::string& agent, AgentRecord& record);
+  Freshness freshness_of(TimePoint now, const AgentRecord& record) const;
 
   Host& host_;
-  std::knuth_b chance_;
+  std::knuth_b random_;
   const std::string self_;
-  Board own_;
-  std::map<std::string, Board> others_;
+  AgentRecord own_;
+  std::map<std::string, AgentRecord> peers_;
   std::map<std::string, StatusReport> last_;  // the own instances, as last looked at
-  const std::size_t most_in_answer_;
-  std::size_t gone_ = 0, turn_ = 0;
-  bool speaks_ = false;  // its incarnation is on disk,
-  bool looked_ = false;  // the own instances are known,
-  bool said_ = false;    // and stated under this incarnation
+  const std::size_t max_answer_bytes_;
+  std::size_t removed_ = 0, next_first_ = 0;
+  bool can_publish_ = false;      // its incarnation is on disk,
+  bool instances_known_ = false;  // the own instances are known,
+  bool published_ = false;        // and stated under this incarnation
 };
 
 }  // namespace pearchute::fleet
--- a/src/fleet/level_gossip.cpp
+++ b/src/fleet/level_gossip.cpp
@@ -31,20 +31,20 @@
   const std::vector<std::string>& members = topology_->ranked_members(placement_.group);
   std::set<std::string> peers(members.begin(), members.end());
   peers.erase(self_);
-  state_.charter(peers);
-  group_scheduler_.charter(peers);
+  state_.set_agents(peers);
+  group_scheduler_.set_peers(peers);
   summaries_.set_topology(topology_);
-  std::erase_if(contact_turns_, [&](const auto& one) { return !topology_->contains(one.first); });
+  std::erase_if(contact_rotations_, [&](const auto& one) { return !topology_->contains(one.first); });
 }
 
-void LevelGossip::say(const std::vector<StatusReport>& reports) {
-  state_.say(reports);
+void LevelGossip::publish_instances(const std::vector<StatusReport>& reports) {
+  state_.publish(reports);
   has_reported_ = true;
 }
 
 // ---- Who aggregates
 
-std::vector<std::string> LevelGossip::aggregator_candidates(Span now, Level level) const {
+std::vector<std::string> LevelGossip::aggregator_candidates(TimePoint now, Level level) const {
   std::set<std::string> alive;
   if (level == Level::group) {
     for (const std::string& member : topology_->ranked_members(placement_.group)) {
@@ -63,8 +63,8 @@
   return result;
 }
 
-bool LevelGossip::aggregates(Span now, Level level) const {
-  if (!has_reported_ || !state_.speaks() || !topology_->contains(self_)) return false;
+bool LevelGossip::aggregates(TimePoint now, Level level) const {
+  if (!has_reported_ || !state_.can_publish() || !topology_->contains(self_)) return false;
   for (const Level below : {Level::group, Level::zone, Level::region}) {
     if (below > level) break;
     const std::vector<std::string> candidates = aggregator_candidates(now, below);
@@ -73,7 +73,7 @@
   return true;
 }
 
-StatusSummary LevelGossip::publish_unit(Span now, const Unit& unit, const GroupStatus& status) {
+StatusSummary LevelGossip::publish_unit(TimePoint now, const Unit& unit, const GroupStatus& status) {
   StatusSummary summary;
   summary.unit = unit;
   summary.writer = self_;
@@ -85,7 +85,7 @@
   return summary;
 }
 
-std::vector<StatusSummary> LevelGossip::publish(Span now) {
+std::vector<StatusSummary> LevelGossip::publish(TimePoint now) {
   std::vector<StatusSummary> written;
   if (!aggregates(now, Level::group)) return written;
   const Unit& group = placement_.group;
@@ -101,22 +101,22 @@
 
 // ---- Whom to ask for what
 
-LevelGossip::Beat LevelGossip::beat(Span now) {
-  Beat result;
-  state_.woken(now);
+LevelGossip::TickResult LevelGossip::tick(TimePoint now) {
+  TickResult result;
+  state_.on_timer(now);
   summaries_.expire(now);
   result.written = publish(now);
-  ask_group(now, result.questions);
-  if (beats_++ % beats_per_sibling_round == 0) {
-    ask_siblings(now, Level::group, result.questions);
-    ask_siblings(now, Level::zone, result.questions);
+  query_group(now, result.questions);
+  if (ticks_++ % ticks_per_sibling_round == 0) {
+    query_siblings(now, Level::group, result.questions);
+    query_siblings(now, Level::zone, result.questions);
   }
-  ask_siblings(now, Level::region, result.questions);
+  query_siblings(now, Level::region, result.questions);
   result.next = group_scheduler_.next(now);
   return result;
 }
 
-void LevelGossip::ask_group(Span now, std::vector<OutgoingQuestion>& questions) {
+void LevelGossip::query_group(TimePoint now, std::vector<OutgoingQuestion>& questions) {
   for (const std::string& peer : group_scheduler_.due(now))
     questions.push_back(
         {{peer, std::nullopt}, {self_, incarnation(now), state_.marks(), marks_for(now, peer)}});
@@ -126,7 +126,7 @@
   return sibling_schedulers_[static_cast<std::size_t>(level)];
 }
 
-void LevelGossip::ask_siblings(Span now, Level level, std::vector<OutgoingQuestion>& questions) {
+void LevelGossip::query_siblings(TimePoint now, Level level, std::vector<OutgoingQuestion>& questions) {
   std::map<std::string, Unit> siblings;
   if (aggregates(now, level)) {
     for (const Unit& sibling : topology_->siblings(placement_.at(level)))
@@ -134,7 +134,7 @@
   }
   std::set<std::string> names;
   for (const auto& [name, sibling] : siblings) names.insert(name);
-  siblings_at(level).charter(names);
+  siblings_at(level).set_peers(names);
   for (const std::string& name : siblings_at(level).due(now)) {
     const Unit& sibling = siblings.at(name);
     const std::string contact = contact_of(sibling);
@@ -150,8 +150,8 @@
   std::ranges::sort(candidates, std::greater<>(),
                     [&](const std::string& writer) { return rendezvous_weight(self_, writer); });
   std::ranges::copy(topology_->ranked_members(sibling), std::back_inserter(candidates));
-  const auto turn = contact_turns_.find(sibling);
-  return candidates[(turn == contact_turns_.end() ? 0 : turn->second) % candidates.size()];
+  const auto rotation = contact_rotations_.find(sibling);
+  return candidates[(rotation == contact_rotations_.end() ? 0 : rotation->second) % candidates.size()];
 }
 
 // Both sides compute the same, so that neither tells what the other has no use for.
@@ -169,7 +169,7 @@
   return result;
 }
 
-std::vector<SummaryMark> LevelGossip::marks_for(Span now, const std::string& peer) const {
+std::vector<SummaryMark> LevelGossip::marks_for(TimePoint now, const std::string& peer) const {
   std::vector<SummaryMark> marks;
   for (const Unit& unit : units_shared_with(peer)) {
     if (const auto mark = summaries_.mark(now, unit)) marks.push_back(*mark);
@@ -179,7 +179,7 @@
 
 // ---- Answers
 
-LevelAnswer LevelGossip::answer(Span now, const LevelQuestion& question) {
+LevelAnswer LevelGossip::answer(TimePoint now, const LevelQuestion& question) {
   LevelAnswer result;
   const std::optional<Placement> theirs = topology_->placement(question.asker);
   if (!theirs) return result;
@@ -198,42 +198,43 @@
   return result;
 }
 
-void LevelGossip::merge(Span now, Span asked, const std::string& teller, const LevelAnswer& answer) {
-  state_.heard(now, asked, answer.reports);
+void LevelGossip::merge(TimePoint now, TimePoint asked, const std::string& reporter,
+                        const LevelAnswer& answer) {
+  state_.receive(now, asked, answer.reports);
   for (const SummaryDelta& delta : answer.summaries) {
     if (delta.summary.writer == self_) go_beyond(now, asked, delta.summary.version);
-    else summaries_.merge(now, asked, teller, delta);
+    else summaries_.merge(now, asked, reporter, delta);
   }
 }
 
 // Its own past is of no use to an agent, but where it is later than the present one nobody would listen.
-void LevelGossip::go_beyond(Span now, Span asked, const SummaryVersion& past) {
+void LevelGossip::go_beyond(TimePoint now, TimePoint asked, const SummaryVersion& past) {
   if (past.incarnation <= incarnation(now)) return;
   ReportDelta own_past;
   own_past.agent = self_;
   own_past.upto.incarnation = past.incarnation;
-  state_.heard(now, asked, {own_past});
+  state_.receive(now, asked, {own_past});
 }
 
-void LevelGossip::completed(Span now, const QuestionId& id) {
+void LevelGossip::completed(TimePoint now, const QuestionId& id) {
   if (!id.sibling) return group_scheduler_.answered(now, id.peer);
   siblings_at(id.sibling->level).answered(now, to_string(*id.sibling));
   const bool of_use = summaries_.freshness(now, *id.sibling) == Freshness::fresh;
   const std::size_t writers = summaries_.writers(*id.sibling).size();
-  std::size_t& turn = contact_turns_[*id.sibling];
-  ++turn;
+  std::size_t& rotation = contact_rotations_[*id.sibling];
+  ++rotation;
   // While the writers themselves answer, they are asked in turn.
-  if (of_use && turn <= writers) turn %= writers;
-  else if (of_use) --turn;
+  if (of_use && rotation <= writers) rotation %= writers;
+  else if (of_use) --rotation;
 }
 
-void LevelGossip::missed(Span now, const QuestionId& id) {
+void LevelGossip::missed(TimePoint now, const QuestionId& id) {
   if (!id.sibling) return group_scheduler_.missed(now, id.peer);
   siblings_at(id.sibling->level).missed(now, to_string(*id.sibling));
-  ++contact_turns_[*id.sibling];
+  ++contact_rotations_[*id.sibling];
 }
 
-GroupStatus LevelGossip::fleet_status(Span now) const {
+GroupStatus LevelGossip::fleet_status(TimePoint now) const {
   std::vector<Unit> regions = topology_->siblings(placement_.region);
   regions.push_back(placement_.region);
   return summaries_.combine(now, regions);
--- a/src/fleet/level_gossip.h
+++ b/src/fleet/level_gossip.h
@@ -53,7 +53,7 @@
   // A group is small: each peer is asked every few beats even so.
   static constexpr std::size_t group_peers_at_once = 2;
   // Sibling groups and zones, which are many, are asked at every second beat; regions at each.
-  static constexpr std::uint64_t beats_per_sibling_round = 2;
+  static constexpr std::uint64_t ticks_per_sibling_round = 2;
 
   // As for GossipState: the incarnation is the last one on disk, the seed another at each start.
   LevelGossip(GossipState::Host& host, std::string self, std::uint64_t incarnation, std::uint64_t seed,
@@ -62,25 +62,25 @@
   // Replaces the member list. What is known of units and members that are gone is dropped.
   void set_topology(std::shared_ptr<const Topology> topology);
   // The own instances as they are now.
-  void say(const std::vector<StatusReport>& reports);
+  void publish_instances(const std::vector<StatusReport>& reports);
 
-  struct Beat {
+  struct TickResult {
     std::vector<OutgoingQuestion> questions;
     std::vector<StatusSummary> written;  // the summaries that this beat has made, smallest unit first
-    Span next{};                         // when to call again
+    TimePoint next{};                    // when to call again
   };
-  Beat beat(Span now);
-  LevelAnswer answer(Span now, const LevelQuestion& question);
+  TickResult tick(TimePoint now);
+  LevelAnswer answer(TimePoint now, const LevelQuestion& question);
   // Every question is concluded once by completed() or missed(); answers that come late are merged all the
   // same, by merge().
-  void merge(Span now, Span asked, const std::string& teller, const LevelAnswer& answer);
-  void completed(Span now, const QuestionId& id);
-  void missed(Span now, const QuestionId& id);
+  void merge(TimePoint now, TimePoint asked, const std::string& reporter, const LevelAnswer& answer);
+  void completed(TimePoint now, const QuestionId& id);
+  void missed(TimePoint now, const QuestionId& id);
 
   // What this agent believes about its own duty: it writes the summary of its unit at that level.
-  bool aggregates(Span now, Level level) const;
+  bool aggregates(TimePoint now, Level level) const;
   // The summaries known here of all regions, combined; its age is that of the oldest report counted.
-  GroupStatus fleet_status(Span now) const;
+  GroupStatus fleet_status(TimePoint now) const;
   const SummaryStore& summaries() const { return summaries_; }
   const GossipState& group_state() const { return state_; }
   const Placement& placement() const { return placement_; }
@@ -88,14 +88,14 @@
 
  private:
   std::vector<Unit> units_shared_with(const std::string& peer) const;
-  std::uint64_t incarnation(Span now) const { return state_.known(now, self_).mark.incarnation; }
-  void go_beyond(Span now, Span asked, const SummaryVersion& past);
-  std::vector<SummaryMark> marks_for(Span now, const std::string& peer) const;
-  std::vector<std::string> aggregator_candidates(Span now, Level level) const;
-  std::vector<StatusSummary> publish(Span now);
-  StatusSummary publish_unit(Span now, const Unit& unit, const GroupStatus& status);
-  void ask_group(Span now, std::vector<OutgoingQuestion>& questions);
-  void ask_siblings(Span now, Level level, std::vector<OutgoingQuestion>& questions);
+  std::uint64_t incarnation(TimePoint now) const { return state_.known(now, self_).mark.incarnation; }
+  void go_beyond(TimePoint now, TimePoint asked, const SummaryVersion& past);
+  std::vector<SummaryMark> marks_for(TimePoint now, const std::string& peer) const;
+  std::vector<std::string> aggregator_candidates(TimePoint now, Level level) const;
+  std::vector<StatusSummary> publish(TimePoint now);
+  StatusSummary publish_unit(TimePoint now, const Unit& unit, const GroupStatus& status);
+  void query_group(TimePoint now, std::vector<OutgoingQuestion>& questions);
+  void query_siblings(TimePoint now, Level level, std::vector<OutgoingQuestion>& questions);
   AntiEntropyScheduler& siblings_at(Level level);
   std::string contact_of(const Unit& sibling) const;
 
@@ -107,8 +107,8 @@
   AntiEntropyScheduler group_scheduler_;
   // One for each level, so that many groups don't delay word of other regions. Units go by to_string().
   std::array<AntiEntropyScheduler, 3> sibling_schedulers_;
-  std::map<Unit, std::size_t> contact_turns_;
-  std::uint64_t beats_ = 0, summary_number_ = 0;
+  std::map<Unit, std::size_t> contact_rotations_;
+  std::uint64_t ticks_ = 0, summary_number_ = 0;
   bool has_reported_ = false;
 };
 
--- a/src/fleet/quiescence.cpp
+++ b/src/fleet/quiescence.cpp
@@ -2,44 +2,45 @@
 
 namespace pearchute::fleet {
 
-void Rest::drain_ordered(Span now, bool drains, bool idle) {
-  if (ended_) return;
-  if (ordered_ && !drains) end_by_.reset();
-  ordered_ = drains;
-  settle(now, idle);
+void Quiescence::set_drain_ordered(TimePoint now, bool drains, bool idle) {
+  if (shutdown_begun_) return;
+  if (drain_ordered_ && !drains) shutdown_deadline_.reset();
+  drain_ordered_ = drains;
+  advance(now, idle);
 }
 
-void Rest::end_asked(Span now, Span within, bool idle) {
-  if (ended_) return;
-  end_by_ = now + within;
-  settle(now, idle);
+void Quiescence::request_shutdown(TimePoint now, Duration within, bool idle) {
+  if (shutdown_begun_) return;
+  shutdown_deadline_ = now + within;
+  advance(now, idle);
 }
 
-void Rest::end_called_off(Span now, bool idle) {
-  end_by_.reset();
-  settle(now, idle);
+void Quiescence::cancel_shutdown(TimePoint now, bool idle) {
+  shutdown_deadline_.reset();
+  advance(now, idle);
 }
 
-void Rest::looked(Span now, bool idle) { settle(now, idle); }
+void Quiescence::update(TimePoint now, bool idle) { advance(now, idle); }
 
-void Rest::settle(Span now, bool idle) {
-  if (ended_) return;
-  const bool away = ordered_ || end_by_;
+void Quiescence::advance(TimePoint now, bool idle) {
+  if (shutdown_begun_) return;
+  const bool rejecting = drain_ordered_ || shutdown_deadline_;
   // Once drained, it stays so until resumed: no call is taken that could open anything again.
-  const State next = !away                              ? State::serving
+  const State next = !rejecting                         ? State::serving
                      : idle || state_ == State::drained ? State::drained
                                                         : State::draining;
   if (next != state_) {
-    const bool turned = (state_ == State::serving) != (next == State::serving);
+    const bool rejection_changed = (state_ == State::serving) != (next == State::serving);
     state_ = next;
-    if (turned) {
-      away_since_ = now;
-      host_.turn_away(next != State::serving);
+    if (rejection_changed) {
+      rejecting_since_ = now;
+      host_.reject_requests(next != State::serving);
     }
-    host_.rests(next);
+    host_.state_changed(next);
   }
-  if (end_by_ && ((state_ == State::drained && now >= away_since_ + notice_) || now >= *end_by_)) {
-    ended_ = true;
+  if (shutdown_deadline_ && ((state_ == State::drained && now >= rejecting_since_ + notice_period_) ||
+                             now >= *shutdown_deadline_)) {
+    shutdown_begun_ = true;
     host_.end();
   }
 }
--- a/src/fleet/restart.h
+++ b/src/fleet/restart.h
@@ -3,7 +3,6 @@
 // or clock. What it was told last is what its outcome says, so that no instance is left in a state unknown.
 #pragma once
 
-#include <chrono>
 #include <cstdint>
 #include <functional>
 #include <optional>
@@ -11,63 +10,64 @@
 #include <string>
 #include <string_view>
 
-#include "fleet/caution.h"
+#include "fleet/command_outcome.h"
+#include "fleet/time.h"
 
 namespace pearchute::fleet {
 
 class Restart {
  public:
-  using Span = std::chrono::microseconds;
-  enum class State { asked, ending, starting, checking, over };
-  enum class Seen { answered, gone, silent };  // gone: nobody listens there; silent: no answer in time
+  enum class State { shutdown_requested, ending, starting, checking, over };
+  enum class ProbeResult { answered, gone, silent };  // gone: nobody listens there; silent: no answer in time
   struct Identity {
     std::uint64_t started = 0, process = 0;
     bool serves = false;  // its phase; with orders on the manager itself it may still turn calls away
     std::string build, digest;
   };
   struct Limits {
-    Span drain_within{};     // until what is open has ended; it ends then all the same
-    Span up_within{};        // from its end until it serves
-    bool starts_it = false;  // else somebody else does
+    Duration drain_within{};      // until what is open has ended; it ends then all the same
+    Duration up_within{};         // from its end until it serves
+    bool starts_program = false;  // else somebody else does
   };
   class Host {
    public:
     virtual ~Host() = default;
-    virtual void ask_to_end(Span within) = 0;                        // answered by end_answered
-    virtual void start_program() = 0;                                // answered by nothing but its coming up
-    virtual void ask_orders() = 0;                                   // answered by orders_told
-    virtual void give_orders(const std::set<std::string>& ids) = 0;  // and then ask_orders once more
+    virtual void request_shutdown(Duration within) = 0;  // answered by on_shutdown_response
+    virtual void start_program() = 0;                    // answered by nothing but its coming up
+    virtual void request_directives() = 0;               // answered by on_directives
+    virtual void reissue_directives(
+        const std::set<std::string>& ids) = 0;  // and then request_directives once more
   };
 
   Restart(Host& host, const Limits& limits) : host_(host), limits_(limits) {}
-  void begin(Span now, const Identity& before, const std::set<std::string>& orders);
-  void end_answered(Span now, Seen seen, bool accepted);
-  void seen(Span now, Seen seen, const std::optional<Identity>& identity);
-  void orders_told(Span now, const std::optional<std::set<std::string>>& orders);
-  void woken(Span now);
+  void begin(TimePoint now, const Identity& before, const std::set<std::string>& orders);
+  void on_shutdown_response(TimePoint now, ProbeResult result, bool accepted);
+  void on_probe(TimePoint now, ProbeResult result, const std::optional<Identity>& identity);
+  void on_directives(TimePoint now, const std::optional<std::set<std::string>>& orders);
+  void on_timer(TimePoint now);
 
   State state() const { return state_; }
   bool over() const { return state_ == State::over; }
-  Done outcome() const { return outcome_; }
-  const std::string& word() const { return word_; }  // what is known of it, in plain words
-  int handed_over() const { return handed_over_; }
+  CommandOutcome outcome() const { return outcome_; }
+  const std::string& detail() const { return detail_; }  // what is known of it, in plain words
+  int reissued_count() const { return reissued_count_; }
 
  private:
-  void finish(Done outcome, std::string word);
-  void up(Span now, const Identity& identity);
+  void finish(CommandOutcome outcome, std::string detail);
+  void on_serving(TimePoint now, const Identity& identity);
 
   Host& host_;
   const Limits limits_;
-  State state_ = State::asked;
+  State state_ = State::shutdown_requested;
   Identity before_, after_;
   std::set<std::string> orders_;
-  Span until_{};
-  Done outcome_ = Done::not_begun;
-  std::string word_;
-  int handed_over_ = 0;
-  bool given_ = false;
+  TimePoint deadline_{};
+  CommandOutcome outcome_ = CommandOutcome::not_begun;
+  std::string detail_;
+  int reissued_count_ = 0;
+  bool directives_reissued_ = false;
 };
 
-std::string_view word_for(Restart::State state);
+std::string_view name_of(Restart::State state);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/roles.h
+++ b/src/fleet/roles.h
@@ -8,13 +8,13 @@
 namespace pearchute::fleet {
 
 enum class Role { read, operate, admin, agent };
-std::optional<Role> role_in(std::string_view word);
-std::string_view word_for(Role role);
+std::optional<Role> parse_role(std::string_view word);
+std::string_view name_of(Role role);
 
-enum class Act { look, change, take_over };
+enum class Action { look, change, take_over };
 
 // Why that one may not, in plain words; nothing where it may. `who` is the name in the certificate, `as` the
 // one under which it acts: operators act under their own; agents carry out what operators have asked of them.
-std::optional<std::string> refusal(Role role, Act act, std::string_view who, std::string_view as);
+std::optional<std::string> denial_reason(Role role, Action act, std::string_view who, std::string_view as);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/status_summary.cpp
+++ b/src/fleet/status_summary.cpp
@@ -30,14 +30,14 @@
 }  // namespace
 
 void StatusCounts::add(const StatusReport& report) {
-  ++by_condition[static_cast<std::size_t>(report.condition)];
+  ++by_state[static_cast<std::size_t>(report.state)];
   traffic += report.traffic;
   done_traffic += report.traffic * report.done;
   open += report.open;
 }
 
 void StatusCounts::add(const StatusCounts& other) {
-  for (std::size_t n = 0; n < condition_count; ++n) by_condition[n] += other.by_condition[n];
+  for (std::size_t n = 0; n < instance_state_count; ++n) by_state[n] += other.by_state[n];
   traffic += other.traffic;
   done_traffic += other.done_traffic;
   open += other.open;
@@ -49,7 +49,7 @@
 std::size_t encoded_size(const SummaryDelta& delta) {
   const StatusCounts& counts = delta.summary.counts;
   std::size_t size = summary_overhead + unit_size(delta.summary.unit) + delta.summary.writer.size();
-  for (const std::uint32_t count : counts.by_condition) size += count == 0 ? 0 : 1 + varint_size(count);
+  for (const std::uint32_t count : counts.by_state) size += count == 0 ? 0 : 1 + varint_size(count);
   size += 2 * sizeof(double) + 3;
   size += varint_size(counts.open) + varint_size(counts.agents_fresh) + varint_size(counts.agents_old) +
           varint_size(counts.agents_unknown);
@@ -57,11 +57,12 @@
 }
 
 std::size_t encoded_size(const SummaryMark& mark) {
-  const auto age_ms = static_cast<std::uint64_t>(std::max<Span::rep>(0, mark.age.count() / 1000));
+  const auto age_ms = static_cast<std::uint64_t>(std::max<Duration::rep>(0, mark.age.count() / 1000));
   return mark_overhead + sizeof(mark.unit) + varint_size(age_ms) + varint_size(mark.agents_fresh);
 }
 
-GroupStatus summarize_group(const GossipState& state, const std::vector<std::string>& members, Span now) {
+GroupStatus summarize_group(const GossipState& state, const std::vector<std::string>& members,
+                            TimePoint now) {
   GroupStatus status;
   for (const std::string& member : members) {
     const GossipState::Known known = state.known(now, member);
@@ -69,8 +70,8 @@
     if (known.freshness == Freshness::old) ++status.counts.agents_old;
     if (known.freshness != Freshness::fresh) continue;
     ++status.counts.agents_fresh;
-    status.age = std::max(status.age, known.age.value_or(Span(0)));
-    for (const auto& [instance, report] : state.words(member)) status.counts.add(report);
+    status.age = std::max(status.age, known.age.value_or(Duration(0)));
+    for (const auto& [instance, report] : state.reports(member)) status.counts.add(report);
   }
   return status;
 }
@@ -101,34 +102,35 @@
   // Nobody can count more agents than it was configured with, by a margin for lists that differ.
   const std::size_t configured = topology_->ranked_members(summary.unit).size();
   return summary.counts.agents() <= 2 * configured + Topology::max_group_size &&
-         summary.age_when_made >= Span(0) && finite_share(summary.counts);
+         summary.age_when_made >= Duration(0) && finite_share(summary.counts);
 }
 
 // When all that is counted was so, by this agent's clock.
-std::optional<Span> SummaryStore::as_of(Span now, const Entry& entry) const {
+std::optional<TimePoint> SummaryStore::as_of(TimePoint now, const Entry& entry) const {
   if (entry.disputed) return std::nullopt;
   const StatusSummary& summary = entry.summary;
   if (entry.own) return summary.made_at - summary.age_when_made;
   const auto clock = clocks_.find(summary.writer);
   if (clock == clocks_.end()) return std::nullopt;
-  const std::optional<Span> offset = clock->second.offset(now, summary.version.incarnation);
+  const std::optional<Duration> offset = clock->second.offset(now, summary.version.incarnation);
   if (!offset) return std::nullopt;
   return std::min(summary.made_at + *offset, entry.received) - summary.age_when_made;
 }
 
-void SummaryStore::publish(Span now, const StatusSummary& own) {
+void SummaryStore::publish(TimePoint now, const StatusSummary& own) {
   if (!acceptable(own)) return;
   auto& writers = units_[own.unit];
   writers[own.writer] = {own, now, true, false};
   drop_excess_writers(writers, own.writer);
 }
 
-bool SummaryStore::merge(Span now, Span asked, const std::string& teller, const SummaryDelta& delta) {
+bool SummaryStore::merge(TimePoint now, TimePoint asked, const std::string& reporter,
+                         const SummaryDelta& delta) {
   const StatusSummary& summary = delta.summary;
   if (!acceptable(summary)) return false;
   // By what the teller says it was made so long ago, or later.
-  const Span made = asked - std::max(delta.age - summary.age_when_made, Span(0));
-  clocks_[summary.writer].claim(now, summary.version.incarnation, teller, teller == summary.writer,
+  const TimePoint made = asked - std::max(delta.age - summary.age_when_made, Duration(0));
+  clocks_[summary.writer].claim(now, summary.version.incarnation, reporter, reporter == summary.writer,
                                 made - summary.made_at);
   auto& writers = units_[summary.unit];
   const auto [at, is_new] = writers.try_emplace(summary.writer, Entry{summary, now, false, false});
@@ -164,43 +166,43 @@
 }
 
 // A summary that is told by nobody any more goes: a writer that lost its disk is not held back by its past.
-void SummaryStore::expire(Span now) {
+void SummaryStore::expire(TimePoint now) {
   for (auto& [unit, writers] : units_) {
-    const Span limit = freshness_limits(unit.level).old;
+    const Duration limit = freshness_limits(unit.level).old;
     std::erase_if(writers, [&](const auto& one) { return now - one.second.received > limit; });
   }
 }
 
-std::optional<SummaryStore::Selected> SummaryStore::selected(Span now, const Unit& unit) const {
+std::optional<SummaryStore::Selected> SummaryStore::selected(TimePoint now, const Unit& unit) const {
   const auto at = units_.find(unit);
   if (at == units_.end()) return std::nullopt;
   std::vector<Selected> proven;
   for (const auto& [writer, entry] : at->second) {
-    if (const std::optional<Span> when = as_of(now, entry)) proven.push_back({&entry.summary, *when});
+    if (const std::optional<TimePoint> when = as_of(now, entry)) proven.push_back({&entry.summary, *when});
   }
   if (proven.empty()) return std::nullopt;
-  const Span youngest = std::ranges::max(proven, {}, &Selected::as_of).as_of;
+  const TimePoint youngest = std::ranges::max(proven, {}, &Selected::as_of).as_of;
   std::erase_if(proven, [&](const Selected& one) { return one.as_of < youngest - coverage_window; });
   return std::ranges::max(proven, {}, [](const Selected& one) {
     return std::tuple(one.summary->counts.agents_fresh, one.as_of, one.summary->writer);
   });
 }
 
-Freshness SummaryStore::freshness(Span now, const Unit& unit) const {
+Freshness SummaryStore::freshness(TimePoint now, const Unit& unit) const {
   const std::optional<Selected> best = selected(now, unit);
   if (!best) return Freshness::unknown;
   const FreshnessLimits limits = freshness_limits(unit.level);
-  const Span age = now - best->as_of;
+  const Duration age = now - best->as_of;
   if (age > limits.old) return Freshness::unknown;
   return age <= limits.fresh ? Freshness::fresh : Freshness::old;
 }
 
-std::vector<std::string> SummaryStore::fresh_writers(Span now, const Unit& unit) const {
+std::vector<std::string> SummaryStore::fresh_writers(TimePoint now, const Unit& unit) const {
   std::vector<std::string> result;
   const auto at = units_.find(unit);
   if (at == units_.end()) return result;
   for (const auto& [writer, entry] : at->second) {
-    const std::optional<Span> when = as_of(now, entry);
+    const std::optional<TimePoint> when = as_of(now, entry);
     if (when && now - *when <= freshness_limits(unit.level).fresh) result.push_back(writer);
   }
   return result;
@@ -222,17 +224,17 @@
   return entry->second.summary.version;
 }
 
-std::optional<SummaryMark> SummaryStore::mark(Span now, const Unit& unit) const {
+std::optional<SummaryMark> SummaryStore::mark(TimePoint now, const Unit& unit) const {
   const std::optional<Selected> best = selected(now, unit);
   if (!best) return std::nullopt;
   return SummaryMark{id_of(unit), now - best->as_of, best->summary->counts.agents_fresh};
 }
 
-std::optional<SummaryDelta> SummaryStore::answer(Span now, const Unit& unit,
+std::optional<SummaryDelta> SummaryStore::answer(TimePoint now, const Unit& unit,
                                                  const SummaryMark* theirs) const {
   const std::optional<Selected> best = selected(now, unit);
   if (!best) return std::nullopt;
-  const Span age = now - best->as_of;
+  const Duration age = now - best->as_of;
   if (age > freshness_limits(unit.level).old) return std::nullopt;
   if (theirs) {
     const bool younger = age + min_gain < theirs->age;
@@ -243,7 +245,7 @@
   return SummaryDelta{*best->summary, age};
 }
 
-std::optional<SummaryDelta> SummaryStore::past_of(Span now, const std::string& writer,
+std::optional<SummaryDelta> SummaryStore::past_of(TimePoint now, const std::string& writer,
                                                   std::uint64_t incarnation) const {
   for (const auto& [unit, writers] : units_) {
     const auto entry = writers.find(writer);
@@ -253,7 +255,7 @@
   return std::nullopt;
 }
 
-GroupStatus SummaryStore::combine(Span now, const std::vector<Unit>& parts) const {
+GroupStatus SummaryStore::combine(TimePoint now, const std::vector<Unit>& parts) const {
   GroupStatus status;
   for (const Unit& part : parts) {
     const std::optional<Selected> best = selected(now, part);
--- a/src/fleet/status_summary.h
+++ b/src/fleet/status_summary.h
@@ -22,13 +22,13 @@
 
 namespace pearchute::fleet {
 
-// The number of values of Condition.
-inline constexpr std::size_t condition_count = 8;
+// The number of values of InstanceState.
+inline constexpr std::size_t instance_state_count = 8;
 
 // Sums over instances and agents. Only agents whose status is fresh are counted in the instance figures;
 // the others are counted as agents, so that nothing unknown passes for zero.
 struct StatusCounts {
-  std::array<std::uint32_t, condition_count> by_condition{};
+  std::array<std::uint32_t, instance_state_count> by_state{};
   double traffic = 0;       // queries answered per second
   double done_traffic = 0;  // those of them that were done
   std::uint64_t open = 0;   // queries in flight
@@ -50,8 +50,8 @@
   Unit unit;
   std::string writer;
   SummaryVersion version;
-  Span made_at{};        // by the writer's steady clock
-  Span age_when_made{};  // of the oldest report in it
+  TimePoint made_at{};       // by the writer's steady clock
+  Duration age_when_made{};  // of the oldest report in it
   StatusCounts counts;
   bool operator==(const StatusSummary&) const = default;
 };
@@ -59,13 +59,13 @@
 // A summary as one agent tells it to another: it was true this long ago, by the teller's clock.
 struct SummaryDelta {
   StatusSummary summary;
-  Span age{};
+  Duration age{};
 };
 
 // What the asker selected for a unit: enough for the other to see whether it has something better.
 struct SummaryMark {
   std::uint64_t unit = 0;  // id_of()
-  Span age{};
+  Duration age{};
   std::uint32_t agents_fresh = 0;
 };
 
@@ -76,13 +76,13 @@
 // The status of a group as one member knows it.
 struct GroupStatus {
   StatusCounts counts;
-  Span age{};  // of the oldest report that is counted
+  Duration age{};  // of the oldest report that is counted
 };
-GroupStatus summarize_group(const GossipState& state, const std::vector<std::string>& members, Span now);
+GroupStatus summarize_group(const GossipState& state, const std::vector<std::string>& members, TimePoint now);
 
 // Limits for the age of a summary. Each level adds a round of exchanges and the writer's interval.
 struct FreshnessLimits {
-  Span fresh, old;
+  Duration fresh, old;
 };
 FreshnessLimits freshness_limits(Level level);
 
@@ -91,49 +91,50 @@
   // Two are expected to write; more than these are dropped, the oldest first.
   static constexpr std::size_t max_writers = 4;
   // A summary that is younger by less than this is not worth an answer.
-  static constexpr Span min_gain = std::chrono::milliseconds(1000);
+  static constexpr Duration min_gain = std::chrono::milliseconds(1000);
   // Within this much of the youngest the one that covers more agents is selected: an agent that has just
   // started, or is cut off, writes a young summary of itself alone.
-  static constexpr Span coverage_window = std::chrono::seconds(2);
+  static constexpr Duration coverage_window = std::chrono::seconds(2);
 
   struct Entry {
     StatusSummary summary;
-    Span received{};        // when this version was first here
+    TimePoint received{};   // when this version was first here
     bool own = false;       // written by this agent
     bool disputed = false;  // two contents under one version: neither is read
   };
   struct Selected {
     const StatusSummary* summary = nullptr;
-    Span as_of{};  // by this agent's clock: all that is counted was so then, or later
+    TimePoint as_of{};  // by this agent's clock: all that is counted was so then, or later
   };
 
   // Units outside the topology, and writers outside their unit, are not accepted.
   void set_topology(std::shared_ptr<const Topology> topology);
-  void publish(Span now, const StatusSummary& own);
+  void publish(TimePoint now, const StatusSummary& own);
   // What `teller` was asked for at `asked` and that arrived at `now`. True if it is a later version.
-  bool merge(Span now, Span asked, const std::string& teller, const SummaryDelta& delta);
-  void expire(Span now);
+  bool merge(TimePoint now, TimePoint asked, const std::string& reporter, const SummaryDelta& delta);
+  void expire(TimePoint now);
 
   // None: there is no summary whose age can be proven.
-  std::optional<Selected> selected(Span now, const Unit& unit) const;
-  Freshness freshness(Span now, const Unit& unit) const;
+  std::optional<Selected> selected(TimePoint now, const Unit& unit) const;
+  Freshness freshness(TimePoint now, const Unit& unit) const;
   // The writers of the unit whose summary is fresh.
-  std::vector<std::string> fresh_writers(Span now, const Unit& unit) const;
+  std::vector<std::string> fresh_writers(TimePoint now, const Unit& unit) const;
   // All writers that are known, whatever the age of what they wrote.
   std::vector<std::string> writers(const Unit& unit) const;
   std::optional<SummaryVersion> version(const Unit& unit, const std::string& writer) const;
-  std::optional<SummaryMark> mark(Span now, const Unit& unit) const;
+  std::optional<SummaryMark> mark(TimePoint now, const Unit& unit) const;
   // The selected summary where it is better than what the asker has.
-  std::optional<SummaryDelta> answer(Span now, const Unit& unit, const SummaryMark* theirs) const;
+  std::optional<SummaryDelta> answer(TimePoint now, const Unit& unit, const SummaryMark* theirs) const;
   // What its writer has written under a later incarnation than it has now, having lost its disk.
-  std::optional<SummaryDelta> past_of(Span now, const std::string& writer, std::uint64_t incarnation) const;
+  std::optional<SummaryDelta> past_of(TimePoint now, const std::string& writer,
+                                      std::uint64_t incarnation) const;
   // Sums over the selected fresh summaries of `parts`; the members of the others are counted as unknown.
-  GroupStatus combine(Span now, const std::vector<Unit>& parts) const;
+  GroupStatus combine(TimePoint now, const std::vector<Unit>& parts) const;
   std::size_t size() const;
 
  private:
   bool acceptable(const StatusSummary& summary) const;
-  std::optional<Span> as_of(Span now, const Entry& entry) const;
+  std::optional<TimePoint> as_of(TimePoint now, const Entry& entry) const;
   void drop_excess_writers(std::map<std::string, Entry>& writers, const std::string& keep);
 
   std::shared_ptr<const Topology> topology_ = std::make_shared<const Topology>();
--- a/src/fleet/writer_clock.cpp
+++ b/src/fleet/writer_clock.cpp
@@ -4,8 +4,8 @@
 
 namespace pearchute::fleet {
 
-void WriterClock::claim(Span now, std::uint64_t incarnation, const std::string& teller, bool is_writer,
-                        Span offset) {
+void WriterClock::claim(TimePoint now, std::uint64_t incarnation, const std::string& teller, bool is_writer,
+                        Duration offset) {
   std::erase_if(claims_, [&](const Claim& one) { return now - one.made > claim_lifetime; });
   // What nobody has spoken of for so long does not stand against a writer that has lost its disk.
   if (incarnation < incarnation_ && !claims_.empty()) return;
@@ -29,12 +29,12 @@
   if (is_writer || offset > least->at(now)) *least = claim;
 }
 
-std::optional<WriterClock::Span> WriterClock::offset(Span now, std::uint64_t incarnation) const {
+std::optional<Duration> WriterClock::offset(TimePoint now, std::uint64_t incarnation) const {
   if (incarnation != incarnation_) return std::nullopt;
-  std::optional<Span> by_writer, greatest, second;
+  std::optional<Duration> by_writer, greatest, second;
   for (const Claim& claim : claims_) {
     if (now - claim.made > claim_lifetime) continue;
-    const Span value = claim.at(now);
+    const Duration value = claim.at(now);
     if (claim.is_writer) {
       by_writer = value;
     } else if (!greatest || value > *greatest) {
--- a/src/fleet/writer_clock.h
+++ b/src/fleet/writer_clock.h
@@ -7,34 +7,36 @@
 // often and by however much, does not raise it above the truth.
 #pragma once
 
-#include <chrono>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
 
+#include "fleet/time.h"
+
 namespace pearchute::fleet {
 
 class WriterClock {
  public:
-  using Span = std::chrono::microseconds;
   // So long a claim counts: a clock that stood still, as in a paused machine, misleads for no longer.
-  static constexpr Span claim_lifetime = std::chrono::seconds(60);
+  static constexpr Duration claim_lifetime = std::chrono::seconds(60);
   static constexpr std::size_t max_claims = 4;
   // The difference that two steady clocks may gather: 200 parts per million.
-  static constexpr Span::rep drift_divisor = 5000;
+  static constexpr Duration::rep drift_divisor = 5000;
 
   // A later incarnation is another process, with another clock; claims of an earlier one are ignored.
-  void claim(Span now, std::uint64_t incarnation, const std::string& teller, bool is_writer, Span offset);
+  void claim(TimePoint now, std::uint64_t incarnation, const std::string& teller, bool is_writer,
+             Duration offset);
   // This agent's clock less the writer's, at most; none while nothing is proven.
-  std::optional<Span> offset(Span now, std::uint64_t incarnation) const;
+  std::optional<Duration> offset(TimePoint now, std::uint64_t incarnation) const;
 
  private:
   struct Claim {
     std::string teller;
     bool is_writer = false;
-    Span offset{}, made{};
-    Span at(Span now) const { return offset - (now - made) / drift_divisor; }
+    Duration offset{};
+    TimePoint made{};
+    Duration at(TimePoint now) const { return offset - (now - made) / drift_divisor; }
   };
   std::uint64_t incarnation_ = 0;
   std::vector<Claim> claims_;
