--- a/src/keys/authority.cpp
+++ b/src/keys/authority.cpp
@@ -145,7 +145,7 @@
     const std::string uri(
         reinterpret_cast<const char*>(ASN1_STRING_get0_data(one->d.uniformResourceIdentifier)),
         static_cast<std::size_t>(ASN1_STRING_length(one->d.uniformResourceIdentifier)));
-    if (uri.starts_with(role_mark)) told.role = fleet::role_in(uri.substr(role_mark.size()));
+    if (uri.starts_with(role_mark)) told.role = fleet::parse_role(uri.substr(role_mark.size()));
   }
   GENERAL_NAMES_free(names);
   return told;
@@ -205,7 +205,7 @@
   extend(certificate.get(), issuer.get(), NID_basic_constraints, "critical,CA:FALSE");
   extend(certificate.get(), issuer.get(), NID_ext_key_usage, "serverAuth,clientAuth");
   std::string names = "DNS:" + name;
-  if (role) names += ",URI:" + std::string(role_mark) + std::string(fleet::word_for(*role));
+  if (role) names += ",URI:" + std::string(role_mark) + std::string(fleet::name_of(*role));
   extend(certificate.get(), issuer.get(), NID_subject_alt_name, names);
   if (!X509_sign(certificate.get(), authority.get(), EVP_sha256())) throw Error("the authority can't sign");
   put(path(name + ".key"), pem_of([&](BIO* out) {
--- a/src/lab/checkers/history_checker.cpp
+++ b/src/lab/checkers/history_checker.cpp
@@ -252,7 +252,7 @@
 void HistoryChecker::judge_cold_budget(const std::string& engine, const Job& job) {
   const auto at = cold_.find(engine);
   if (at == cold_.end()) return;
-  ColdEngine& cold = at->second;
+  WarmingEngine& cold = at->second;
   const Time now = steady_now();
   if (now > cold.since + terms_.cold->lasts) return void(cold_.erase(at));
   ++verdict_.cold_seen;
--- a/src/lab/checkers/history_checker.h
+++ b/src/lab/checkers/history_checker.h
@@ -130,7 +130,7 @@
     std::string earlier, later;
     Time at{};
   };
-  struct ColdEngine {
+  struct WarmingEngine {
     Time since{};
     double limit_ms = 0;
     std::deque<std::pair<Time, double>> work;
@@ -158,7 +158,7 @@
   bool unseen_give_ups_ = false;
   ServiceTerms terms_;
   std::map<std::string, std::string> zones_;
-  std::map<std::string, ColdEngine> cold_;
+  std::map<std::string, WarmingEngine> cold_;
   std::vector<Overtaken> overtaken_;
   std::map<int, std::deque<Time>> taken_, further_;  // by manager, of the ration's window
   std::deque<std::pair<Time, Time>> delays_;         // when, and how long, of the last two seconds
--- a/src/lab/measurements/measure_configuration.cpp
+++ b/src/lab/measurements/measure_configuration.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-double at_share(std::vector<fleet::Span> values, double share) {
+double at_share(std::vector<fleet::Duration> values, double share) {
   if (values.empty()) return 0;
   std::ranges::sort(values);
   const auto at = static_cast<std::size_t>(share * static_cast<double>(values.size() - 1));
@@ -22,7 +22,7 @@
 }
 
 nlohmann::json play(std::uint64_t seed, int histories, ConfigSimulation::Shape shape, bool& well) {
-  std::vector<fleet::Span> in_force, acknowledged, settled;
+  std::vector<fleet::Duration> in_force, acknowledged, settled;
   ConfigSimulation::Result sum;
   for (int n = 0; n < histories; ++n) {
     shape.seed = seed * 100'000 + static_cast<std::uint64_t>(n);
--- a/src/lab/measurements/measure_gossip.cpp
+++ b/src/lab/measurements/measure_gossip.cpp
@@ -26,7 +26,7 @@
   std::ranges::sort(values);
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
-double in_ms(fleet::Span span) { return static_cast<double>(span.count()) / 1000; }
+double in_ms(fleet::Duration span) { return static_cast<double>(span.count()) / 1000; }
 
 nlohmann::json histories(std::uint64_t seed, int number, GossipSimulation::Shape shape, bool& well) {
   std::vector<double> spread, settled;
@@ -41,7 +41,7 @@
     changes += result.changes, digest = digest * 31 + result.digest;
     kept = std::max(kept, result.most_kept), answer = std::max(answer, result.most_answer);
     bytes += result.bytes_a_second / number;
-    for (const fleet::Span one : result.spread) spread.push_back(in_ms(one));
+    for (const fleet::Duration one : result.spread) spread.push_back(in_ms(one));
     settled.push_back(in_ms(result.settled));
   }
   well = well && broken == 0;
--- a/src/lab/measurements/measure_levels.cpp
+++ b/src/lab/measurements/measure_levels.cpp
@@ -23,9 +23,9 @@
 constexpr double byte_target = 13'000;
 constexpr int target_agents = 630;
 
-double in_ms(fleet::Span span) { return static_cast<double>(span.count()) / 1000; }
+double in_ms(fleet::Duration span) { return static_cast<double>(span.count()) / 1000; }
 
-double max_in_ms(const std::vector<fleet::Span>& spans) {
+double max_in_ms(const std::vector<fleet::Duration>& spans) {
   return spans.empty() ? 0 : in_ms(std::ranges::max(spans));
 }
 
@@ -100,7 +100,7 @@
   bool well = true;
   std::vector<std::string> faults;
   std::uint64_t never_said = 0, stale = 0, overruled = 0, unsettled = 0, checks = 0;
-  std::vector<fleet::Span> settled;
+  std::vector<fleet::Duration> settled;
   for (int n = 0; n < number; ++n) {
     LevelSimulation::Shape shape;
     shape.seed = seed * 100'000 + static_cast<std::uint64_t>(n);
--- a/src/lab/measurements/measure_rollout.cpp
+++ b/src/lab/measurements/measure_rollout.cpp
@@ -24,9 +24,10 @@
   plan.kind = seed % 2 ? fleet::StepKind::restart : fleet::StepKind::change;
   plan.version = plan.kind == fleet::StepKind::change ? 2 : 0, plan.version_before = 1;
   plan.fallback = seed % 3 ? fleet::Fallback::serve_again : fleet::Fallback::finish;
-  plan.at_once = 6, plan.batch = 8, plan.gate = milliseconds(500), plan.warm = milliseconds(500);
-  plan.least_serving = {{"z0", 3}, {"z1", 3}};
-  plan.lease = seconds(6), plan.drain_within = seconds(4), plan.up_within = seconds(8), plan.failures = 1;
+  plan.max_concurrent = 6, plan.batch = 8, plan.gate = milliseconds(500), plan.warm = milliseconds(500);
+  plan.min_serving = {{"z0", 3}, {"z1", 3}};
+  plan.lease_duration = seconds(6), plan.drain_within = seconds(4), plan.up_within = seconds(8),
+  plan.failures = 1;
   return plan;
 }
 
@@ -154,13 +155,13 @@
   RolloutSimulation::Shape large{.seed = bench.seed};
   large.agents = 50, large.instances_each = 20, large.zones = 4;
   fleet::RolloutPlan plan = plan_of(1);
-  plan.at_once = 20, plan.batch = 0,
-  plan.least_serving = {{"z0", 200}, {"z1", 200}, {"z2", 200}, {"z3", 200}};
-  plan.drain_within = seconds(30), plan.up_within = seconds(30), plan.lease = seconds(30);
+  plan.max_concurrent = 20, plan.batch = 0,
+  plan.min_serving = {{"z0", 200}, {"z1", 200}, {"z2", 200}, {"z3", 200}};
+  plan.drain_within = seconds(30), plan.up_within = seconds(30), plan.lease_duration = seconds(30);
   RolloutSimulation model(large);
   const RolloutSimulation::Result result = model.play(plan);
   // One instance takes 0.85 s to end and 0.55 s to start on average, and half a second to be warm.
-  const double ideal_s = 1000.0 / plan.at_once * (0.85 + 0.55 + 0.5);
+  const double ideal_s = 1000.0 / plan.max_concurrent * (0.85 + 0.55 + 0.5);
   const double took_s = static_cast<double>(result.lasted.count()) / 1e6;
   bool well = true;
   const nlohmann::json processes = with_processes(bench, well);
--- a/src/lab/measurements/measure_scale.cpp
+++ b/src/lab/measurements/measure_scale.cpp
@@ -89,7 +89,7 @@
       result.cold_over_limit = change.cold_over_limit;
       result.cold_most_of_limit = change.cold_most_of_limit;
     } else {
-      result.recovered[std::string(word_for(fault))] = injector.strike(fault);
+      result.recovered[std::string(name_of(fault))] = injector.strike(fault);
     }
   }
   result.stale_as_fresh = injector.stale_as_fresh();
--- a/src/lab/measurements/slopes_operator.cpp
+++ b/src/lab/measurements/slopes_operator.cpp
@@ -77,11 +77,11 @@
   fleet::RolloutPlan plan;
   plan.id = "slope";
   plan.who = "lab";
-  plan.at_once = rolled_at_once;
+  plan.max_concurrent = rolled_at_once;
   plan.gate = milliseconds(500);
   plan.warm = milliseconds(500);
   for (int zone = 0; zone < zones; ++zone)
-    plan.least_serving["z" + std::to_string(zone)] = instances / zones * 4 / 5;
+    plan.min_serving["z" + std::to_string(zone)] = instances / zones * 4 / 5;
   const RolloutSimulation::Result result = RolloutSimulation(shape).play(plan);
   if (result.state != fleet::Rollout::State::done)
     throw TestClusterError("the simulated rollout over " + std::to_string(instances) +
--- a/src/lab/scale/hollow_hosts.cpp
+++ b/src/lab/scale/hollow_hosts.cpp
@@ -70,7 +70,7 @@
         return look(line);
       case HollowCommand::cut:
       case HollowCommand::heal:
-        set_cut(line.at("command") == word_for(HollowCommand::cut));
+        set_cut(line.at("command") == name_of(HollowCommand::cut));
         return json::object();
       case HollowCommand::restart:
         restart(line.at("agents").get<std::set<std::string>>());
@@ -189,7 +189,7 @@
 
 }  // namespace
 
-std::string_view word_for(HollowCommand command) {
+std::string_view name_of(HollowCommand command) {
   constexpr std::string_view words[] = {"look", "cut", "heal", "restart", "configuration"};
   return words[static_cast<int>(command)];
 }
--- a/src/lab/scale/hollow_hosts.h
+++ b/src/lab/scale/hollow_hosts.h
@@ -31,7 +31,7 @@
 std::string manager_socket(const std::string& folder, const std::string& manager);
 
 enum class HollowCommand { look, cut, heal, restart, configuration };
-std::string_view word_for(HollowCommand command);
+std::string_view name_of(HollowCommand command);
 
 // What is looked for: agents that are down for now, whether the regions are cut off from each other, and
 // under which incarnation an agent speaks, as far as that is known.
--- a/src/lab/scale/scale_cluster.cpp
+++ b/src/lab/scale/scale_cluster.cpp
@@ -128,7 +128,7 @@
   std::map<std::size_t, std::set<std::string>> by_rack;
   for (const PlannedHost& host : hosts) by_rack[host.rack].insert(host.agent);
   for (const auto& [rack, agents] : by_rack)
-    racks_[rack]->send({{"command", word_for(HollowCommand::restart)}, {"agents", agents}});
+    racks_[rack]->send({{"command", name_of(HollowCommand::restart)}, {"agents", agents}});
   for (const auto& [rack, agents] : by_rack) learn_incarnations(racks_[rack]->receive());
 }
 
@@ -146,7 +146,7 @@
     write_charter(n, cut);
     ::kill(real_agents_[n]->process, SIGHUP);
   }
-  ask_all({{"command", word_for(cut ? HollowCommand::cut : HollowCommand::heal)}});
+  ask_all({{"command", name_of(cut ? HollowCommand::cut : HollowCommand::heal)}});
 }
 
 void ScaleCluster::ask_all(const json& command, std::vector<json>* answers) {
@@ -162,7 +162,7 @@
 
 std::size_t ScaleCluster::managers_in_force(const std::string& digest) {
   std::vector<json> answers;
-  ask_all({{"command", word_for(HollowCommand::configuration)}, {"digest", digest}}, &answers);
+  ask_all({{"command", name_of(HollowCommand::configuration)}, {"digest", digest}}, &answers);
   std::size_t managers = 0;
   for (const json& answer : answers) managers += answer.at("in_force").get<std::size_t>();
   for (std::size_t m = 0; m < world_.managers().size(); ++m)
@@ -202,7 +202,7 @@
 
 Knowledge ScaleCluster::look(const Expected& expected) {
   std::vector<json> answers;
-  ask_all({{"command", word_for(HollowCommand::look)},
+  ask_all({{"command", name_of(HollowCommand::look)},
            {"down", expected.down},
            {"regions_cut", expected.regions_cut},
            {"incarnations", expected.incarnations}},
@@ -227,7 +227,7 @@
 
 std::map<std::string, std::uint64_t> ScaleCluster::bytes_sent() {
   std::vector<json> answers;
-  ask_all({{"command", word_for(HollowCommand::look)},
+  ask_all({{"command", name_of(HollowCommand::look)},
            {"down", json::array()},
            {"regions_cut", false},
            {"incarnations", json::object()}},
--- a/src/lab/scale/scale_faults.cpp
+++ b/src/lab/scale/scale_faults.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string_view word_for(ScaleFault fault) {
+std::string_view name_of(ScaleFault fault) {
   constexpr std::string_view words[] = {"ordinary", "rack",    "zone",         "regions",
                                         "third",    "primary", "configuration"};
   return words[static_cast<int>(fault)];
@@ -40,7 +40,7 @@
   std::istringstream words(text);
   for (std::string word; std::getline(words, word, ',');) {
     const auto known =
-        std::ranges::find_if(every_fault, [&](ScaleFault one) { return word_for(one) == word; });
+        std::ranges::find_if(every_fault, [&](ScaleFault one) { return name_of(one) == word; });
     if (known == std::end(every_fault))
       throw UsageError("'" + word + "' is no fault of a scale run", "--faults",
                        "write some of ordinary,rack,zone,regions,third,primary,configuration");
--- a/src/lab/scale/scale_faults.h
+++ b/src/lab/scale/scale_faults.h
@@ -13,7 +13,7 @@
 namespace pearchute::lab {
 
 enum class ScaleFault { ordinary, rack, zone, regions, third, primary, configuration };
-std::string_view word_for(ScaleFault fault);
+std::string_view name_of(ScaleFault fault);
 std::vector<ScaleFault> all_scale_faults();
 // "third,zone"; empty: all. Throws UsageError.
 std::vector<ScaleFault> scale_faults_in(const std::string& text);
--- a/src/lab/simulations/budget_lease_simulation.cpp
+++ b/src/lab/simulations/budget_lease_simulation.cpp
@@ -19,48 +19,49 @@
 struct BudgetLeaseSimulation::Impl {
   struct Manager {
     std::string name;
-    int owner = 0, even = Parts::whole;
+    int owner = 0, even = BudgetLeases::full_share;
     bool alive = true, stopped = false;
-    Span began{};
+    TimePoint began{};
     std::uint64_t life = 1;
     double traffic = 0;  // eighths that it could send in a window, at each engine
     struct Order {
       std::uint64_t fence = 0;
       int eighths = 0;
-      Span until{};
+      TimePoint until{};
     };
-    std::map<ColdEngine, Order> orders;
-    std::map<ColdEngine, std::deque<std::pair<Span, double>>> sent;  // by this life, in the last window
+    std::map<WarmingEngine, Order> orders;
+    std::map<WarmingEngine, std::deque<std::pair<Duration, double>>>
+        sent;  // by this life, in the last window
     std::deque<std::function<void()>> put_off;
     double got = 0, could = 0;
   };
-  struct Agent final : Parts::Host {
+  struct Agent final : BudgetLeases::Host {
     Impl* model = nullptr;
     int number = 0;
     std::string name;
-    std::unique_ptr<Parts> parts;
+    std::unique_ptr<BudgetLeases> parts;
     std::uint64_t incarnation = 0, life = 0;
-    std::map<std::string, Parts::Loan> disk;
+    std::map<std::string, BudgetLeases::BudgetLease> disk;
     bool stopped = false;
     std::deque<std::function<void()>> put_off;
-    bool keep(const std::map<std::string, Parts::Loan>& loans) override {
+    bool persist(const std::map<std::string, BudgetLeases::BudgetLease>& loans) override {
       if (model->by(0.02)) return false;  // a full disk, now and then
       disk = loans;
       return true;
     }
-    void tell(const std::string& manager, const ColdEngine& engine, int eighths, Span until,
-              std::uint64_t fence) override {
+    void send_share(const std::string& manager, const WarmingEngine& engine, int eighths, TimePoint until,
+                    std::uint64_t fence) override {
       model->tell(*this, manager, engine, eighths, until, fence);
     }
-    void ask(const std::string& agent, const LoanAsk& ask) override {
+    void send_request(const std::string& agent, const BudgetLeaseRequest& ask) override {
       ++model->result.asks;
       Agent& to = model->of(agent);
-      model->carry(*this, to, [this, &to, ask] { to.parts->asked(model->now, name, ask); });
+      model->carry(*this, to, [this, &to, ask] { to.parts->on_request(model->now, name, ask); });
     }
-    void answer(const std::string& agent, const LoanAnswer& answer) override {
+    void send_response(const std::string& agent, const BudgetLeaseResponse& answer) override {
       model->result.grants += answer.eighths > 0;
       Agent& to = model->of(agent);
-      model->carry(*this, to, [this, &to, answer] { to.parts->answered(model->now, name, answer); });
+      model->carry(*this, to, [this, &to, answer] { to.parts->on_response(model->now, name, answer); });
     }
   };
 
@@ -95,24 +96,24 @@
   }
   std::uint64_t draw(std::uint64_t below) { return chance() % below; }
   bool by(double share) { return static_cast<double>(draw(1'000'000)) < share * 1e6; }
-  void at(Span in, std::function<void()> what) { time.at(now + in, std::move(what)); }
+  void at(Duration in, std::function<void()> what) { time.at(now + in, std::move(what)); }
   Agent& of(const std::string& name) { return *agents[static_cast<std::size_t>(std::stoi(name.substr(1)))]; }
 
-  void at_agent(Span in, Agent& agent, std::function<void()> what) {
+  void at_agent(Duration in, Agent& agent, std::function<void()> what) {
     at(in, [&agent, life = agent.life, what] {
       if (agent.life != life || !agent.parts) return;
       if (agent.stopped) agent.put_off.push_back(what);
       else what();
     });
   }
-  void at_manager(Span in, Manager& manager, std::function<void()> what) {
+  void at_manager(Duration in, Manager& manager, std::function<void()> what) {
     at(in, [&manager, life = manager.life, what] {
       if (manager.life != life || !manager.alive) return;
       if (manager.stopped) manager.put_off.push_back(what);
       else what();
     });
   }
-  Span way() { return milliseconds(1 + draw(by(0.05) ? 8000 : 30)); }
+  Duration way() { return milliseconds(1 + draw(by(0.05) ? 8000 : 30)); }
   void carry(Agent& from, Agent& to, std::function<void()> arrives) {
     for (int n = by(shape.doubled) ? 2 : 1; n > 0; --n) {
       if (cut.contains({from.number, to.number}) || by(shape.loss)) continue;
@@ -124,29 +125,29 @@
     ++agent.life, ++agent.incarnation;
     agent.stopped = false, agent.put_off.clear();
     if (!disk_kept) agent.disk.clear();
-    const Span window = shape.broken == 1 ? milliseconds(1) : shape.window;
-    agent.parts = std::make_unique<Parts>(agent, agent.name, agent.incarnation, window, shape.lease);
+    const Duration window = shape.broken == 1 ? milliseconds(1) : shape.window;
+    agent.parts = std::make_unique<BudgetLeases>(agent, agent.name, agent.incarnation, window, shape.lease);
     std::map<std::string, int> own;
     for (auto& [name, manager] : managers) {
       if (manager.owner == agent.number) own[name] = manager.even;
     }
-    agent.parts->manages(own);
+    agent.parts->set_managers(own);
     const bool first = agent.life == 1;
-    agent.parts->remembered(now, agent.disk, !disk_kept && !first);
+    agent.parts->restore(now, agent.disk, !disk_kept && !first);
     beat(agent);
   }
   void beat(Agent& agent) {
     for (auto& [name, manager] : managers) {
       if (manager.owner != agent.number || !manager.alive) continue;
-      for (const ColdEngine& engine : engines)
-        agent.parts->wants(now, name, engine, static_cast<int>(std::lround(manager.traffic)));
+      for (const WarmingEngine& engine : engines)
+        agent.parts->set_demand(now, name, engine, static_cast<int>(std::lround(manager.traffic)));
     }
     std::vector<std::string> lenders;
     if (shape.lends) {
       for (const auto& other : agents) lenders.push_back(other->name);
       std::ranges::rotate(lenders, lenders.begin() + static_cast<std::ptrdiff_t>(draw(lenders.size())));
     }
-    agent.parts->woken(now, lenders);
+    agent.parts->on_timer(now, lenders);
     at_agent(milliseconds(400 + draw(200)), agent, [this, &agent] { beat(agent); });
   }
   void begin(Manager& manager) {
@@ -154,16 +155,17 @@
     manager.orders.clear(), manager.sent.clear(), manager.put_off.clear();
     // Its agent sees another life at its next look.
     Agent& agent = *agents[static_cast<std::size_t>(manager.owner)];
-    at_agent(milliseconds(200), agent, [this, &agent, &manager] { agent.parts->began(now, manager.name); });
+    at_agent(milliseconds(200), agent,
+             [this, &agent, &manager] { agent.parts->on_manager_restarted(now, manager.name); });
   }
 
   // The agent has read the manager's clock before: the reading is up to 50 ms old, which shortens what holds
   // at most and lengthens what holds at least.
-  void tell(Agent& agent, const std::string& name, const ColdEngine& engine, int eighths, Span until,
+  void tell(Agent& agent, const std::string& name, const WarmingEngine& engine, int eighths, TimePoint until,
             std::uint64_t fence) {
     ++result.orders;
     Manager& manager = managers.at(name);
-    const Span reading = milliseconds(draw(50));
+    const Duration reading = milliseconds(draw(50));
     const Manager::Order order{fence, eighths, eighths < manager.even ? until + reading : until - reading};
     if (cut_off.contains(name) || by(shape.loss)) return;
     at_manager(way(), manager, [this, &agent, &manager, engine, order] {
@@ -171,17 +173,17 @@
       if (order.fence >= had.fence) had = order;
       if (cut_off.contains(manager.name) || by(shape.loss)) return;
       at_agent(way(), agent, [this, &agent, &manager, engine, order] {
-        agent.parts->heard(now, manager.name, engine, order.fence);
+        agent.parts->on_share_acknowledged(now, manager.name, engine, order.fence);
       });
     });
-    if (shape.broken == 2) agent.parts->heard(now, name, engine, fence);
+    if (shape.broken == 2) agent.parts->on_share_acknowledged(now, name, engine, fence);
   }
 
-  int share(const Manager& manager, const ColdEngine& engine) const {
+  int share(const Manager& manager, const WarmingEngine& engine) const {
     const auto at = manager.orders.find(engine);
     if (at != manager.orders.end() && now < at->second.until) return at->second.eighths;
-    const Span silent = Parts::silent_start(shape.window, shape.lease);
-    if (at == manager.orders.end() && manager.began > Span(0) && now - manager.began < silent) return 0;
+    const Duration silent = BudgetLeases::startup_quiet_period(shape.window, shape.lease);
+    if (at == manager.orders.end() && manager.began > Duration(0) && now - manager.began < silent) return 0;
     return manager.even;
   }
   void fault(std::uint64_t& count, const std::string& what) {
@@ -191,7 +193,7 @@
   }
   void tick() {
     constexpr milliseconds step(100);
-    for (const ColdEngine& engine : engines) {
+    for (const WarmingEngine& engine : engines) {
       int shares = 0;
       for (auto& [name, manager] : managers) {
         // What it may send counts whether it is stopped or not: it may go on at any moment.
@@ -204,7 +206,7 @@
         const double want = manager.traffic * (std::chrono::duration<double>(step) / shape.window);
         // Jobs come unevenly; and in its first window a life knows nothing of what the one before has sent.
         const double could = by(0.5) ? 2 * want : 0;
-        const double may = now - manager.began < shape.window && manager.began > Span(0)
+        const double may = now - manager.began < shape.window && manager.began > Duration(0)
                                ? 0
                                : std::max(0.0, share(manager, engine) - used);
         const double amount = std::min(could, may);
@@ -305,14 +307,14 @@
   Shape shape;
   std::knuth_b chance;
   Timeline time;
-  const Span& now = time.now;
+  const TimePoint& now = time.now;
   std::uint64_t samples = 0;
   int budget = 0;
   bool calm = false;
-  std::vector<ColdEngine> engines;
+  std::vector<WarmingEngine> engines;
   std::vector<std::unique_ptr<Agent>> agents;
   std::map<std::string, Manager> managers;
-  std::map<ColdEngine, std::deque<std::pair<Span, double>>> all_sent;
+  std::map<WarmingEngine, std::deque<std::pair<Duration, double>>> all_sent;
   std::set<std::pair<int, int>> cut;
   std::set<std::string> cut_off;  // managers that their agents don't reach
   Result result;
--- a/src/lab/simulations/budget_lease_simulation.h
+++ b/src/lab/simulations/budget_lease_simulation.h
@@ -23,8 +23,8 @@
     double load = 0.5;   // of the whole budget that all managers together could use
     double loss = 0, doubled = 0;
     bool kills = false, stops = false, cuts = false;
-    fleet::Span window = std::chrono::seconds(2), lease = std::chrono::seconds(6);
-    fleet::Span troubled = std::chrono::seconds(60), calm = std::chrono::seconds(40);
+    fleet::Duration window = std::chrono::seconds(2), lease = std::chrono::seconds(6);
+    fleet::Duration troubled = std::chrono::seconds(60), calm = std::chrono::seconds(40);
     int broken =
         0;  // a rule left out, to show that it is caught: 1 no wait for the window, 2 no wait to be heard
   };
@@ -36,7 +36,7 @@
     double fairness = 1;           // Jain's index of what was sent to what was wanted, in the calm
     std::uint64_t orders = 0, asks = 0, grants = 0, digest = 0, open_at_end = 0;
     double decision_us = 0;
-    fleet::Span settle{};  // from the end of the trouble until as much is used as later on average
+    fleet::Duration settle{};  // from the end of the trouble until as much is used as later on average
     std::vector<std::string> faults;
     bool clean() const { return over_limit + lent_twice == 0; }
   };
--- a/src/lab/simulations/config_simulation.cpp
+++ b/src/lab/simulations/config_simulation.cpp
@@ -32,9 +32,9 @@
     Impl* model = nullptr;
     int number = 0;
     std::string name;
-    ConfigPlace place;
+    ConfigLocation place;
     int region = 0;
-    Span offset{};  // its steady clock against the model's
+    Duration offset{};  // its steady clock against the model's
     ConfigReplica::State disk, older_copy;
     bool disk_intact = true;               // neither lost nor put back since it was last verified
     ConfigMark told;                       // the greatest that it has told anybody with this disk
@@ -43,10 +43,10 @@
     bool stopped = false;
     std::deque<std::function<void()>> put_off;  // what would have happened while it was stopped
     std::vector<Instance> instances;
-    std::optional<Span> wake;
+    std::optional<TimePoint> wake;
 
     bool write_config(const ConfigReplica::State& state) override { return model->write(*this, state); }
-    Span now() const { return model->now + offset; }
+    Duration now() const { return model->now + offset; }
   };
   struct Publication {
     ConfigMark mark;
@@ -68,9 +68,9 @@
   }
   std::uint64_t draw(std::uint64_t below) { return chance() % below; }
   bool by(double share) { return static_cast<double>(draw(1'000'000)) < share * 1e6; }
-  void at(Span in, std::function<void()> what) { time.at(now + in, std::move(what)); }
+  void at(Duration in, std::function<void()> what) { time.at(now + in, std::move(what)); }
   // For a node as it lives now; one that is stopped does it when it goes on.
-  void at_node(Span in, Node& node, const std::function<void()>& what) {
+  void at_node(Duration in, Node& node, const std::function<void()>& what) {
     const std::uint64_t life = node.life;
     at(in, [this, &node, life, what] {
       if (node.life != life || !node.spread) return;
@@ -96,7 +96,7 @@
     if (node.disk_intact && on_disk < node.told)
       fault(result.regressed, node.name + " has less on its disk than it told");
     node.spread = std::make_unique<ConfigSpread>(node, node.name, node.place, draw(1ULL << 31), node.disk);
-    std::map<std::string, ConfigPlace> peers;
+    std::map<std::string, ConfigLocation> peers;
     for (const auto& other : nodes) {
       if (other->number != node.number) peers[other->name] = other->place;
     }
@@ -130,7 +130,7 @@
   void turn(Node& node) {
     for (const std::string& peer : node.spread->due(node.now())) exchange(node, of(peer));
     confirm(node);
-    const Span next = std::max(node.spread->next(node.now()), node.now() + milliseconds(1));
+    const TimePoint next = std::max(node.spread->next(node.now()), node.now() + milliseconds(1));
     if (node.wake && *node.wake <= next && *node.wake > node.now()) return;
     node.wake = next;
     at_node(next - node.now(), node, [] {});
@@ -167,7 +167,7 @@
 
   // ---- The network
 
-  Span delay(const Node& from, const Node& to) {
+  Duration delay(const Node& from, const Node& to) {
     const std::uint64_t base = from.region != to.region ? 35 : from.place.zone != to.place.zone ? 2 : 1;
     const bool slow = troubled && by(0.05);
     return milliseconds(base + draw(slow ? 2500 : 8));
@@ -197,7 +197,7 @@
         check(node);
       });
     });
-    at_node(ConfigSpread::answers_within, node, [&node, &peer, over] {
+    at_node(ConfigSpread::answer_timeout, node, [&node, &peer, over] {
       if (!std::exchange(*over, true)) node.spread->missed(node.now(), peer.name);
     });
   }
@@ -330,7 +330,7 @@
     const ConfigMark mark = node.spread->replica().mark();
     for (std::size_t i = first; i < first + number; ++i) {
       const Node& other = *nodes[i];
-      if (!node.spread->told_in_force(other.name)) continue;
+      if (!node.spread->reported_in_force(other.name)) continue;
       for (const Instance& one : other.instances) {
         if (!one.ever.contains(mark))
           fault(result.wrongly_in_force, node.name + " tells as in force at " + one.name + " what never was");
@@ -378,14 +378,14 @@
 
   void play_trouble() {
     troubled = true;
-    Span next_publication = now + seconds(2);
+    Duration next_publication = now + seconds(2);
     while (now < shape.troubled) {
       time.run(std::min(now + milliseconds(50 + draw(400)), shape.troubled));
       strike();
       if (now < next_publication) continue;
       // Both sides of a cut, whenever there is one.
       for (int n = 0; n < 2; ++n) publish(any());
-      next_publication = now + Span(static_cast<Span::rep>(
+      next_publication = now + Duration(static_cast<Duration::rep>(
                                    draw(2 * static_cast<std::uint64_t>(shape.between_publications.count()))));
     }
     troubled = false;
@@ -396,12 +396,12 @@
     }
   }
   // Looks a hundred times a second.
-  void run_until(Span end, const std::function<bool()>& enough) {
+  void run_until(Duration end, const std::function<bool()>& enough) {
     while (now < end && !enough()) time.run(now + milliseconds(10));
   }
   void publish_in_calm() {
     Node* author = &any();
-    const Span from = now;
+    const TimePoint from = now;
     const std::uint64_t bytes = result.bytes;
     for (int n = 0; n < 100 && !publish(*author); ++n) {
       time.run(now + milliseconds(100));
@@ -424,7 +424,7 @@
       // The first version of a fleet, before anything fails.
       publish(*nodes.front());
       play_trouble();
-      const Span calm_from = now;
+      const TimePoint calm_from = now;
       run_until(calm_from + shape.calm, [&] { return all_agree(); });
       result.settled = now - calm_from;
       check_end();
@@ -450,7 +450,7 @@
   Shape shape;
   std::knuth_b chance;
   Timeline time;
-  const Span& now = time.now;
+  const TimePoint& now = time.now;
   bool troubled = false;
   std::vector<std::unique_ptr<Node>> nodes;
   std::set<std::pair<int, int>> cut;
--- a/src/lab/simulations/config_simulation.h
+++ b/src/lab/simulations/config_simulation.h
@@ -25,8 +25,8 @@
     double calm_loss = 0;
     bool kills = false, disks = false, stops = false, cuts = false;
     Variant variant = Variant::sound;
-    fleet::Span troubled = std::chrono::seconds(40), calm = std::chrono::seconds(60);
-    fleet::Span between_publications = std::chrono::seconds(3);  // while there is trouble, on average
+    fleet::Duration troubled = std::chrono::seconds(40), calm = std::chrono::seconds(60);
+    fleet::Duration between_publications = std::chrono::seconds(3);  // while there is trouble, on average
     int calm_publications = 3;
     std::size_t content = 2000;  // bytes of a document
   };
@@ -38,11 +38,11 @@
     std::uint64_t refused_older = 0;  // by managers, from agents with an older disk; no fault
     std::uint64_t published = 0, confirmed = 0, stale_parents = 0, conflicts = 0, kills = 0, disks_lost = 0;
     std::uint64_t messages = 0, bytes = 0, most_message = 0, digest = 0;
-    std::vector<fleet::Span> in_force, acknowledged;  // of each calm publication, everywhere
-    fleet::Span settled{};                            // from the end of the trouble until all agree
-    double rest_bytes_a_second = 0;                   // that an agent sends, on average
-    double busy_bytes_a_second = 0;                   // the same over the ten seconds after a publication
-    std::vector<std::string> faults;                  // the first few, in words
+    std::vector<fleet::Duration> in_force, acknowledged;  // of each calm publication, everywhere
+    fleet::Duration settled{};                            // from the end of the trouble until all agree
+    double rest_bytes_a_second = 0;                       // that an agent sends, on average
+    double busy_bytes_a_second = 0;                       // the same over the ten seconds after a publication
+    std::vector<std::string> faults;                      // the first few, in words
     bool clean() const { return regressed + forgotten + wrongly_in_force + disagreeing == 0; }
   };
   explicit ConfigSimulation(const Shape& shape);
--- a/src/lab/simulations/gossip_simulation.cpp
+++ b/src/lab/simulations/gossip_simulation.cpp
@@ -22,7 +22,7 @@
   for (const ReportDelta& news : all) {
     sum += 48 + news.agent.size();
     for (const Entry& entry : news.entries)
-      sum += 24 + entry.instance.size() + (entry.word ? 64 + entry.word->zone.size() : 0);
+      sum += 24 + entry.instance.size() + (entry.report ? 64 + entry.report->zone.size() : 0);
   }
   return sum;
 }
@@ -34,7 +34,7 @@
     Impl* model = nullptr;
     int number = 0;
     std::string name;
-    Span offset{};  // its steady clock against the model's
+    Duration offset{};  // its steady clock against the model's
     std::uint64_t disk = 0, older_copy = 0;
     std::unique_ptr<GossipState> bulletin;  // none: it is dead
     std::unique_ptr<AntiEntropyScheduler> asking;
@@ -44,15 +44,15 @@
     std::map<std::string, StatusReport> instances;
     std::set<int> left_out;  // agents that its charter does not name
 
-    bool keep_incarnation(std::uint64_t incarnation) override {
+    bool persist_incarnation(std::uint64_t incarnation) override {
       older_copy = disk, disk = incarnation;
       return true;
     }
-    void told(const std::string&, std::string_view) override {}
-    Span now() const { return model->now + offset; }
+    void on_event(const std::string&, std::string_view) override {}
+    Duration now() const { return model->now + offset; }
   };
   struct Said {
-    Span when{};
+    TimePoint when{};
     ReportVersion mark;
     std::set<std::string> instances;
   };
@@ -65,7 +65,7 @@
       for (int i = 0; i < shape.instances_each; ++i) {
         StatusReport word;
         word.instance = node->name + "-" + std::to_string(i), word.zone = "z" + std::to_string(i % 3);
-        word.condition = Condition::serving, word.life = 1;
+        word.state = InstanceState::serving, word.process_incarnation = 1;
         node->instances[word.instance] = word;
       }
       // They start within a second, as after a power cut.
@@ -74,9 +74,9 @@
   }
   std::uint64_t draw(std::uint64_t below) { return chance() % below; }
   bool by(double share) { return static_cast<double>(draw(1'000'000)) < share * 1e6; }
-  void at(Span in, std::function<void()> what) { time.at(now + in, std::move(what)); }
+  void at(Duration in, std::function<void()> what) { time.at(now + in, std::move(what)); }
   // For a node as it lives now; one that is stopped does it when it goes on.
-  void at_node(Span in, Node& node, std::function<void()> what) {
+  void at_node(Duration in, Node& node, std::function<void()> what) {
     const std::uint64_t life = node.life;
     at(in, [&node, life, what] {
       if (node.life != life || !node.bulletin) return;
@@ -100,11 +100,11 @@
     for (const auto& other : nodes) {
       if (other->number != node.number && !node.left_out.contains(other->number)) named.insert(other->name);
     }
-    node.bulletin->charter(named), node.asking->charter(named);
+    node.bulletin->set_agents(named), node.asking->set_peers(named);
   }
   void beat(Node& node) {
     say(node);
-    node.bulletin->woken(node.now());
+    node.bulletin->on_timer(node.now());
     for (const std::string& peer : node.asking->due(node.now())) ask(node, of(peer));
     at_node(node.asking->next(node.now()) - node.now(), node, [this, &node] { beat(node); });
   }
@@ -112,7 +112,7 @@
   void say(Node& node) {
     std::vector<StatusReport> words;
     for (const auto& [name, word] : node.instances) words.push_back(word);
-    node.bulletin->say(words);
+    node.bulletin->publish(words);
     record(node);
   }
   void record(Node& node) {
@@ -121,14 +121,14 @@
     if (!history.empty() && history.back().mark == mark) return;
     history.push_back({now, mark, {}});
     // As it was last looked at, which is what is stated.
-    for (const auto& [instance, word] : node.bulletin->words(node.name)) {
+    for (const auto& [instance, word] : node.bulletin->reports(node.name)) {
       words_said[node.name].insert(key_of(word));
       history.back().instances.insert(instance);
     }
   }
   static std::string key_of(const StatusReport& word) {
-    return word.instance + "|" + word.zone + "|" + std::to_string(static_cast<int>(word.condition)) + "|" +
-           std::to_string(word.life) + "|" + std::to_string(word.open);
+    return word.instance + "|" + word.zone + "|" + std::to_string(static_cast<int>(word.state)) + "|" +
+           std::to_string(word.process_incarnation) + "|" + std::to_string(word.open);
   }
 
   bool passes(const Node& from, const Node& to) { return !cut.contains({from.number, to.number}); }
@@ -142,7 +142,7 @@
   }
   void ask(Node& node, Node& peer) {
     ++result.questions;
-    const Span asked = node.now();
+    const TimePoint asked = node.now();
     const auto marks = node.bulletin->marks();
     const auto over = std::make_shared<bool>(false);  // the call: answered once, or its deadline
     result.bytes += 32 + 24 * marks.size();
@@ -152,13 +152,13 @@
           result.most_answer = std::max<std::uint64_t>(result.most_answer, size_of(news));
       carry(peer, node, [this, &node, &peer, asked, news, over] {
         // A copy that comes late is heard all the same: it must change nothing.
-        node.bulletin->heard(node.now(), asked, news);
+        node.bulletin->receive(node.now(), asked, news);
         record(node), check(node);
         if (std::exchange(*over, true)) return;
         node.asking->answered(node.now(), peer.name);
       });
     });
-    at_node(AntiEntropyScheduler::answers_within, node, [&node, &peer, over] {
+    at_node(AntiEntropyScheduler::answer_timeout, node, [&node, &peer, over] {
       if (!std::exchange(*over, true)) node.asking->missed(node.now(), peer.name);
     });
   }
@@ -172,13 +172,13 @@
     for (const auto& other : nodes) {
       const GossipState::Known known = node.bulletin->known(node.now(), other->name);
       if (other->number == node.number || known.mark.incarnation == 0) continue;
-      for (const auto& [instance, word] : node.bulletin->words(other->name)) {
+      for (const auto& [instance, word] : node.bulletin->reports(other->name)) {
         if (!words_said[other->name].contains(key_of(word)))
           fault(result.never_said, node.name + " has of " + other->name + " what it never said");
       }
       if (!known.age) continue;
       // All that it had said by then has to be known: its mark at that moment is no greater.
-      const Span then = now - *known.age;
+      const TimePoint then = now - *known.age;
       const auto& history = said[other->name];
       auto last = std::ranges::upper_bound(history, then, {}, &Said::when);
       if (last == history.begin()) continue;
@@ -189,7 +189,7 @@
       });
       for (const Said& one : history) {
         if (one.mark != known.mark) continue;
-        const auto words = node.bulletin->words(other->name);
+        const auto words = node.bulletin->reports(other->name);
         const bool whole = std::ranges::all_of(
             one.instances, [&](const auto& instance) { return words.contains(instance); });
         if (!whole || words.size() != one.instances.size())
@@ -207,12 +207,14 @@
   void change(Node& node) {
     if (node.instances.empty() || by(0.15)) {
       StatusReport word;
-      word.instance = node.name + "-x" + std::to_string(draw(6)), word.zone = "z", word.life = 1 + draw(9);
+      word.instance = node.name + "-x" + std::to_string(draw(6)), word.zone = "z",
+      word.process_incarnation = 1 + draw(9);
       if (!node.instances.erase(word.instance)) node.instances[word.instance] = word;
     } else {
       StatusReport& word =
           std::next(node.instances.begin(), static_cast<std::ptrdiff_t>(draw(node.instances.size())))->second;
-      word.condition = static_cast<Condition>(draw(7)), word.life += draw(2), word.open = draw(100);
+      word.state = static_cast<InstanceState>(draw(7)), word.process_incarnation += draw(2),
+      word.open = draw(100);
     }
     ++result.changes;
   }
@@ -272,9 +274,10 @@
   }
   bool knows(const Node& node, const std::string& instance, const StatusReport& word,
              const std::string& owner) const {
-    const auto words = node.bulletin->words(owner);
+    const auto words = node.bulletin->reports(owner);
     const auto at = words.find(instance);
-    return at != words.end() && at->second.life == word.life && at->second.condition == word.condition;
+    return at != words.end() && at->second.process_incarnation == word.process_incarnation &&
+           at->second.state == word.state;
   }
 
   Result play() {
@@ -291,7 +294,7 @@
       else charter(*node);
       for (auto put_off = std::exchange(node->put_off, {}); const auto& what : put_off) what();
     }
-    const Span calm_from = now;
+    const TimePoint calm_from = now;
     time.run(now + shape.calm, [&] { return all_know(); });
     result.settled = now - calm_from;
     for (const auto& node : nodes) {
@@ -306,13 +309,14 @@
     }
     // How fast one change gets about, with nothing else going on; and what that costs.
     const std::uint64_t bytes = result.bytes;
-    const Span quiet_from = now;
+    const TimePoint quiet_from = now;
     for (int n = 0; n < 5 && result.clean(); ++n) {
       Node& node = any();
       if (node.instances.empty()) continue;
       StatusReport& word = node.instances.begin()->second;
-      word.condition = word.condition == Condition::down ? Condition::serving : Condition::down, ++word.life;
-      const Span from = now;
+      word.state = word.state == InstanceState::down ? InstanceState::serving : InstanceState::down,
+      ++word.process_incarnation;
+      const TimePoint from = now;
       time.run(now + seconds(20), [&] {
         return std::ranges::all_of(
             nodes, [&](const auto& one) { return knows(*one, word.instance, word, node.name); });
@@ -335,7 +339,7 @@
   Shape shape;
   std::knuth_b chance;
   Timeline time;
-  const Span& now = time.now;
+  const TimePoint& now = time.now;
   std::vector<std::unique_ptr<Node>> nodes;
   std::set<std::pair<int, int>> cut;
   std::map<std::string, std::vector<Said>> said;
--- a/src/lab/simulations/gossip_simulation.h
+++ b/src/lab/simulations/gossip_simulation.h
@@ -20,10 +20,10 @@
     std::uint64_t seed = 1;
     int agents = 5, instances_each = 4;
     double loss = 0, doubled = 0;  // of messages
-    std::size_t most_in_answer = fleet::GossipState::answer_bytes;
+    std::size_t most_in_answer = fleet::GossipState::default_max_answer_bytes;
     bool kills = false, stops = false, cuts = false,
          drops = false;  // drops: agents out of some charters, and back
-    fleet::Span troubled = std::chrono::seconds(60), calm = std::chrono::seconds(30);
+    fleet::Duration troubled = std::chrono::seconds(60), calm = std::chrono::seconds(30);
   };
   struct Result {
     std::uint64_t never_said = 0;      // words that their agent has not said under that number
@@ -32,10 +32,10 @@
     std::uint64_t apart = 0;           // pairs that do not know each other's word whole and fresh at the end
     std::uint64_t questions = 0, bytes = 0, most_answer = 0, most_kept = 0;
     std::uint64_t changes = 0, digest = 0;
-    double bytes_a_second = 0;        // that an agent sends, on average
-    std::vector<fleet::Span> spread;  // from a change in the calm until every agent knows of it
-    fleet::Span settled{};            // from the end of the trouble until all know all
-    std::vector<std::string> faults;  // the first few, in words
+    double bytes_a_second = 0;            // that an agent sends, on average
+    std::vector<fleet::Duration> spread;  // from a change in the calm until every agent knows of it
+    fleet::Duration settled{};            // from the end of the trouble until all know all
+    std::vector<std::string> faults;      // the first few, in words
     bool clean() const { return never_said + stale_as_newer + overruled + apart == 0; }
   };
   explicit GossipSimulation(const Shape& shape);
--- a/src/lab/simulations/level_checker.cpp
+++ b/src/lab/simulations/level_checker.cpp
@@ -7,12 +7,12 @@
 
 using namespace fleet;
 
-void LevelChecker::fault(std::uint64_t& count, Span now, const std::string& what) {
+void LevelChecker::fault(std::uint64_t& count, TimePoint now, const std::string& what) {
   ++count;
   if (faults.size() < max_faults) faults.push_back(std::to_string(now.count() / 1000) + " ms: " + what);
 }
 
-void LevelChecker::stated(Span now, const std::string& agent, ReportVersion version,
+void LevelChecker::stated(TimePoint now, const std::string& agent, ReportVersion version,
                           const std::map<std::string, StatusReport>& reports) {
   auto& history = statements_[agent];
   if (!history.empty() && !history.back().until) {
@@ -25,7 +25,7 @@
   for (const auto& [instance, report] : reports) statement.counts.add(report);
 }
 
-void LevelChecker::ended(Span now, const std::string& agent) {
+void LevelChecker::ended(TimePoint now, const std::string& agent) {
   auto& history = statements_[agent];
   if (!history.empty() && !history.back().until) history.back().until = now;
 }
@@ -40,7 +40,7 @@
   return nullptr;
 }
 
-LevelChecker::Truth LevelChecker::truth_of_group(Span now, Span own_now, const LevelGossip& writer,
+LevelChecker::Truth LevelChecker::truth_of_group(TimePoint now, Duration own_now, const LevelGossip& writer,
                                                  const Topology& topology) {
   Truth truth{{}, now};
   for (const std::string& member : topology.ranked_members(writer.placement().group)) {
@@ -60,7 +60,7 @@
   return truth;
 }
 
-LevelChecker::Truth LevelChecker::truth_of_parts(Span now, Span own_now, const LevelGossip& writer,
+LevelChecker::Truth LevelChecker::truth_of_parts(TimePoint now, Duration own_now, const LevelGossip& writer,
                                                  const Unit& unit, const Topology& topology) {
   Truth truth{{}, now};
   for (const Unit& part : topology.children(unit)) {
@@ -81,8 +81,8 @@
   return truth;
 }
 
-void LevelChecker::written(Span now, Span own_now, const LevelGossip& writer, const Topology& topology,
-                           const std::vector<StatusSummary>& summaries) {
+void LevelChecker::written(TimePoint now, Duration own_now, const LevelGossip& writer,
+                           const Topology& topology, const std::vector<StatusSummary>& summaries) {
   for (const StatusSummary& summary : summaries) {
     const bool of_group = summary.unit.level == Level::group;
     Truth truth = of_group ? truth_of_group(now, own_now, writer, topology)
@@ -98,7 +98,7 @@
   }
 }
 
-void LevelChecker::believed(Span now, Span own_now, const LevelGossip& reader, const Unit& unit) {
+void LevelChecker::believed(TimePoint now, Duration own_now, const LevelGossip& reader, const Unit& unit) {
   const auto best = reader.summaries().selected(own_now, unit);
   if (!best) return;
   ++checks;
@@ -107,8 +107,8 @@
     fault(never_said, now, reader.self() + " has of " + to_string(unit) + " what was never written");
     return;
   }
-  const Span understated = (best->as_of + (now - own_now)) - known->second.as_of;
-  if (understated <= Span(0)) return;
+  const Duration understated = (best->as_of + (now - own_now)) - known->second.as_of;
+  if (understated <= Duration(0)) return;
   fault(stale_as_fresh, now,
         reader.self() + " takes " + to_string(unit) + " by " + best->summary->writer + " for younger by " +
             std::to_string(understated.count() / 1000) + " ms");
--- a/src/lab/simulations/level_checker.h
+++ b/src/lab/simulations/level_checker.h
@@ -17,41 +17,40 @@
 
 class LevelChecker {
  public:
-  using Span = fleet::Span;
-
   // What an agent has stated from now on, until it states something else or ends.
-  void stated(Span now, const std::string& agent, fleet::ReportVersion version,
+  void stated(fleet::TimePoint now, const std::string& agent, fleet::ReportVersion version,
               const std::map<std::string, fleet::StatusReport>& reports);
-  void ended(Span now, const std::string& agent);
+  void ended(fleet::TimePoint now, const std::string& agent);
   // The summaries that an agent has just written, smallest unit first. `own_now` is by its own clock.
-  void written(Span now, Span own_now, const fleet::LevelGossip& writer, const fleet::Topology& topology,
-               const std::vector<fleet::StatusSummary>& summaries);
+  void written(fleet::TimePoint now, fleet::Duration own_now, const fleet::LevelGossip& writer,
+               const fleet::Topology& topology, const std::vector<fleet::StatusSummary>& summaries);
   // What a reader believes of a unit. `own_now` is by the reader's own clock.
-  void believed(Span now, Span own_now, const fleet::LevelGossip& reader, const fleet::Unit& unit);
+  void believed(fleet::TimePoint now, fleet::Duration own_now, const fleet::LevelGossip& reader,
+                const fleet::Unit& unit);
 
   std::uint64_t never_said = 0, stale_as_fresh = 0, checks = 0, written_count = 0;
   std::vector<std::string> faults;
 
  private:
   struct Statement {
-    Span from{};
-    std::optional<Span> until;  // none: it still stands
+    fleet::TimePoint from{};
+    std::optional<fleet::TimePoint> until;  // none: it still stands
     fleet::ReportVersion version;
     fleet::StatusCounts counts;
   };
   struct Truth {
     fleet::StatusCounts counts;
-    Span as_of{};  // all that is counted stood until then at least
+    fleet::TimePoint as_of{};  // all that is counted stood until then at least
   };
   using Key = std::tuple<fleet::Unit, std::string, fleet::SummaryVersion>;
   static constexpr std::size_t max_faults = 5;
 
-  void fault(std::uint64_t& count, Span now, const std::string& what);
+  void fault(std::uint64_t& count, fleet::TimePoint now, const std::string& what);
   const Statement* find(const std::string& agent, const fleet::ReportVersion& version) const;
-  Truth truth_of_group(Span now, Span own_now, const fleet::LevelGossip& writer,
-                       const fleet::Topology& topology);
-  Truth truth_of_parts(Span now, Span own_now, const fleet::LevelGossip& writer, const fleet::Unit& unit,
+  Truth truth_of_group(fleet::TimePoint now, fleet::Duration own_now, const fleet::LevelGossip& writer,
                        const fleet::Topology& topology);
+  Truth truth_of_parts(fleet::TimePoint now, fleet::Duration own_now, const fleet::LevelGossip& writer,
+                       const fleet::Unit& unit, const fleet::Topology& topology);
 
   std::map<std::string, std::vector<Statement>> statements_;
   std::map<Key, Truth> truths_;
--- a/src/lab/simulations/level_simulation.cpp
+++ b/src/lab/simulations/level_simulation.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr Span poll_interval = milliseconds(100);
-constexpr Span start_window = seconds(1);
+constexpr Duration poll_interval = milliseconds(100);
+constexpr Duration start_window = seconds(1);
 
 // Payload sizes as GossipSimulation estimates them, with real lengths of names on top.
 constexpr std::size_t message_overhead = 16;
@@ -45,7 +45,7 @@
     size += delta_overhead + delta.agent.size();
     for (const Entry& entry : delta.entries)
       size += entry_overhead + entry.instance.size() +
-              (entry.word ? report_overhead + entry.word->zone.size() : 0);
+              (entry.report ? report_overhead + entry.report->zone.size() : 0);
   }
   for (const SummaryDelta& delta : answer.summaries) size += encoded_size(delta);
   return size;
@@ -65,7 +65,7 @@
     std::size_t number = 0;
     std::string name;
     Member member;
-    Span offset{};  // its steady clock against the simulation's
+    Duration offset{};  // its steady clock against the simulation's
     std::uint64_t disk = 0, older_copy = 0;
     std::unique_ptr<LevelGossip> gossip;  // none: it is dead
     std::uint64_t life = 0;
@@ -75,12 +75,12 @@
     std::vector<StatusSummary> last_written;  // in this life
     std::uint64_t sent = 0, received = 0, messages = 0;
 
-    bool keep_incarnation(std::uint64_t incarnation) override {
+    bool persist_incarnation(std::uint64_t incarnation) override {
       older_copy = disk;
       disk = incarnation;
       return true;
     }
-    void told(const std::string&, std::string_view) override {}
+    void on_event(const std::string&, std::string_view) override {}
   };
 
   explicit Impl(const Shape& s) : shape(s), chance(static_cast<std::knuth_b::result_type>(s.seed)) {
@@ -99,8 +99,8 @@
         StatusReport report;
         report.instance = node->name + "-" + std::to_string(i);
         report.zone = node->member.zone;
-        report.condition = Condition::serving;
-        report.life = 1;
+        report.state = InstanceState::serving;
+        report.process_incarnation = 1;
         node->instances[report.instance] = report;
       }
     }
@@ -111,10 +111,10 @@
 
   std::uint64_t draw(std::uint64_t below) { return chance() % below; }
   bool by(double share) { return static_cast<double>(draw(1'000'000)) < share * 1e6; }
-  Span own_now(const Node& node) const { return now + node.offset; }
-  void after(Span delay, std::function<void()> what) { time.at(now + delay, std::move(what)); }
+  Duration own_now(const Node& node) const { return now + node.offset; }
+  void after(Duration delay, std::function<void()> what) { time.at(now + delay, std::move(what)); }
   // For a node as it lives now; one that is stopped does it when it goes on.
-  void after_at(Span delay, Node& node, std::function<void()> what) {
+  void after_at(Duration delay, Node& node, std::function<void()> what) {
     after(delay, [&node, life = node.life, what = std::move(what)] {
       if (node.life != life || !node.gossip) return;
       if (node.stopped) node.deferred.push_back(what);
@@ -144,16 +144,16 @@
   void say(Node& node) {
     std::vector<StatusReport> reports;
     for (const auto& [name, report] : node.instances) reports.push_back(report);
-    node.gossip->say(reports);
+    node.gossip->publish_instances(reports);
     record(node);
   }
   void record(Node& node) {
     const GossipState& state = node.gossip->group_state();
-    checker.stated(now, node.name, state.known(own_now(node), node.name).mark, state.words(node.name));
+    checker.stated(now, node.name, state.known(own_now(node), node.name).mark, state.reports(node.name));
   }
   void beat(Node& node) {
     say(node);
-    const LevelGossip::Beat beat_result = node.gossip->beat(own_now(node));
+    const LevelGossip::TickResult beat_result = node.gossip->tick(own_now(node));
     checker.written(now, own_now(node), *node.gossip, *topology, beat_result.written);
     if (!beat_result.written.empty()) node.last_written = beat_result.written;
     for (const OutgoingQuestion& question : beat_result.questions) ask(node, question);
@@ -168,7 +168,7 @@
     const int copies = by(shape.doubled) ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
       if (cut.contains({from.number, to.number}) || by(shape.loss)) continue;
-      Span delay = milliseconds(1 + draw(by(0.05) ? 2500 : 20));
+      Duration delay = milliseconds(1 + draw(by(0.05) ? 2500 : 20));
       if (from.slow || to.slow) delay += milliseconds(500 + draw(2500));
       after_at(delay, to, [&to, size, arrives] {
         to.received += size;
@@ -178,7 +178,7 @@
   }
   void ask(Node& node, const OutgoingQuestion& outgoing) {
     Node& peer = *by_name.at(outgoing.id.peer);
-    const Span asked = own_now(node);
+    const TimePoint asked = own_now(node);
     const auto over = std::make_shared<bool>(false);  // answered once, or its deadline
     carry(node, peer, size_of(outgoing.question), [this, &node, &peer, asked, over, outgoing] {
       const LevelAnswer told = answer(peer, outgoing.question);
@@ -187,22 +187,22 @@
         *over = true;
       });
     });
-    after_at(AntiEntropyScheduler::answers_within, node, [this, &node, over, id = outgoing.id] {
+    after_at(AntiEntropyScheduler::answer_timeout, node, [this, &node, over, id = outgoing.id] {
       if (!std::exchange(*over, true)) node.gossip->missed(own_now(node), id);
     });
   }
   LevelAnswer answer(Node& peer, const LevelQuestion& question) {
     LevelAnswer told = peer.gossip->answer(own_now(peer), question);
     for (SummaryDelta& delta : told.summaries) {
-      if (peer.liar && delta.summary.writer != peer.name) delta.age = Span(0);
+      if (peer.liar && delta.summary.writer != peer.name) delta.age = Duration(0);
       if (!shape.age_from_sending) continue;
       delta.age -= delta.summary.age_when_made;
-      delta.summary.age_when_made = Span(0);
+      delta.summary.age_when_made = Duration(0);
     }
     return told;
   }
   // A copy that comes late is merged all the same: it must change nothing for the worse.
-  void hear(Node& node, Span asked, const QuestionId& id, const LevelAnswer& told, bool late) {
+  void hear(Node& node, TimePoint asked, const QuestionId& id, const LevelAnswer& told, bool late) {
     node.gossip->merge(own_now(node), asked, id.peer, told);
     record(node);
     for (const SummaryDelta& delta : told.summaries)
@@ -217,7 +217,7 @@
   bool sees_all(const Node& node, const StatusCounts& truth) const {
     if (!node.gossip) return false;
     const StatusCounts known = node.gossip->fleet_status(own_now(node)).counts;
-    return known.agents_fresh == nodes.size() && known.by_condition == truth.by_condition;
+    return known.agents_fresh == nodes.size() && known.by_state == truth.by_state;
   }
   StatusCounts truth() const {
     StatusCounts counts;
@@ -240,8 +240,8 @@
     return text;
   }
   // How long it takes until every agent has seen the whole; at most the limit.
-  Span until_all_see_all(Span limit) {
-    const Span from = now;
+  Duration until_all_see_all(Duration limit) {
+    const TimePoint from = now;
     const StatusCounts counts = truth();
     blind.clear();
     for (const auto& node : nodes) blind.insert(node.get());
@@ -258,8 +258,8 @@
   void change(Node& node) {
     StatusReport& report =
         std::next(node.instances.begin(), static_cast<std::ptrdiff_t>(draw(node.instances.size())))->second;
-    report.condition = static_cast<Condition>(draw(condition_count));
-    ++report.life;
+    report.state = static_cast<InstanceState>(draw(instance_state_count));
+    ++report.process_incarnation;
     report.open = draw(100);
   }
   void cut_between(const std::function<bool(const Node&)>& inside, bool one_way) {
@@ -271,7 +271,7 @@
       }
     }
   }
-  void restart_later(Node& node, Span delay) {
+  void restart_later(Node& node, Duration delay) {
     after(delay, [this, &node] {
       if (!node.gossip) start(node);
     });
@@ -398,7 +398,7 @@
 
   void measure_bytes() {
     for (const auto& node : nodes) node->sent = node->received = node->messages = 0;
-    const Span from = now;
+    const TimePoint from = now;
     std::uint64_t gaps = 0, samples = 0;
     while (now - from < shape.measured) {
       time.run(now + seconds(1));
@@ -424,8 +424,8 @@
   void measure_changes() {
     for (int n = 0; n < shape.changes; ++n) {
       StatusReport& report = any().instances.begin()->second;
-      report.condition = report.condition == Condition::down ? Condition::serving : Condition::down;
-      ++report.life;
+      report.state = report.state == InstanceState::down ? InstanceState::serving : InstanceState::down;
+      ++report.process_incarnation;
       result.spread.push_back(until_all_see_all(shape.calm));
     }
   }
@@ -446,7 +446,7 @@
     for (const Node* node : blind)
       note(result.unsettled, node->name + " does not see all" + missing_at(*node));
     // The past of a writer that has lost its disk goes when it is told of it, or with its age.
-    const Span limit = now + freshness_limits(Level::region).old + seconds(5);
+    const Duration limit = now + freshness_limits(Level::region).old + seconds(5);
     while (overruled_writer() && now < limit) time.run(now + seconds(1));
     if (const Node* writer = overruled_writer())
       note(result.overruled, writer->name + " is overruled by its past");
@@ -463,7 +463,7 @@
   }
 
   Result play() {
-    if (shape.troubled > Span(0)) trouble();
+    if (shape.troubled > Duration(0)) trouble();
     else time.run(start_window);
     result.settled = until_all_see_all(shape.calm);
     if (blind.empty()) {
@@ -480,7 +480,7 @@
   Shape shape;
   std::knuth_b chance;
   Timeline time;
-  const Span& now = time.now;
+  const TimePoint& now = time.now;
   std::shared_ptr<const Topology> topology;
   std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::string, Node*> by_name;
--- a/src/lab/simulations/level_simulation.h
+++ b/src/lab/simulations/level_simulation.h
@@ -40,18 +40,18 @@
     int agents = 12, regions = 2, zones = 4, instances_each = 2;
     double loss = 0, doubled = 0;  // of messages
     bool kills = false, stops = false, cuts = false, unit_cuts = false, slow = false, liar = false;
-    fleet::Span troubled{};                           // a phase of random trouble before the calm
-    fleet::Span calm = std::chrono::seconds(60);      // at most, until all is fresh again
-    fleet::Span measured = std::chrono::seconds(10);  // without faults, for the bytes
-    int changes = 3;                                  // measured one after another
+    fleet::Duration troubled{};                           // a phase of random trouble before the calm
+    fleet::Duration calm = std::chrono::seconds(60);      // at most, until all is fresh again
+    fleet::Duration measured = std::chrono::seconds(10);  // without faults, for the bytes
+    int changes = 3;                                      // measured one after another
     std::vector<Fault> faults;
-    fleet::Span fault_length = std::chrono::seconds(15);
+    fleet::Duration fault_length = std::chrono::seconds(15);
     // A broken variant that the checks have to catch: the age of a summary counted from when it was sent.
     bool age_from_sending = false;
   };
   struct Recovery {
     Fault fault{};
-    fleet::Span recovered{};          // from its end until every agent's summaries are whole and fresh
+    fleet::Duration recovered{};      // from its end until every agent's summaries are whole and fresh
     std::uint64_t cut_off_blind = 0;  // agents without a fresh summary of their own region at its end
   };
   struct Result {
@@ -63,9 +63,9 @@
     // Sent by an agent per second without faults: payload, by the estimates of the size of a message.
     double bytes_mean = 0, bytes_max = 0, received_max = 0, messages_mean = 0, messages_max = 0;
     std::uint64_t summaries_kept_max = 0;
-    fleet::Span settled{};            // from the end of the trouble, or the start
-    std::vector<fleet::Span> spread;  // from a change until every agent's fleet summary has it
-    fleet::Span age_max{};            // of the fleet's summary, at any agent, without faults
+    fleet::Duration settled{};            // from the end of the trouble, or the start
+    std::vector<fleet::Duration> spread;  // from a change until every agent's fleet summary has it
+    fleet::Duration age_max{};            // of the fleet's summary, at any agent, without faults
     std::vector<Recovery> recoveries;
     double gap_share = 0;  // of the looks at it that lacked some agent, without faults
     std::uint64_t digest = 0;
--- a/src/lab/simulations/rollout_simulation.cpp
+++ b/src/lab/simulations/rollout_simulation.cpp
@@ -36,35 +36,35 @@
 
 struct RolloutSimulation::Impl {
   struct Process {
-    Span started{}, serves_at{};
+    TimePoint started{}, serves_at{};
     int version = 0;
     bool hangs = false, drains = false;
-    std::optional<Span> ends_at, drained_at, falls_at;
+    std::optional<TimePoint> ends_at, drained_at, falls_at;
   };
   struct Instance {
     std::string name, zone;
     std::size_t agent = 0;
     std::optional<Process> process;
-    Span left_serving{-1'000'000'000};  // last time by itself
+    TimePoint left_serving{-1'000'000'000};  // last time by itself
   };
   struct Agent;
   // The coordinator's side of a rollout, on its agent.
   struct Coordinator final : Rollout::Host {
     Coordinator(Impl& m, std::size_t a, RolloutPlan plan)
         : model(m), at(a), rollout(*this, std::move(plan)) {}
-    bool keep(Rollout::State state) override {
+    bool persist(Rollout::State state) override {
       model.pass("before rollout kept", at);
       kept_state = state;
       kept_stages = rollout.stages();
       model.pass("after rollout kept", at);
       return true;
     }
-    void ask_claims(const std::string& agent, const std::vector<std::string>& instances) override;
+    void request_leases(const std::string& agent, const std::vector<std::string>& instances) override;
     void renew(const std::string& agent, const std::vector<std::string>& wanted) override;
     void release(const std::string& agent) override;
     void step(const std::string& agent, const std::string& instance, const Step& step) override;
-    void ask_fleet() override;
-    void told(std::string_view) override {}
+    void request_fleet_status() override;
+    void on_event(std::string_view) override {}
     Impl& model;
     std::size_t at;
     Rollout::State kept_state = Rollout::State::planned;
@@ -74,7 +74,8 @@
   };
   struct Agent final : LeaseOwner::Host {
     Agent(Impl& m, std::size_t n) : model(m), number(n), name("a" + std::to_string(n)) {}
-    bool write(const std::map<std::string, LeaseOwner::Kept>& kept, const std::string& why) override {
+    bool write(const std::map<std::string, LeaseOwner::PersistedInstance>& kept,
+               const std::string& why) override {
       model.pass("before " + why, number);
       for (const auto& [instance, one] : kept) disk[instance] = one;
       model.pass("after " + why, number);
@@ -84,20 +85,20 @@
       model.start(instance, version);
       model.pass("started", number);
     }
-    void ask_to_end(const std::string& instance, Span within) override {
+    void request_shutdown(const std::string& instance, Duration within) override {
       model.leaves(instance, *this);
       if (auto& process = model.instance(instance).process; process && !process->ends_at && !process->hangs)
         process->ends_at = model.now + std::min(within, model.between(200, 1500));
       model.pass("asked to end", number);
     }
-    void call_off_end(const std::string& instance) override {
+    void cancel_shutdown(const std::string& instance) override {
       // It may be too late: one that has begun to leave goes.
       auto& process = model.instance(instance).process;
       if (process && process->ends_at && *process->ends_at - model.now > milliseconds(100))
         process->ends_at.reset();
       model.pass("called off", number);
     }
-    void order_drain(const std::string& instance, bool drains, const Step&) override {
+    void set_drain(const std::string& instance, bool drains, const Step&) override {
       if (drains) model.leaves(instance, *this);
       if (auto& process = model.instance(instance).process) {
         process->drains = drains;
@@ -117,18 +118,18 @@
       model.pass("killed", number);
     }
     void step_ended(const std::string&, const Step&, StepEnd, const std::string&) override {}
-    void claim_over(const std::string& instance, const Claim& claim, Claims::Ended why) override {
-      if (why != Claims::Ended::run_out) return;
+    void lease_ended(const std::string& instance, const Lease& lease, LeaseTable::EndReason why) override {
+      if (why != LeaseTable::EndReason::run_out) return;
       // The other side must have given it up by now, by its own clock.
       for (const auto& coordinator : model.coordinators) {
-        if (!coordinator || coordinator->rollout.plan().id != claim.operation) continue;
+        if (!coordinator || coordinator->rollout.plan().id != lease.operation) continue;
         const auto until = coordinator->rollout.lease_until(name);
         if (until && *until > model.now && model.agents[coordinator->at]->runs())
           model.fault(model.result.early_give_ups,
                       instance + " is given up before its coordinator gives it up");
       }
     }
-    void wake_at(Span) override {}
+    void wake_at(Duration) override {}
     bool runs() const { return alive && !stopped; }
 
     Impl& model;
@@ -136,7 +137,7 @@
     std::string name;
     bool alive = true, stopped = false, cut = false;
     std::uint64_t life = 1;
-    std::map<std::string, LeaseOwner::Kept> disk;
+    std::map<std::string, LeaseOwner::PersistedInstance> disk;
     std::unique_ptr<LeaseOwner> keeper;
   };
 
@@ -159,10 +160,10 @@
 
   // ---- Chance, time, faults
   double drawn() { return std::generate_canonical<double, 32>(chance); }
-  Span between(unsigned least_ms, unsigned most_ms) {
+  Duration between(unsigned least_ms, unsigned most_ms) {
     return milliseconds(least_ms + chance() % (most_ms - least_ms + 1));
   }
-  void at(Span when, std::function<void()> what) { time.at(when, std::move(what)); }
+  void at(TimePoint when, std::function<void()> what) { time.at(when, std::move(what)); }
   void fault(std::uint64_t& count, const std::string& what) {
     ++count;
     if (result.faults.size() < 10)
@@ -205,7 +206,7 @@
           finished = true;
           continue;
         }
-        guarded([&] { coordinator->rollout.remembered(now, stages); });
+        guarded([&] { coordinator->rollout.restore(now, stages); });
         // Its operator comes back to it after a while.
         const bool goes_on = chance() % 2;
         at(now + between(500, 4000), [this, goes_on, which = coordinator.get()] {
@@ -217,7 +218,7 @@
   }
   void raise(Agent& agent) {
     agent.keeper = std::make_unique<LeaseOwner>(agent);
-    for (const auto& [instance, kept] : agent.disk) agent.keeper->owns(now, instance, kept);
+    for (const auto& [instance, kept] : agent.disk) agent.keeper->add_instance(now, instance, kept);
   }
   template <class What>
   void guarded(What what) {
@@ -269,7 +270,7 @@
     if (agent.runs()) {
       for (Instance& one : instances) {
         if (one.agent != agent.number || !agent.runs()) continue;
-        Life::Look seen;
+        InstanceLifecycle::Observation seen;
         if (one.process) {
           const Process& process = *one.process;
           seen.ours = true, seen.answers = seen.is_ours = now >= process.serves_at;
@@ -277,9 +278,9 @@
           seen.drains = process.drains, seen.version = process.version;
           seen.drained = process.drained_at && now >= *process.drained_at;
         }
-        guarded([&] { agent.keeper->looked(now, one.name, seen); });
+        guarded([&] { agent.keeper->observe(now, one.name, seen); });
       }
-      if (agent.runs()) guarded([&] { agent.keeper->woken(now); });
+      if (agent.runs()) guarded([&] { agent.keeper->on_timer(now); });
     }
     at(now + milliseconds(100), [this, &agent] { look(agent); });
   }
@@ -290,7 +291,7 @@
     for (int copy = 0; copy < (drawn() < shape.doubled ? 2 : 1); ++copy) {
       result.messages += 1;
       if (from != to && (drawn() < shape.loss || agents[from]->cut || agents[to]->cut)) continue;
-      const Span way = from == to ? Span(100) : between(1, 40);
+      const Duration way = from == to ? Duration(100) : between(1, 40);
       at(now + way, [this, to, what] { deliver(to, what); });
     }
   }
@@ -304,7 +305,7 @@
   }
 
   void coordinate(Coordinator* which) {
-    if (agents[which->at]->runs() && current(which)) guarded([&] { which->rollout.woken(now); });
+    if (agents[which->at]->runs() && current(which)) guarded([&] { which->rollout.on_timer(now); });
     if (current(which)) at(now + milliseconds(200), [this, which] { coordinate(which); });
   }
   bool current(const Coordinator* which) const {
@@ -316,7 +317,7 @@
   const Shape shape;
   std::knuth_b chance;
   Timeline time;
-  const Span& now = time.now;
+  const TimePoint& now = time.now;
   std::uint64_t passes = 0, kill_at_pass = 0;
   int named_passes = 0;
   std::vector<std::unique_ptr<Agent>> agents;
@@ -324,38 +325,38 @@
   std::map<std::string, std::size_t> by_name;
   std::map<std::string, int> floor;
   std::vector<std::unique_ptr<Coordinator>> coordinators, graveyard;
-  Span killed_at{};
+  TimePoint killed_at{};
   bool finished = false;
   std::chrono::steady_clock::duration spent{};
   StepKind kind = StepKind::restart;
   Result result;
 
   // The state in which an instance may rest, by its agent's word and by the truth.
-  bool rests_well(const Instance& one, const Life& life) const {
-    if (life.condition() == Condition::serving) return serves(one);
-    return kind == StepKind::drain && life.condition() == Condition::drained && one.process &&
+  bool rests_well(const Instance& one, const InstanceLifecycle& life) const {
+    if (life.condition() == InstanceState::serving) return serves(one);
+    return kind == StepKind::drain && life.condition() == InstanceState::drained && one.process &&
            one.process->drains;
   }
 };
 
 // Asks are sent again, a few times, until they are answered: each is harmless when it comes twice.
-void RolloutSimulation::Impl::Coordinator::ask_claims(const std::string& agent,
-                                                      const std::vector<std::string>& wanted) {
+void RolloutSimulation::Impl::Coordinator::request_leases(const std::string& agent,
+                                                          const std::vector<std::string>& wanted) {
   Impl& m = model;
   const std::size_t to = m.number_of(agent);
-  const Span first_sent = m.now;
+  const TimePoint first_sent = m.now;
   const std::string key = "claims " + agent + std::to_string(first_sent.count());
-  const ClaimAsk ask{rollout.plan().id, rollout.plan().who, wanted, rollout.plan().lease,
-                     rollout.plan().take_over};
+  const LeaseRequest ask{rollout.plan().id, rollout.plan().who, wanted, rollout.plan().lease_duration,
+                         rollout.plan().take_over};
   const std::size_t from = at;
   const std::function<void(int)> send = [&m, this, from, to, agent, key, ask, first_sent](int) {
     m.send(from, to, [&m, this, from, to, agent, key, ask, first_sent] {
-      const Claims::Answer answer = m.agents[to]->keeper->ask(m.now, ask);
+      const LeaseTable::Answer answer = m.agents[to]->keeper->acquire(m.now, ask);
       std::string holder = answer.fault;
-      for (const auto& held : answer.held) holder = held.instance + " is held by " + held.claim.who;
+      for (const auto& held : answer.conflicts) holder = held.instance + " is held by " + held.lease.who;
       m.send(to, from, [&m, this, agent, key, answer, holder, first_sent] {
         if (!m.current(this) || !answered.insert(key).second) return;
-        rollout.claims_answered(m.now, first_sent, agent, answer.granted, answer.fences, holder);
+        rollout.on_lease_response(m.now, first_sent, agent, answer.granted, answer.fences, holder);
       });
     });
   };
@@ -371,10 +372,11 @@
                                                  const std::vector<std::string>& wanted) {
   Impl& m = model;
   const std::size_t to = m.number_of(agent), from = at;
-  const Span sent = m.now;
+  const TimePoint sent = m.now;
   m.send(from, to,
-         [&m, this, from, to, agent, wanted, sent, id = rollout.plan().id, lease = rollout.plan().lease] {
-           const bool live = m.agents[to]->keeper->renew(m.now, id, wanted, lease);
+         [&m, this, from, to, agent, wanted, sent, id = rollout.plan().id,
+          lease_duration = rollout.plan().lease_duration] {
+           const bool live = m.agents[to]->keeper->renew(m.now, id, wanted, lease_duration);
            m.send(to, from, [&m, this, agent, sent, live] {
              if (m.current(this)) rollout.renewed(m.now, sent, agent, live);
            });
@@ -402,11 +404,11 @@
         LeaseOwner& keeper = *m.agents[to]->keeper;
         std::string fault;
         const bool accepted = keeper.step(m.now, instance, step, fault);
-        if (accepted && step.fence != keeper.claims().last_fence(instance))
+        if (accepted && step.fence != keeper.leases().last_fence(instance))
           m.fault(m.result.fence_breaks, instance + " takes a step under an old fence");
         m.send(to, from, [&m, this, key, instance, accepted, fault] {
           if (!m.current(this) || !answered.insert(key).second) return;
-          rollout.step_answered(m.now, instance, accepted, fault);
+          rollout.on_step_response(m.now, instance, accepted, fault);
         });
       });
     });
@@ -414,29 +416,29 @@
   m.pass("step asked", at);
 }
 
-void RolloutSimulation::Impl::Coordinator::ask_fleet() {
+void RolloutSimulation::Impl::Coordinator::request_fleet_status() {
   Impl& m = model;
   for (std::size_t to = 0; to < m.agents.size(); ++to) {
     m.send(at, to, [&m, this, to, from = at] {
       struct Shown {
         std::string name, zone;
-        Condition condition;
-        std::optional<Life::Past> past;
+        InstanceState condition;
+        std::optional<InstanceLifecycle::CompletedStep> past;
       };
       std::vector<Shown> shown;
       for (const Instance& one : m.instances) {
         if (one.agent != to) continue;
-        const Life* life = m.agents[to]->keeper->life(one.name);
-        shown.push_back({one.name, one.zone, life->condition(), life->last()});
+        const InstanceLifecycle* life = m.agents[to]->keeper->lifecycle(one.name);
+        shown.push_back({one.name, one.zone, life->condition(), life->last_step()});
       }
       m.send(to, from, [&m, this, shown] {
         if (!m.current(this)) return;
         for (const Shown& one : shown) {
-          rollout.seen(m.now, one.name, one.zone, one.condition);
+          rollout.on_instance_state(m.now, one.name, one.zone, one.condition);
           if (one.past && one.past->step.operation == rollout.plan().id)
-            rollout.step_ended(m.now, one.name, one.past->step, one.past->end, one.past->word);
+            rollout.step_ended(m.now, one.name, one.past->step, one.past->end, one.past->detail);
         }
-        rollout.service(m.now, 1.0);
+        rollout.on_service_level(m.now, 1.0);
       });
     });
   }
@@ -444,7 +446,7 @@
 
 RolloutSimulation::Result RolloutSimulation::Impl::play(RolloutPlan plan) {
   for (const Instance& one : instances) plan.targets.push_back({one.name, agents[one.agent]->name, one.zone});
-  floor = plan.least_serving, kind = plan.kind;
+  floor = plan.min_serving, kind = plan.kind;
   // Somewhere within the run; a rollout of this size passes some twenty points an instance.
   kill_at_pass = 1 + chance() % (20 * instances.size());
   for (const auto& agent : agents) at(between(0, 100), [this, &a = *agent] { look(a); });
@@ -459,13 +461,13 @@
   std::vector<const Coordinator*> woken = {first};
   if (drawn() < shape.cut_off) {
     const std::size_t whom = chance() % agents.size();
-    const Span from = between(500, 8000), to = from + between(500, 20000);
+    const TimePoint from = between(500, 8000), to = from + between(500, 20000);
     at(from, [this, whom] { agents[whom]->cut = true; });
     at(to, [this, whom] { agents[whom]->cut = false; });
   }
   if (drawn() < shape.stopped) {
     const std::size_t whom = chance() % agents.size();
-    const Span from = between(500, 8000), to = from + between(500, 20000);
+    const TimePoint from = between(500, 8000), to = from + between(500, 20000);
     at(from, [this, whom] { agents[whom]->stopped = true; });
     at(to, [this, whom] { agents[whom]->stopped = false; });
   }
@@ -480,8 +482,8 @@
     });
   }
   // Half of the machine's time is not simulated: the fleet rests once nothing is under way any more.
-  const Span longest = seconds(400) + plan.lease * 3;
-  Span quiet_since{-1};
+  const Duration longest = seconds(400) + plan.lease_duration * 3;
+  Duration quiet_since{-1};
   while (!time.over() && now < longest) {
     time.step([&] { pass_time(); });
     for (const auto& one : coordinators) {
@@ -492,41 +494,42 @@
       return one->rollout.over() || !agents[one->at]->alive || finished ||
              one->rollout.state() == Rollout::State::paused;
     });
-    if (over && result.lasted == Span(0) && coordinators.front()->rollout.over()) result.lasted = now;
+    if (over && result.lasted == Duration(0) && coordinators.front()->rollout.over()) result.lasted = now;
     const bool settled = std::ranges::all_of(instances, [&](const Instance& one) {
       const Agent& agent = *agents[one.agent];
       if (!agent.alive) return !shape.comes_back;
-      const Life& life = *agent.keeper->life(one.name);
-      const bool held = agent.keeper->claims().claim_on(now, one.name).has_value();
-      return !life.under_way() && !held && rests_well(one, life);
+      const InstanceLifecycle& life = *agent.keeper->lifecycle(one.name);
+      const bool held = agent.keeper->leases().lease_on(now, one.name).has_value();
+      return !life.current_step() && !held && rests_well(one, life);
     });
     if (over && settled) {
-      if (quiet_since < Span(0)) quiet_since = now;
+      if (quiet_since < Duration(0)) quiet_since = now;
       // Long enough for what is still on its way.
       if (now - quiet_since > seconds(5)) break;
     } else {
-      quiet_since = Span(-1);
+      quiet_since = Duration(-1);
     }
   }
-  if (result.killed) result.recovery = (quiet_since < Span(0) ? now : quiet_since) - killed_at;
+  if (result.killed) result.recovery = (quiet_since < Duration(0) ? now : quiet_since) - killed_at;
   result.over = std::ranges::all_of(coordinators, [](const auto& one) { return one->rollout.over(); });
   result.state = coordinators.front()->rollout.state();
   for (const Instance& one : instances) {
     const Agent& agent = *agents[one.agent];
     if (!agent.alive) continue;  // it is known that nobody looks after it
-    const Life& life = *agent.keeper->life(one.name);
-    const bool falls = one.process ? false : shape.falls > 0 && life.falls() > 0;
-    const bool known = !life.under_way() &&
-                       (falls ? life.condition() == Condition::down || life.condition() == Condition::starting
-                              : rests_well(one, life) && one.process->version == life.version());
+    const InstanceLifecycle& life = *agent.keeper->lifecycle(one.name);
+    const bool falls = one.process ? false : shape.falls > 0 && life.crash_count() > 0;
+    const bool known =
+        !life.current_step() &&
+        (falls ? life.condition() == InstanceState::down || life.condition() == InstanceState::starting
+               : rests_well(one, life) && one.process->version == life.version());
     if (!known)
       fault(result.unknown_states,
-            one.name + " is " + std::string(word_for(life.condition())) + ", version " +
+            one.name + " is " + std::string(name_of(life.condition())) + ", version " +
                 std::to_string(life.version()) +
                 (one.process ? ", runs " + std::to_string(one.process->version) : ", no process") +
-                (life.under_way() ? ", a step is under way" : ""));
+                (life.current_step() ? ", a step is under way" : ""));
   }
-  result.going_back = coordinators.front()->rollout.going_back();
+  result.going_back = coordinators.front()->rollout.rolling_back();
   for (const Instance& one : instances) result.versions[one.name] = one.process ? one.process->version : 0;
   // What the rollout calls done is so.
   if (!shape.rival && plan.kind == StepKind::change && shape.falls == 0) {
@@ -534,7 +537,7 @@
     for (const auto& [name, stage] : rollout.stages()) {
       const Instance& one = instance(name);
       if (stage == Rollout::Stage::done && agents[one.agent]->alive && one.process &&
-          one.process->version != plan.version && !rollout.going_back())
+          one.process->version != plan.version && !rollout.rolling_back())
         fault(result.unknown_states,
               name + " is called done and runs " + std::to_string(one.process->version));
     }
--- a/src/lab/simulations/rollout_simulation.h
+++ b/src/lab/simulations/rollout_simulation.h
@@ -1,5 +1,5 @@
 // A fleet of agents and instances on a simulated clock and network, deterministic by its seed: the real
-// decisions of fleet/ (claims, lives, keepers, rollouts), with agents that are killed at named points,
+// decisions of fleet/ (leases, lives, keepers, rollouts), with agents that are killed at named points,
 // stopped or cut off, and messages that are lost, doubled and late. What breaks a rule is seen from outside,
 // by what happens to the instances.
 #pragma once
@@ -36,9 +36,9 @@
     std::uint64_t unknown_states = 0, fence_breaks = 0, below_floor = 0, early_give_ups = 0;
     std::uint64_t messages = 0, decisions = 0, steps = 0;
     bool killed = false;
-    fleet::Span lasted{}, recovery{};  // of the rollout; from the kill until all is known and settled
-    double decision_us = 0;            // on average, on this machine
-    std::set<std::string> points;      // that were passed
+    fleet::Duration lasted{}, recovery{};  // of the rollout; from the kill until all is known and settled
+    double decision_us = 0;                // on average, on this machine
+    std::set<std::string> points;          // that were passed
     bool going_back = false;
     std::map<std::string, int> versions;  // that run at the end, by instance; 0: none
     std::vector<std::string> faults;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -13,11 +13,11 @@
 
 namespace pearchute::store {
 
-using fleet::Claim;
+using fleet::Duration;
+using fleet::InstanceLifecycle;
+using fleet::Lease;
 using fleet::LeaseOwner;
-using fleet::Life;
 using fleet::RolloutPlan;
-using fleet::Span;
 using fleet::Step;
 using nlohmann::json;
 
@@ -39,8 +39,8 @@
   step.kind = static_cast<fleet::StepKind>(from.at("kind").get<int>());
   step.fallback = static_cast<fleet::Fallback>(from.at("fallback").get<int>());
   step.version = from.at("version");
-  step.drain_within = Span(from.at("drain_within_us").get<Span::rep>());
-  step.up_within = Span(from.at("up_within_us").get<Span::rep>());
+  step.drain_within = Duration(from.at("drain_within_us").get<Duration::rep>());
+  step.up_within = Duration(from.at("up_within_us").get<Duration::rep>());
   return step;
 }
 
@@ -54,16 +54,16 @@
           {"version", plan.version},
           {"version_before", plan.version_before},
           {"targets", targets},
-          {"at_once", plan.at_once},
+          {"at_once", plan.max_concurrent},
           {"batch", plan.batch},
-          {"least_serving", plan.least_serving},
+          {"least_serving", plan.min_serving},
           {"warm_us", plan.warm.count()},
           {"gate_us", plan.gate.count()},
           {"margin", plan.margin},
           {"failures", plan.failures},
           {"reverts", plan.reverts},
           {"take_over", plan.take_over},
-          {"lease_us", plan.lease.count()},
+          {"lease_us", plan.lease_duration.count()},
           {"drain_within_us", plan.drain_within.count()},
           {"up_within_us", plan.up_within.count()}};
 }
@@ -76,15 +76,15 @@
   plan.version = from.at("version"), plan.version_before = from.at("version_before");
   for (const json& target : from.at("targets"))
     plan.targets.push_back({target.at(0), target.at(1), target.at(2)});
-  plan.at_once = from.at("at_once"), plan.batch = from.at("batch");
-  plan.least_serving = from.at("least_serving").get<std::map<std::string, int>>();
-  plan.warm = Span(from.at("warm_us").get<Span::rep>()),
-  plan.gate = Span(from.at("gate_us").get<Span::rep>());
+  plan.max_concurrent = from.at("at_once"), plan.batch = from.at("batch");
+  plan.min_serving = from.at("least_serving").get<std::map<std::string, int>>();
+  plan.warm = Duration(from.at("warm_us").get<Duration::rep>()),
+  plan.gate = Duration(from.at("gate_us").get<Duration::rep>());
   plan.margin = from.at("margin"), plan.failures = from.at("failures"),
   plan.reverts = from.value("reverts", false), plan.take_over = from.at("take_over");
-  plan.lease = Span(from.at("lease_us").get<Span::rep>());
-  plan.drain_within = Span(from.at("drain_within_us").get<Span::rep>());
-  plan.up_within = Span(from.at("up_within_us").get<Span::rep>());
+  plan.lease_duration = Duration(from.at("lease_us").get<Duration::rep>());
+  plan.drain_within = Duration(from.at("drain_within_us").get<Duration::rep>());
+  plan.up_within = Duration(from.at("up_within_us").get<Duration::rep>());
   return plan;
 }
 
@@ -257,22 +257,22 @@
   }
 }
 
-bool Store::write(const std::map<std::string, LeaseOwner::Kept>& kept) {
+bool Store::write(const std::map<std::string, LeaseOwner::PersistedInstance>& kept) {
   return transact([&] {
     for (const auto& [name, one] : kept) {
       SQLite::Statement put(*database_, "INSERT OR REPLACE INTO instance VALUES (?,?,?,?,?,?,?,?,?,?)");
       put.bind(1, name), put.bind(2, one.wanted), put.bind(3, one.version);
       put.bind(4, static_cast<std::int64_t>(one.last_fence));
-      if (one.claim) {
-        put.bind(5, one.claim->operation), put.bind(6, one.claim->who);
-        put.bind(7, static_cast<std::int64_t>(one.claim->fence));
+      if (one.lease) {
+        put.bind(5, one.lease->operation), put.bind(6, one.lease->who);
+        put.bind(7, static_cast<std::int64_t>(one.lease->fence));
       }
-      put.bind(8, static_cast<std::int64_t>(one.lease.count()));
+      put.bind(8, static_cast<std::int64_t>(one.lease_duration.count()));
       if (one.step) put.bind(9, to_json(*one.step).dump());
-      if (one.past) {
-        json past = {{"step", to_json(one.past->step)},
-                     {"end", static_cast<int>(one.past->end)},
-                     {"word", one.past->word}};
+      if (one.last_step) {
+        json past = {{"step", to_json(one.last_step->step)},
+                     {"end", static_cast<int>(one.last_step->end)},
+                     {"word", one.last_step->detail}};
         put.bind(10, past.dump());
       }
       put.exec();
@@ -388,16 +388,16 @@
   return get.executeStep() ? static_cast<std::uint64_t>(get.getColumn(0).getInt64()) : 0;
 }
 
-std::map<std::string, LeaseOwner::Kept> Store::instances() const {
-  std::map<std::string, LeaseOwner::Kept> all;
+std::map<std::string, LeaseOwner::PersistedInstance> Store::instances() const {
+  std::map<std::string, LeaseOwner::PersistedInstance> all;
   SQLite::Statement get(*database_, "SELECT * FROM instance");
   while (get.executeStep()) {
-    LeaseOwner::Kept& one = all[get.getColumn(0).getString()];
+    LeaseOwner::PersistedInstance& one = all[get.getColumn(0).getString()];
     one.wanted = get.getColumn(1).getInt() != 0, one.version = get.getColumn(2).getInt();
     one.last_fence = static_cast<std::uint64_t>(get.getColumn(3).getInt64());
-    one.lease = Span(get.getColumn(7).getInt64());
+    one.lease_duration = Duration(get.getColumn(7).getInt64());
     if (!get.getColumn(4).isNull()) {
-      one.claim = Claim{get.getColumn(4).getString(),
+      one.lease = Lease{get.getColumn(4).getString(),
                         get.getColumn(5).getString(),
                         static_cast<std::uint64_t>(get.getColumn(6).getInt64()),
                         {},
@@ -406,8 +406,8 @@
     if (!get.getColumn(8).isNull()) one.step = step_in(json::parse(get.getColumn(8).getString()));
     if (!get.getColumn(9).isNull()) {
       const json past = json::parse(get.getColumn(9).getString());
-      one.past = Life::Past{step_in(past.at("step")), static_cast<fleet::StepEnd>(past.at("end").get<int>()),
-                            past.at("word")};
+      one.last_step = InstanceLifecycle::CompletedStep{
+          step_in(past.at("step")), static_cast<fleet::StepEnd>(past.at("end").get<int>()), past.at("word")};
     }
   }
   return all;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -56,7 +56,7 @@
   static const std::vector<const char*>& points();
 
   // False where it can't be written (see fault()): nothing of it is, then.
-  bool write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept);
+  bool write(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept);
   bool write_process(const std::string& instance, const std::optional<Process>& process);
   bool forget(const std::string& instance);
   bool write_rollout(const KeptRollout& rollout);
@@ -65,7 +65,7 @@
   bool write_config(const fleet::ConfigReplica::State& state);
   const std::string& fault() const { return fault_; }
 
-  std::map<std::string, fleet::LeaseOwner::Kept> instances() const;
+  std::map<std::string, fleet::LeaseOwner::PersistedInstance> instances() const;
   std::map<std::string, Process> processes() const;
   std::uint64_t incarnation() const;                          // the last that was written; 0: none
   std::vector<KeptRollout> rollouts(std::size_t most) const;  // the newest first
--- a/tests/test_admin.cpp
+++ b/tests/test_admin.cpp
@@ -163,9 +163,10 @@
   }
 }
 
-fleet::Held held(const std::string& id, const std::string& subject, std::uint64_t generation,
-                 bool drains = true) {
-  return {{id, subject, "ann", generation, drains, false, seconds(60), "why"}, fleet::Span(0), seconds(60)};
+fleet::ActiveDirective held(const std::string& id, const std::string& subject, std::uint64_t generation,
+                            bool drains = true) {
+  return {
+      {id, subject, "ann", generation, drains, false, seconds(60), "why"}, fleet::Duration(0), seconds(60)};
 }
 
 void orders_on_disk() {
@@ -174,33 +175,33 @@
   std::string fault;
   OrdersFile file(path);
   assert(!file.read(now).damaged && file.read(now).orders.empty());
-  assert(file.write({held("1", "a", 3), held("2", "", 4), held("3", "b", 5, false)}, fleet::Span(0), now,
+  assert(file.write({held("1", "a", 3), held("2", "", 4), held("3", "b", 5, false)}, fleet::Duration(0), now,
                     fault));
   const auto found = file.read(now + seconds(20));
   assert(!found.damaged && found.orders.size() == 3 && found.orders[0].second == seconds(40));
   assert(found.orders[0].first.subject == "a" && found.orders[0].first.generation == 3 &&
          found.orders[1].first.subject.empty() && !found.orders[2].first.drains);
-  assert(file.read(now + seconds(61)).orders[0].second < fleet::Span(0));
+  assert(file.read(now + seconds(61)).orders[0].second < fleet::Duration(0));
 
   // As many orders as are taken, at their longest, come back.
-  std::vector<fleet::Held> most(fleet::Drains::most_orders, held("1", "a", 3));
+  std::vector<fleet::ActiveDirective> most(fleet::Drains::max_directives, held("1", "a", 3));
   for (auto& one : most) {
-    one.order.id = one.order.subject = one.order.holder = std::string(fleet::Drains::longest_name, 'x');
-    one.order.reason = std::string(fleet::Drains::longest_reason, 'x');
+    one.order.id = one.order.subject = one.order.holder = std::string(fleet::Drains::max_name_bytes, 'x');
+    one.order.reason = std::string(fleet::Drains::max_reason_bytes, 'x');
   }
-  assert(file.write(most, fleet::Span(0), now, fault));
-  assert(file.read(now).orders.size() == fleet::Drains::most_orders);
+  assert(file.write(most, fleet::Duration(0), now, fault));
+  assert(file.read(now).orders.size() == fleet::Drains::max_directives);
 
   // A kill at each point leaves the orders of before or of after.
   for (const char* point : OrdersFile::points()) {
-    assert(file.write({held("old", "a", 1)}, fleet::Span(0), now, fault));
+    assert(file.write({held("old", "a", 1)}, fleet::Duration(0), now, fault));
     const pid_t child = fork();
     if (child == 0) {
       // A point of the list that is never passed shows as another status.
       OrdersFile dying(path, [&](const char* at) {
         if (std::string(at) == point) _exit(9);
       });
-      dying.write({held("new", "a", 2), held("more", "b", 2)}, fleet::Span(0), now, fault);
+      dying.write({held("new", "a", 2), held("more", "b", 2)}, fleet::Duration(0), now, fault);
       _exit(1);
     }
     int status = 0;
@@ -227,7 +228,7 @@
     assert(file.read(now).damaged);
   }
   // Where it can't be written, the reason comes back.
-  assert(!OrdersFile(folder + "/nowhere/orders").write({}, fleet::Span(0), now, fault) && !fault.empty());
+  assert(!OrdersFile(folder + "/nowhere/orders").write({}, fleet::Duration(0), now, fault) && !fault.empty());
 }
 
 std::string write(const std::string& name, const std::string& text) {
--- a/tests/test_agents.cpp
+++ b/tests/test_agents.cpp
@@ -158,8 +158,8 @@
   // What it had open when it was killed is lost with it, and nothing after that.
   const std::uint64_t lost = world.verdict().lost;
 
-  // Claims at their owner: the second operator hears of the first; a take-over bumps the fence, and what the
-  // older one still sends is refused.
+  // LeaseTable at their owner: the second operator hears of the first; a take-over bumps the fence, and what
+  // the older one still sends is refused.
   auto mine = agents[2].claim("ann", {"n5"}, false);
   assert(mine.granted());
   const auto theirs = agents[2].claim("bob", {"n5"}, false);
--- a/tests/test_budget_leases.cpp
+++ b/tests/test_budget_leases.cpp
@@ -11,95 +11,100 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct Seen final : Parts::Host {
+struct Seen final : BudgetLeases::Host {
   struct Order {
     int eighths = 0;
-    Span until{};
+    TimePoint until{};
     std::uint64_t fence = 0;
   };
   std::map<std::string, Order> orders;  // the last to each manager
-  std::vector<std::pair<std::string, LoanAsk>> asks;
-  std::vector<LoanAnswer> answers;
-  std::map<std::string, Parts::Loan> disk;
+  std::vector<std::pair<std::string, BudgetLeaseRequest>> asks;
+  std::vector<BudgetLeaseResponse> answers;
+  std::map<std::string, BudgetLeases::BudgetLease> disk;
   bool writable = true;
-  bool keep(const std::map<std::string, Parts::Loan>& loans) override {
+  bool persist(const std::map<std::string, BudgetLeases::BudgetLease>& loans) override {
     if (writable) disk = loans;
     return writable;
   }
-  void tell(const std::string& manager, const ColdEngine&, int eighths, Span until,
-            std::uint64_t fence) override {
+  void send_share(const std::string& manager, const WarmingEngine&, int eighths, TimePoint until,
+                  std::uint64_t fence) override {
     orders[manager] = {eighths, until, fence};
   }
-  void ask(const std::string& agent, const LoanAsk& ask) override { asks.emplace_back(agent, ask); }
-  void answer(const std::string&, const LoanAnswer& answer) override { answers.push_back(answer); }
+  void send_request(const std::string& agent, const BudgetLeaseRequest& ask) override {
+    asks.emplace_back(agent, ask);
+  }
+  void send_response(const std::string&, const BudgetLeaseResponse& answer) override {
+    answers.push_back(answer);
+  }
 };
 
-const ColdEngine cold{"e", 1};
-const Span window = seconds(2), lease = seconds(6);
-LoanAsk an_ask(const std::string& id, int eighths, int used = 0, std::uint64_t round = 1) {
+const WarmingEngine cold{"e", 1};
+const Duration window = seconds(2), lease = seconds(6);
+BudgetLeaseRequest an_ask(const std::string& id, int eighths, int used = 0, std::uint64_t round = 1) {
   return {id, cold, "b", eighths, used, round};
 }
 
 void a_loan() {
   Seen lends, borrows;
-  Parts lender(lends, "l", 1, window, lease), borrower(borrows, "a", 1, window, lease);
-  lender.manages({{"idle", Parts::whole}, {"busy", Parts::whole}}), borrower.manages({{"b", Parts::whole}});
-  Span now = seconds(100);
-  lender.wants(now, "busy", cold, 20), lender.wants(now, "idle", cold, 1);
-  borrower.wants(now, "b", cold, 20);
-  borrower.woken(now, {"l"});
+  BudgetLeases lender(lends, "l", 1, window, lease), borrower(borrows, "a", 1, window, lease);
+  lender.set_managers({{"idle", BudgetLeases::full_share}, {"busy", BudgetLeases::full_share}}),
+      borrower.set_managers({{"b", BudgetLeases::full_share}});
+  TimePoint now = seconds(100);
+  lender.set_demand(now, "busy", cold, 20), lender.set_demand(now, "idle", cold, 1);
+  borrower.set_demand(now, "b", cold, 20);
+  borrower.on_timer(now, {"l"});
   assert(borrows.asks.size() == 1 && borrows.asks[0].first == "l" && borrows.asks[0].second.eighths == 12);
-  const LoanAsk ask = borrows.asks[0].second;
-  const Span asked = now;
+  const BudgetLeaseRequest ask = borrows.asks[0].second;
+  const TimePoint asked = now;
   now += milliseconds(10);
-  lender.asked(now, "a", ask);
+  lender.on_request(now, "a", ask);
   // Give before take: on disk, its manager told, no answer yet; the busy one keeps its part.
-  assert(lends.disk.size() == 1 && lends.orders.at("idle").eighths == Parts::kept_back &&
+  assert(lends.disk.size() == 1 && lends.orders.at("idle").eighths == BudgetLeases::min_retained_share &&
          lends.answers.empty());
-  assert(!lends.orders.contains("busy") || lends.orders.at("busy").eighths == Parts::whole);
-  lender.woken(now + seconds(3), {});
+  assert(!lends.orders.contains("busy") || lends.orders.at("busy").eighths == BudgetLeases::full_share);
+  lender.on_timer(now + seconds(3), {});
   assert(lends.answers.empty());  // not heard yet
   now += seconds(1);
-  lender.heard(now, "idle", cold, lends.orders.at("idle").fence + 1);
+  lender.on_share_acknowledged(now, "idle", cold, lends.orders.at("idle").fence + 1);
   assert(lends.answers.empty());  // of no such order
-  lender.heard(now, "idle", cold, lends.orders.at("idle").fence);
-  lender.woken(now + window - milliseconds(1), {});
+  lender.on_share_acknowledged(now, "idle", cold, lends.orders.at("idle").fence);
+  lender.on_timer(now + window - milliseconds(1), {});
   assert(lends.answers.empty());  // a window is not over
   now += window;
-  lender.woken(now, {});
+  lender.on_timer(now, {});
   assert(lends.answers.size() == 1 && lends.answers[0].eighths == 6);
   assert(lends.orders.at("idle").until >= now + lease + window);
   // The borrower counts from when it asked, whenever the answer comes.
-  borrower.answered(now, "x", lends.answers[0]);
-  assert(borrower.share(now, "b", cold) == Parts::whole);  // not from whom it asked
-  borrower.answered(now, "l", lends.answers[0]);
+  borrower.on_response(now, "x", lends.answers[0]);
+  assert(borrower.share(now, "b", cold) == BudgetLeases::full_share);  // not from whom it asked
+  borrower.on_response(now, "l", lends.answers[0]);
   assert(borrower.share(now, "b", cold) == 14 && borrows.orders.at("b").until == asked + lease);
-  assert(borrower.share(asked + lease, "b", cold) == Parts::whole);
+  assert(borrower.share(asked + lease, "b", cold) == BudgetLeases::full_share);
   // A copy of the ask that comes late renews nothing; a renewal lasts from when its manager has heard.
-  borrower.wants(now, "b", cold, 20);
+  borrower.set_demand(now, "b", cold, 20);
   now = asked + seconds(5);
-  borrower.woken(now, {});
-  const LoanAsk renewal = borrows.asks.back().second;
+  borrower.on_timer(now, {});
+  const BudgetLeaseRequest renewal = borrows.asks.back().second;
   assert(renewal.round == 2 && renewal.used == 6 && renewal.id == ask.id);
-  lender.asked(now, "a", renewal);
+  lender.on_request(now, "a", renewal);
   assert(lends.answers.size() == 1);
-  lender.heard(now, "idle", cold, lends.orders.at("idle").fence);
+  lender.on_share_acknowledged(now, "idle", cold, lends.orders.at("idle").fence);
   assert(lends.answers.size() == 2 && lends.answers[1].round == 2);
-  lender.asked(now, "a", ask);
+  lender.on_request(now, "a", ask);
   assert(lends.answers.size() == 2);
-  borrower.answered(now + seconds(1), "l", lends.answers[0]);  // the first answer once more
+  borrower.on_response(now + seconds(1), "l", lends.answers[0]);  // the first answer once more
   assert(borrows.orders.at("b").until == asked + lease);
-  borrower.answered(now + seconds(1), "l", lends.answers[1]);
+  borrower.on_response(now + seconds(1), "l", lends.answers[1]);
   assert(borrows.orders.at("b").until == now + lease);
   // Not used, or needed by its owner: not renewed. The part is back a window after the lease, and no sooner.
-  LoanAsk unused = renewal;
+  BudgetLeaseRequest unused = renewal;
   unused.round = 3, unused.used = 1;
-  lender.asked(now, "a", unused);
+  lender.on_request(now, "a", unused);
   assert(lends.answers.back().eighths == 0);
-  lender.woken(now + lease + window - milliseconds(1), {});
-  assert(lender.share(now + lease, "idle", cold) == Parts::kept_back);
-  lender.woken(now + lease + window, {});
-  assert(lender.share(now + lease + window, "idle", cold) == Parts::whole && lends.disk.empty());
+  lender.on_timer(now + lease + window - milliseconds(1), {});
+  assert(lender.share(now + lease, "idle", cold) == BudgetLeases::min_retained_share);
+  lender.on_timer(now + lease + window, {});
+  assert(lender.share(now + lease + window, "idle", cold) == BudgetLeases::full_share && lends.disk.empty());
 }
 
 void troubles() {
@@ -107,69 +112,69 @@
   // that the manager was free in between, a window has to pass again.
   for (const bool in_time : {true, false}) {
     Seen seen;
-    Parts lender(seen, "l", 1, window, lease);
-    lender.manages({{"m", Parts::whole}});
-    lender.asked(seconds(10), "a", an_ask("w", 6));
-    lender.heard(seconds(10), "m", cold, seen.orders.at("m").fence);
-    lender.woken(seconds(10) + window, {});
+    BudgetLeases lender(seen, "l", 1, window, lease);
+    lender.set_managers({{"m", BudgetLeases::full_share}});
+    lender.on_request(seconds(10), "a", an_ask("w", 6));
+    lender.on_share_acknowledged(seconds(10), "m", cold, seen.orders.at("m").fence);
+    lender.on_timer(seconds(10) + window, {});
     assert(seen.answers.size() == 1);
-    const Span free_at = seen.orders.at("m").until;
-    lender.asked(seconds(17), "a", an_ask("w", 6, 6, 2));
-    lender.heard(in_time ? seconds(17) : free_at, "m", cold, seen.orders.at("m").fence);
+    const Duration free_at = seen.orders.at("m").until;
+    lender.on_request(seconds(17), "a", an_ask("w", 6, 6, 2));
+    lender.on_share_acknowledged(in_time ? seconds(17) : free_at, "m", cold, seen.orders.at("m").fence);
     assert(seen.answers.size() == (in_time ? 2 : 1));
   }
   // A disk that takes nothing: nothing is lent.
   Seen full;
   full.writable = false;
-  Parts poor(full, "l", 1, window, lease);
-  poor.manages({{"m", Parts::whole}});
-  poor.asked(seconds(1), "a", an_ask("x", 4));
+  BudgetLeases poor(full, "l", 1, window, lease);
+  poor.set_managers({{"m", BudgetLeases::full_share}});
+  poor.on_request(seconds(1), "a", an_ask("x", 4));
   assert(poor.lent() == 0 && full.answers.size() == 1 && full.answers[0].eighths == 0 && full.orders.empty());
   // Back with a loan on disk: counted whole again. With a lost disk: nothing lent, nobody told a part.
   Seen again;
-  Parts back(again, "l", 2, window, lease);
-  back.manages({{"m", Parts::whole}});
-  back.remembered(seconds(1), {{"x", {cold, "m", "b", "a", 6}}}, false);
+  BudgetLeases back(again, "l", 2, window, lease);
+  back.set_managers({{"m", BudgetLeases::full_share}});
+  back.restore(seconds(1), {{"x", {cold, "m", "b", "a", 6}}}, false);
   // Whether its manager ever heard that it is held back is not known any more: a renewal waits for a window.
-  back.asked(seconds(2), "a", an_ask("x", 4, 6, 2));
-  back.heard(seconds(2), "m", cold, again.orders.at("m").fence);
-  back.woken(seconds(2) + window - milliseconds(1), {});
+  back.on_request(seconds(2), "a", an_ask("x", 4, 6, 2));
+  back.on_share_acknowledged(seconds(2), "m", cold, again.orders.at("m").fence);
+  back.on_timer(seconds(2) + window - milliseconds(1), {});
   assert(again.answers.empty());
-  back.woken(seconds(2) + window, {});
+  back.on_timer(seconds(2) + window, {});
   assert(again.answers.size() == 1 && again.answers[0].eighths == 6);
   Seen third;
-  Parts later(third, "l", 3, window, lease);
-  later.manages({{"m", Parts::whole}});
-  later.remembered(seconds(1), {{"x", {cold, "m", "b", "a", 6}}}, false);
-  later.woken(seconds(1) + lease + window - milliseconds(1), {});
+  BudgetLeases later(third, "l", 3, window, lease);
+  later.set_managers({{"m", BudgetLeases::full_share}});
+  later.restore(seconds(1), {{"x", {cold, "m", "b", "a", 6}}}, false);
+  later.on_timer(seconds(1) + lease + window - milliseconds(1), {});
   assert(later.share(seconds(2), "m", cold) == 2 && later.lent() == 1);
-  later.woken(seconds(1) + lease + window, {});
+  later.on_timer(seconds(1) + lease + window, {});
   assert(later.lent() == 0);
   Seen lost;
-  Parts blank(lost, "l", 2, window, lease);
-  blank.manages({{"m", Parts::whole}});
-  blank.remembered(seconds(1), {}, true);
-  blank.wants(seconds(2), "m", cold, 4);
-  blank.asked(seconds(2), "a", an_ask("y", 4));
+  BudgetLeases blank(lost, "l", 2, window, lease);
+  blank.set_managers({{"m", BudgetLeases::full_share}});
+  blank.restore(seconds(1), {}, true);
+  blank.set_demand(seconds(2), "m", cold, 4);
+  blank.on_request(seconds(2), "a", an_ask("y", 4));
   assert(lost.orders.empty() && blank.lent() == 0);
-  const Span over = seconds(1) + Parts::silent_start(window, lease);
-  blank.woken(over, {});
-  blank.wants(over, "m", cold, 4);
-  assert(lost.orders.at("m").eighths == Parts::whole && lost.orders.at("m").fence > (2ULL << 32));
+  const Duration over = seconds(1) + BudgetLeases::startup_quiet_period(window, lease);
+  blank.on_timer(over, {});
+  blank.set_demand(over, "m", cold, 4);
+  assert(lost.orders.at("m").eighths == BudgetLeases::full_share && lost.orders.at("m").fence > (2ULL << 32));
   // One that came after the parts were handed out has none, and may borrow.
   Seen late;
-  Parts newcomer(late, "n", 1, window, lease);
-  newcomer.manages({{"new", 0}});
-  newcomer.wants(seconds(1), "new", cold, 3);
-  newcomer.woken(seconds(1), {"l"});
+  BudgetLeases newcomer(late, "n", 1, window, lease);
+  newcomer.set_managers({{"new", 0}});
+  newcomer.set_demand(seconds(1), "new", cold, 3);
+  newcomer.on_timer(seconds(1), {"l"});
   assert(late.orders.at("new").eighths == 0 && late.asks.size() == 1 && late.asks[0].second.eighths == 3);
   // Its manager began anew: told again what it has lent.
   Seen anew;
-  Parts keeper(anew, "l", 1, window, lease);
-  keeper.manages({{"m", Parts::whole}});
-  keeper.asked(seconds(1), "a", an_ask("z", 5));
+  BudgetLeases keeper(anew, "l", 1, window, lease);
+  keeper.set_managers({{"m", BudgetLeases::full_share}});
+  keeper.on_request(seconds(1), "a", an_ask("z", 5));
   anew.orders.clear();
-  keeper.began(seconds(2), "m");
+  keeper.on_manager_restarted(seconds(2), "m");
   assert(anew.orders.at("m").eighths == 3);
 }
 
--- a/tests/test_configuration.cpp
+++ b/tests/test_configuration.cpp
@@ -36,7 +36,7 @@
   assert(replica.publish({first, "three", false}) == PublishResult::stale_parent);
   assert(replica.mark().number == 2 && replica.current()->ancestors.front() == first);
   const std::string second = replica.mark().digest;
-  const std::string too_large(ConfigDocument::most_content + 1, 'x');
+  const std::string too_large(ConfigDocument::max_content_bytes + 1, 'x');
   assert(replica.publish({second, too_large, false}) == PublishResult::too_large);
   disk.writable = false;
   assert(replica.publish({second, "three", false}) == PublishResult::not_written);
@@ -47,7 +47,7 @@
   for (int n = 0; n < 100; ++n) {
     assert(replica.publish({replica.mark().digest, std::to_string(n), false}) == PublishResult::accepted);
   }
-  assert(replica.current()->ancestors.size() == ConfigDocument::most_ancestors);
+  assert(replica.current()->ancestors.size() == ConfigDocument::max_ancestors);
 }
 
 ConfigDocument document(Disk& disk) { return *disk.state.current; }
@@ -63,7 +63,7 @@
   altered.content = "other", altered.mark.number = 9;
   assert(!b.receive(altered) && b.mark() == first.mark);
   altered.mark.digest = digest_of(altered);
-  altered.ancestors.assign(ConfigDocument::most_ancestors + 1, first.mark.digest);
+  altered.ancestors.assign(ConfigDocument::max_ancestors + 1, first.mark.digest);
   assert(!b.receive(altered));
   // A descendant replaces without a conflict, and the older one then changes nothing.
   assert(a.publish({first.mark.digest, "two", false}) == PublishResult::accepted);
@@ -117,15 +117,15 @@
 struct Agents {
   Disk disks[3];
   std::vector<std::unique_ptr<ConfigSpread>> all;
-  Span now = seconds(10);
+  TimePoint now = seconds(10);
   explicit Agents() {
     for (std::size_t n = 0; n < 3; ++n) start(n);
   }
   static std::string name(std::size_t n) { return "a" + std::to_string(n); }
   void start(std::size_t n) {
-    auto one = std::make_unique<ConfigSpread>(disks[n], name(n), ConfigPlace{"z" + std::to_string(n)}, n + 1,
-                                              disks[n].state);
-    std::map<std::string, ConfigPlace> peers;
+    auto one = std::make_unique<ConfigSpread>(disks[n], name(n), ConfigLocation{"z" + std::to_string(n)},
+                                              n + 1, disks[n].state);
+    std::map<std::string, ConfigLocation> peers;
     for (std::size_t m = 0; m < 3; ++m) {
       if (m != n) peers[name(m)] = {"z" + std::to_string(m)};
     }
@@ -133,8 +133,8 @@
     if (n < all.size()) all[n] = std::move(one);
     else all.push_back(std::move(one));
   }
-  void run(Span time, const std::set<std::size_t>& silent = {}) {
-    for (const Span end = now + time; now < end; now += milliseconds(50)) {
+  void run(Duration time, const std::set<std::size_t>& silent = {}) {
+    for (const Duration end = now + time; now < end; now += milliseconds(50)) {
       for (std::size_t n = 0; n < 3; ++n) {
         for (const std::string& peer : all[n]->due(now)) {
           const std::size_t m = static_cast<std::size_t>(peer[1] - '0');
@@ -152,7 +152,7 @@
   for (const auto& [name, mark] : all) {
     InstanceConfig& one = instances.emplace_back();
     one.instance = name, one.in_force = mark;
-    if (mark.epoch == 0) one.why_not = why_not;
+    if (mark.epoch == 0) one.not_in_force_reason = why_not;
   }
   return instances;
 }
--- a/tests/test_folder_faults.cpp
+++ b/tests/test_folder_faults.cpp
@@ -142,12 +142,12 @@
 void orders_are_read_later(FaultInjection& faults, const std::string& folder) {
   const std::string path = folder + "/later";
   admin::OrdersFile file(path);
-  fleet::Held held;
+  fleet::ActiveDirective held;
   held.order.id.assign("order"), held.order.subject.assign("engine"), held.order.holder.assign("holder");
   held.order.generation = 1, held.order.drains = true;
   held.until = std::chrono::seconds(60);
   std::string fault;
-  assert(file.write({held}, fleet::Span(0), milliseconds(1000), fault));
+  assert(file.write({held}, fleet::Duration(0), milliseconds(1000), fault));
   faults.set(FaultKind::open_fails, 1);
   bool is_short = false;
   try {
@@ -169,12 +169,12 @@
   faults.set(FaultKind::folder_sync_fails, 0.1);
   for (std::uint64_t generation = 1; generation <= 100; ++generation) {
     admin::OrdersFile file(path);
-    fleet::Held held;
+    fleet::ActiveDirective held;
     held.order.id.assign("order"), held.order.subject.assign("engine"), held.order.holder.assign("holder");
     held.order.generation = generation, held.order.drains = true;
     held.until = std::chrono::seconds(60);
     std::string fault;
-    if (file.write({held}, fleet::Span(0), milliseconds(1000), fault)) kept = generation;
+    if (file.write({held}, fleet::Duration(0), milliseconds(1000), fault)) kept = generation;
     else ++refused, assert(!fault.empty());
   }
   faults.set_none();
--- a/tests/test_levels.cpp
+++ b/tests/test_levels.cpp
@@ -85,8 +85,8 @@
                                   {"c", "region-0", "zone-0"},
                                   {"d", "region-0", "zone-0"}};
 
-StatusSummary summary_of(const std::string& writer, std::uint64_t number, Span made_at,
-                         std::uint32_t fresh = 4, Span age = milliseconds(500)) {
+StatusSummary summary_of(const std::string& writer, std::uint64_t number, TimePoint made_at,
+                         std::uint32_t fresh = 4, Duration age = milliseconds(500)) {
   StatusSummary summary;
   summary.unit = zone_0;
   summary.writer = writer;
@@ -94,7 +94,7 @@
   summary.made_at = made_at;
   summary.age_when_made = age;
   summary.counts.agents_fresh = fresh;
-  summary.counts.by_condition[static_cast<std::size_t>(Condition::serving)] = fresh;
+  summary.counts.by_state[static_cast<std::size_t>(InstanceState::serving)] = fresh;
   return summary;
 }
 
@@ -163,7 +163,7 @@
   const SummaryDelta delta{summary_of("a", 1, seconds(1), 4, seconds(2)), milliseconds(2200)};
   store.merge(milliseconds(50'100), seconds(50), "a", delta);
   assert(seconds(50) - store.selected(milliseconds(50'100), zone_0)->as_of == milliseconds(2200));
-  const Span limit = freshness_limits(Level::zone).fresh;
+  const Duration limit = freshness_limits(Level::zone).fresh;
   assert(store.freshness(seconds(48) + limit - milliseconds(300), zone_0) == Freshness::fresh);
   assert(store.freshness(seconds(48) + limit, zone_0) == Freshness::old);
   store.expire(seconds(200));
@@ -180,7 +180,7 @@
   store.merge(seconds(50), seconds(50), "c", honest);
   assert(seconds(50) - store.selected(seconds(50), zone_0)->as_of == seconds(8));
   // Nor can it later, for any other version.
-  store.merge(seconds(60), seconds(60), "b", {summary_of("a", 2, seconds(2)), Span(0)});
+  store.merge(seconds(60), seconds(60), "b", {summary_of("a", 2, seconds(2)), Duration(0)});
   assert(store.selected(seconds(60), zone_0)->summary->version.number == 2);
   assert(seconds(60) - store.selected(seconds(60), zone_0)->as_of >= seconds(17));
   // Its own writer is believed about its own clock.
--- a/tests/test_rollouts.cpp
+++ b/tests/test_rollouts.cpp
@@ -1,13 +1,13 @@
-// Claims, lives and rollouts: tables of cases, and random histories in the simulated fleet, with agents
+// LeaseTable, lives and rollouts: tables of cases, and random histories in the simulated fleet, with agents
 // killed at each named point, cut off and stopped, messages lost, doubled and late, and two operators.
 #include <cassert>
 #include <cstdio>
 #include <functional>
 #include <set>
 
-#include "fleet/claims.h"
 #include "fleet/instance_lifecycle.h"
 #include "fleet/lease_owner.h"
+#include "fleet/lease_table.h"
 #include "fleet/rollout.h"
 #include "lab/simulations/rollout_simulation.h"
 
@@ -16,69 +16,71 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct NotedClaims final : Claims::Host {
+struct NotedClaims final : LeaseTable::Host {
   bool writes = true;
   std::vector<std::string> ended;
-  bool keep(const std::map<std::string, Claim>&) override { return writes; }
-  void claim_ended(const std::string& instance, const Claim& claim, Claims::Ended why) override {
+  bool persist(const std::map<std::string, Lease>&) override { return writes; }
+  void lease_ended(const std::string& instance, const Lease& lease, LeaseTable::EndReason why) override {
     const char* words[] = {"run out", "released", "taken over"};
-    ended.push_back(instance + " " + claim.operation + " " + words[static_cast<int>(why)]);
+    ended.push_back(instance + " " + lease.operation + " " + words[static_cast<int>(why)]);
   }
-  void wake_at(Span) override {}
+  void wake_at(Duration) override {}
 };
 
-void claims() {
+void leases() {
   NotedClaims host;
-  Claims claims(host);
-  for (const char* name : {"a", "b", "c"}) claims.owns(Span(0), name, 4, std::nullopt, Span(0));
+  LeaseTable leases(host);
+  for (const char* name : {"a", "b", "c"})
+    leases.add_instance(Duration(0), name, 4, std::nullopt, Duration(0));
   const auto ask = [](const char* operation, std::vector<std::string> instances, bool take_over = false) {
-    return ClaimAsk{operation, std::string(operation) + "'s", std::move(instances), seconds(10), take_over};
+    return LeaseRequest{operation, std::string(operation) + "'s", std::move(instances), seconds(10),
+                        take_over};
   };
-  auto first = claims.ask(seconds(1), ask("one", {"a", "b"}));
-  assert(first.granted && first.fences["a"] == 5 && claims.live(seconds(10), "a", 5));
+  auto first = leases.acquire(seconds(1), ask("one", {"a", "b"}));
+  assert(first.granted && first.fences["a"] == 5 && leases.live(seconds(10), "a", 5));
   // The same again: the same fences. Another, overlapping: all or none, and it hears who holds what.
-  assert(claims.ask(seconds(2), ask("one", {"a", "b"})).fences["b"] == 5);
-  const auto second = claims.ask(seconds(3), ask("two", {"b", "c"}));
-  assert(!second.granted && second.held.size() == 1 && second.held[0].claim.who == "one's" &&
-         second.held[0].claim.since == seconds(1) && second.held[0].claim.until == seconds(12));
-  assert(!claims.claim_on(seconds(3), "c"));
+  assert(leases.acquire(seconds(2), ask("one", {"a", "b"})).fences["b"] == 5);
+  const auto second = leases.acquire(seconds(3), ask("two", {"b", "c"}));
+  assert(!second.granted && second.conflicts.size() == 1 && second.conflicts[0].lease.who == "one's" &&
+         second.conflicts[0].lease.since == seconds(1) && second.conflicts[0].lease.until == seconds(12));
+  assert(!leases.lease_on(seconds(3), "c"));
   // Taken over: the fence grows, the older one's is dead at once, elsewhere it goes on.
-  const auto over = claims.ask(seconds(4), ask("two", {"b", "c"}, true));
-  assert(over.granted && over.fences.at("b") == 6 && !claims.live(seconds(4), "b", 5) &&
-         claims.live(seconds(4), "a", 5));
+  const auto over = leases.acquire(seconds(4), ask("two", {"b", "c"}, true));
+  assert(over.granted && over.fences.at("b") == 6 && !leases.live(seconds(4), "b", 5) &&
+         leases.live(seconds(4), "a", 5));
   assert(host.ended == std::vector<std::string>{"b one taken over"});
   // What is left of the older operation can be renewed, and it hears that it has lost the rest.
-  assert(!claims.renew(seconds(5), "one", {"a", "b"}, seconds(10)) && claims.live(seconds(14), "a", 5));
-  assert(claims.renew(seconds(5), "one", {"a"}, seconds(10)) &&
-         claims.renew(seconds(5), "two", {"b", "c"}, seconds(10)));
+  assert(!leases.renew(seconds(5), "one", {"a", "b"}, seconds(10)) && leases.live(seconds(14), "a", 5));
+  assert(leases.renew(seconds(5), "one", {"a"}, seconds(10)) &&
+         leases.renew(seconds(5), "two", {"b", "c"}, seconds(10)));
   // Run out by the clock alone, whoever was woken or not; then free for others under a newer fence.
-  assert(!claims.live(seconds(15), "a", 5) && !claims.claim_on(seconds(15), "a"));
-  assert(claims.ask(seconds(15), ask("three", {"a"})).fences["a"] == 6 &&
-         !claims.renew(seconds(16), "one", {"a"}, seconds(9)));
-  claims.release(seconds(16), "three");
-  claims.release(seconds(16), "three");
-  assert(!claims.live(seconds(16), "a", 6) && claims.last_fence("a") == 6);
+  assert(!leases.live(seconds(15), "a", 5) && !leases.lease_on(seconds(15), "a"));
+  assert(leases.acquire(seconds(15), ask("three", {"a"})).fences["a"] == 6 &&
+         !leases.renew(seconds(16), "one", {"a"}, seconds(9)));
+  leases.release(seconds(16), "three");
+  leases.release(seconds(16), "three");
+  assert(!leases.live(seconds(16), "a", 6) && leases.last_fence("a") == 6);
   // What can't be written is not granted; what is not here, or out of bounds, neither.
   host.writes = false;
-  assert(!claims.ask(seconds(17), ask("four", {"a"})).granted && claims.last_fence("a") == 6);
+  assert(!leases.acquire(seconds(17), ask("four", {"a"})).granted && leases.last_fence("a") == 6);
   host.writes = true;
-  assert(!claims.ask(seconds(17), ask("four", {"x"})).fault.empty());
-  assert(!claims.ask(seconds(17), {"four", "x", {"a"}, milliseconds(1), false}).granted);
-  // After its owner's restart a claim lives its whole lease once more, under the same fence.
-  Claims again(host);
-  again.owns(Span(0), "a", 9, Claim{"five", "x", 9, seconds(50), seconds(60)}, seconds(10));
+  assert(!leases.acquire(seconds(17), ask("four", {"x"})).fault.empty());
+  assert(!leases.acquire(seconds(17), {"four", "x", {"a"}, milliseconds(1), false}).granted);
+  // After its owner's restart a lease lives its whole lease_duration once more, under the same fence.
+  LeaseTable again(host);
+  again.add_instance(Duration(0), "a", 9, Lease{"five", "x", 9, seconds(50), seconds(60)}, seconds(10));
   assert(again.live(seconds(9), "a", 9) && !again.live(seconds(10), "a", 9));
-  assert(again.ask(seconds(10), ask("six", {"a"})).fences["a"] == 10);
+  assert(again.acquire(seconds(10), ask("six", {"a"})).fences["a"] == 10);
 }
 
-struct NotedLife final : Life::Host {
+struct NotedLife final : InstanceLifecycle::Host {
   std::string did;
   bool writes = true;
-  bool intend(const std::string&, const std::optional<Step>&) override { return writes; }
+  bool record_intent(const std::string&, const std::optional<Step>&) override { return writes; }
   void start(int version) override { did += "start" + std::to_string(version) + " "; }
-  void ask_to_end(Span) override { did += "end "; }
-  void call_off_end() override { did += "call-off "; }
-  void order_drain(bool drains, const Step&) override { did += drains ? "drain " : "restore "; }
+  void request_shutdown(Duration) override { did += "end "; }
+  void cancel_shutdown() override { did += "call-off "; }
+  void set_drain(bool drains, const Step&) override { did += drains ? "drain " : "restore "; }
   void terminate() override { did += "term "; }
   void kill() override { did += "kill "; }
   void step_ended(const Step&, StepEnd end, const std::string&) override {
@@ -88,7 +90,7 @@
 };
 
 void lives() {
-  const Life::Look none, up{true, true, true, true, false, false, 1},
+  const InstanceLifecycle::Observation none, up{true, true, true, true, false, false, 1},
       next{true, true, true, true, false, false, 2}, coming{true, false, false, false, false, false, 1},
       away{true, true, true, true, true, false, 1}, drained{true, true, true, true, false, true, 1},
       other{false, true, false, true, false, false, 1};
@@ -98,117 +100,123 @@
       drain{"op", 1, StepKind::drain, Fallback::serve_again, 0, seconds(5), seconds(20)};
   struct Case {
     const char* name;
-    std::function<void(Life&)> happens;
+    std::function<void(InstanceLifecycle&)> happens;
     const char* did;
-    Condition condition;
+    InstanceState condition;
   };
   const Case cases[] = {
       {"kept running, with back-off for one that falls at once",
-       [&](Life& l) {
-         l.looked(Span(0), none), l.looked(milliseconds(100), coming), l.looked(milliseconds(200), none);
-         l.looked(milliseconds(300), none);  // waits
-         l.looked(milliseconds(800), none), l.looked(milliseconds(900), coming),
-             l.looked(milliseconds(1000), none);
-         l.looked(milliseconds(1600), none), l.looked(milliseconds(2100), none);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), none), l.observe(milliseconds(100), coming),
+             l.observe(milliseconds(200), none);
+         l.observe(milliseconds(300), none);  // waits
+         l.observe(milliseconds(800), none), l.observe(milliseconds(900), coming),
+             l.observe(milliseconds(1000), none);
+         l.observe(milliseconds(1600), none), l.observe(milliseconds(2100), none);
        },
-       "start1 start1 start1 ", Condition::down},
-      {"adopted as it runs", [&](Life& l) { l.looked(Span(0), up), l.looked(seconds(1), up); }, "",
-       Condition::serving},
+       "start1 start1 start1 ", InstanceState::down},
+      {"adopted as it runs",
+       [&](InstanceLifecycle& l) { l.observe(Duration(0), up), l.observe(seconds(1), up); }, "",
+       InstanceState::serving},
       {"somebody else has its address: nothing is started",
-       [&](Life& l) { l.looked(Span(0), other), l.looked(seconds(5), other); }, "", Condition::foreign},
+       [&](InstanceLifecycle& l) { l.observe(Duration(0), other), l.observe(seconds(5), other); }, "",
+       InstanceState::foreign},
       {"a restart, and the same message once more",
-       [&](Life& l) {
-         l.looked(Span(0), up);
-         assert(l.step(Span(1), restart) && l.step(Span(2), restart) && !l.step(Span(2), drain));
-         l.looked(seconds(1), up), l.looked(seconds(2), none), l.looked(seconds(3), coming),
-             l.looked(seconds(4), up);
-         assert(l.step(seconds(5), restart) && !l.under_way());
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up);
+         assert(l.step(Duration(1), restart) && l.step(Duration(2), restart) && !l.step(Duration(2), drain));
+         l.observe(seconds(1), up), l.observe(seconds(2), none), l.observe(seconds(3), coming),
+             l.observe(seconds(4), up);
+         assert(l.step(seconds(5), restart) && !l.current_step());
        },
-       "end start1 (done) (done) ", Condition::serving},
+       "end start1 (done) (done) ", InstanceState::serving},
       {"it does not end: its own way, SIGTERM, SIGKILL, each after its time",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), restart);
-         for (int s = 1; s < 40; ++s) l.looked(seconds(s), up);
-         l.looked(seconds(41), none), l.looked(seconds(42), up);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), restart);
+         for (int s = 1; s < 40; ++s) l.observe(seconds(s), up);
+         l.observe(seconds(41), none), l.observe(seconds(42), up);
        },
-       "end term kill (time-up) start1 ", Condition::serving},
+       "end term kill (time-up) start1 ", InstanceState::serving},
       {"it falls at once after its restart",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), change);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), change);
          for (const int s : {1, 4, 7, 11, 17}) {  // each try waits twice as long as the one before
-           l.looked(seconds(s) - milliseconds(700), s == 1 ? up : none);
-           l.looked(seconds(s), none), l.looked(seconds(s + 1), coming), l.looked(seconds(s + 2), none);
+           l.observe(seconds(s) - milliseconds(700), s == 1 ? up : none);
+           l.observe(seconds(s), none), l.observe(seconds(s + 1), coming), l.observe(seconds(s + 2), none);
          }
-         l.looked(seconds(22), none), l.looked(seconds(28), none);
+         l.observe(seconds(22), none), l.observe(seconds(28), none);
        },
-       "end start2 start2 start2 start2 start2 (time-up) start2 ", Condition::down},
+       "end start2 start2 start2 start2 start2 (time-up) start2 ", InstanceState::down},
       {"the lease ends while it is asked to end: it serves again",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), change), l.claim_ended(seconds(1)), l.looked(seconds(2), up);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), change), l.lease_ended(seconds(1)),
+             l.observe(seconds(2), up);
          assert(l.version() == 1);
        },
-       "end call-off (fell-back) ", Condition::serving},
+       "end call-off (fell-back) ", InstanceState::serving},
       {"the same, too late: it goes, and comes back by its old command",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), change), l.claim_ended(seconds(1));
-         l.looked(seconds(2), none), l.looked(seconds(3), up);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), change), l.lease_ended(seconds(1));
+         l.observe(seconds(2), none), l.observe(seconds(3), up);
        },
-       "end call-off start1 (fell-back) ", Condition::serving},
+       "end call-off start1 (fell-back) ", InstanceState::serving},
       {"the lease ends, and the restart is to be finished",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), finish), l.claim_ended(seconds(1)), l.looked(seconds(2), up);
-         l.looked(seconds(3), none), l.looked(seconds(4), up);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), finish), l.lease_ended(seconds(1)),
+             l.observe(seconds(2), up);
+         l.observe(seconds(3), none), l.observe(seconds(4), up);
        },
-       "end start1 (fell-back) ", Condition::serving},
+       "end start1 (fell-back) ", InstanceState::serving},
       {"a drain; its lease ends half way",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), drain), l.looked(seconds(1), away), l.claim_ended(seconds(1));
-         l.looked(seconds(2), up);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), drain), l.observe(seconds(1), away),
+             l.lease_ended(seconds(1));
+         l.observe(seconds(2), up);
        },
-       "drain restore (fell-back) ", Condition::serving},
+       "drain restore (fell-back) ", InstanceState::serving},
       {"drained, and not within the time",
-       [&](Life& l) {
-         l.looked(Span(0), up), l.step(Span(0), drain), l.looked(seconds(1), drained);
+       [&](InstanceLifecycle& l) {
+         l.observe(Duration(0), up), l.step(Duration(0), drain), l.observe(seconds(1), drained);
          Step later = drain;
          later.fence = 2;
-         l.step(seconds(2), later), l.looked(seconds(3), away), l.looked(seconds(9), away);
+         l.step(seconds(2), later), l.observe(seconds(3), away), l.observe(seconds(9), away);
        },
-       "drain (done) drain (time-up) ", Condition::draining},
+       "drain (done) drain (time-up) ", InstanceState::draining},
       {"a step before the first look, or while somebody else is there, is refused",
-       [&](Life& l) {
-         assert(!l.step(Span(0), restart));
-         l.looked(Span(0), other);
-         assert(!l.step(Span(0), restart));
+       [&](InstanceLifecycle& l) {
+         assert(!l.step(Duration(0), restart));
+         l.observe(Duration(0), other);
+         assert(!l.step(Duration(0), restart));
        },
-       "", Condition::foreign},
+       "", InstanceState::foreign},
       {"after the agent's own end amid a restart: what had gone is started, by the new command if it was one",
-       [&](Life& l) {
-         l.remembered(change, std::nullopt);
-         l.looked(Span(0), none), l.looked(seconds(1), next);
+       [&](InstanceLifecycle& l) {
+         l.restore(change, std::nullopt);
+         l.observe(Duration(0), none), l.observe(seconds(1), next);
          assert(l.version() == 2);
        },
-       "start2 (fell-back) ", Condition::serving},
+       "start2 (fell-back) ", InstanceState::serving},
       {"the same where it had not gone yet: it serves as before",
-       [&](Life& l) {
-         l.remembered(change, std::nullopt);
-         l.looked(Span(0), up), l.looked(seconds(1), up);
+       [&](InstanceLifecycle& l) {
+         l.restore(change, std::nullopt);
+         l.observe(Duration(0), up), l.observe(seconds(1), up);
          assert(l.version() == 1);
        },
-       "call-off (fell-back) ", Condition::serving},
+       "call-off (fell-back) ", InstanceState::serving},
   };
   for (const Case& c : cases) {
     NotedLife host;
-    Life life(host, true, 1);
+    InstanceLifecycle life(host, true, 1);
     c.happens(life);
     if (host.did != c.did || life.condition() != c.condition)
       std::fprintf(stderr, "%s: did %s, %s\n", c.name, host.did.c_str(),
-                   std::string(word_for(life.condition())).c_str());
+                   std::string(name_of(life.condition())).c_str());
     assert(host.did == c.did && life.condition() == c.condition);
   }
   NotedLife host;
   host.writes = false;  // what can't be written down is not done
-  Life life(host, true, 1);
-  life.looked(Span(0), none), life.looked(seconds(9), up);
+  InstanceLifecycle life(host, true, 1);
+  life.observe(Duration(0), none), life.observe(seconds(9), up);
   assert(!life.step(seconds(9), restart) && host.did.empty());
 }
 
@@ -216,9 +224,9 @@
   RolloutPlan plan;
   plan.id = "roll", plan.who = "ann", plan.kind = kind, plan.version = kind == StepKind::change ? 2 : 0;
   plan.version_before = 1;
-  plan.at_once = 4, plan.batch = 5, plan.gate = milliseconds(300), plan.warm = milliseconds(400);
-  plan.least_serving = {{"z0", 2}, {"z1", 2}};
-  plan.lease = seconds(6), plan.drain_within = seconds(4), plan.up_within = seconds(8);
+  plan.max_concurrent = 4, plan.batch = 5, plan.gate = milliseconds(300), plan.warm = milliseconds(400);
+  plan.min_serving = {{"z0", 2}, {"z1", 2}};
+  plan.lease_duration = seconds(6), plan.drain_within = seconds(4), plan.up_within = seconds(8);
   plan.failures = 1;
   return plan;
 }
@@ -254,14 +262,14 @@
         RolloutSimulation::Shape shape{.seed = seed, .kill_at = point, .kill_whom = whom};
         shape.kill_pass = seed <= 12 ? 1 + static_cast<int>(seed % 3) : 1;
         shape.comes_back = seed % 4 != 0;
-        // Some points are passed only where an instance does not end when asked, or a claim ends amid a step.
+        // Some points are passed only where an instance does not end when asked, or a lease ends amid a step.
         shape.hangs = seed % 2 ? 0.5 : 0;
         shape.cut_off = seed % 2;
         shape.loss = 0.05;
         RolloutPlan plan = plan_of(seed % 2 ? StepKind::restart : StepKind::change);
         if (seed % 3 == 0) plan.fallback = Fallback::finish;
-        if (seed % 6 == 5) plan.kind = StepKind::drain, plan.least_serving.clear();
-        if (seed > 12) plan.lease = seconds(3);
+        if (seed % 6 == 5) plan.kind = StepKind::drain, plan.min_serving.clear();
+        if (seed > 12) plan.lease_duration = seconds(3);
         const auto result = play(shape, plan);
         visited.insert(result.points.begin(), result.points.end());
         if (result.killed) killed[point].insert(whom);
@@ -318,7 +326,7 @@
 }
 
 int main() {
-  claims();
+  leases();
   lives();
   histories();
   reverts();
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -19,13 +19,14 @@
 
 std::string folder;
 
-fleet::LeaseOwner::Kept kept(std::uint64_t fence) {
-  fleet::LeaseOwner::Kept one;
-  one.version = 3, one.last_fence = fence, one.lease = seconds(30);
-  one.claim = fleet::Claim{"op", "ann", fence, {}, {}};
+fleet::LeaseOwner::PersistedInstance kept(std::uint64_t fence) {
+  fleet::LeaseOwner::PersistedInstance one;
+  one.version = 3, one.last_fence = fence, one.lease_duration = seconds(30);
+  one.lease = fleet::Lease{"op", "ann", fence, {}, {}};
   one.step =
       fleet::Step{"op", fence, fleet::StepKind::change, fleet::Fallback::finish, 4, seconds(5), seconds(6)};
-  one.past = fleet::Life::Past{*one.step, fleet::StepEnd::time_up, "does not serve"};
+  one.last_step =
+      fleet::InstanceLifecycle::CompletedStep{*one.step, fleet::StepEnd::time_up, "does not serve"};
   return one;
 }
 
@@ -41,8 +42,8 @@
   const std::string path = folder + "/a.db";
   KeptRollout rollout;
   rollout.plan.id = "r1", rollout.plan.who = "ann", rollout.plan.targets = {{"i1", "a1", "z1"}};
-  rollout.plan.least_serving = {{"z1", 2}}, rollout.plan.warm = seconds(7), rollout.plan.take_over = true;
-  rollout.state = fleet::Rollout::State::paused, rollout.stages = {{"i1", fleet::Rollout::Stage::asked}};
+  rollout.plan.min_serving = {{"z1", 2}}, rollout.plan.warm = seconds(7), rollout.plan.take_over = true;
+  rollout.state = fleet::Rollout::State::paused, rollout.stages = {{"i1", fleet::Rollout::Stage::requested}};
   rollout.word = "by an operator", rollout.begun_unix_ms = 5;
   {
     Store store(path);
@@ -54,15 +55,15 @@
   Store store(path);
   assert(open(store) == Store::Opened::usable);
   const auto one = store.instances().at("i1");
-  assert(one.last_fence == 7 && one.claim->who == "ann" && one.step->version == 4 &&
+  assert(one.last_fence == 7 && one.lease->who == "ann" && one.step->version == 4 &&
          one.step->up_within == seconds(6) && one.step->fallback == fleet::Fallback::finish &&
-         one.past->end == fleet::StepEnd::time_up && one.past->word == "does not serve" &&
-         one.lease == seconds(30));
+         one.last_step->end == fleet::StepEnd::time_up && one.last_step->detail == "does not serve" &&
+         one.lease_duration == seconds(30));
   assert(!store.instances().at("i2").step && store.processes().size() == 1 &&
          (store.processes().at("i1") == Process{12, 34, "b", 3}));
   const auto back = store.rollouts(10);
   assert(back.size() == 1 && back[0].plan.targets[0].agent == "a1" &&
-         back[0].plan.least_serving.at("z1") == 2 && back[0].plan.warm == seconds(7) &&
+         back[0].plan.min_serving.at("z1") == 2 && back[0].plan.warm == seconds(7) &&
          back[0].plan.take_over && back[0].stages == rollout.stages && back[0].state == rollout.state);
   for (int i = 0; i < 250; ++i) {
     rollout.plan.id = "x" + std::to_string(i), rollout.begun_unix_ms = 10 + i;
@@ -237,7 +238,7 @@
     std::signal(SIGXFSZ, SIG_IGN);
     const rlimit limit{size, size};
     setrlimit(RLIMIT_FSIZE, &limit);
-    std::map<std::string, fleet::LeaseOwner::Kept> many;
+    std::map<std::string, fleet::LeaseOwner::PersistedInstance> many;
     for (int i = 0; i < 2000; ++i) many["j" + std::to_string(i)] = kept(2);
     const bool written = store.write(many);
     _exit(!written && !store.fault().empty() ? 0 : 1);
