--- a/src/agent/call_server.cpp
+++ b/src/agent/call_server.cpp
@@ -18,12 +18,12 @@
 
 using ExternalConnection = grpc::ServerBuilder::experimental_type::ExternalConnectionType;
 
-// Bounds: of threads, of a message (the largest is a plan of some thousand instances), and of idle
-// connections.
-constexpr int most_threads = 16, largest_message = 1 << 20, longest_idle_ms = 60'000;
-constexpr milliseconds calls_end_within(500);
+constexpr int max_threads = 16;
+constexpr int max_message_bytes = 1 << 20;  // the largest message is a plan of some thousand instances
+constexpr int max_connection_idle_ms = 60'000;
+constexpr milliseconds shutdown_timeout(500);
 
-// gRPC gets a descriptor of its own; where none can be had the caller sees its connection end, and calls
+// gRPC gets a descriptor of its own. Where none can be had the caller sees its connection end, and connects
 // again.
 void hand_over(grpc::experimental::ExternalConnectionAcceptor& acceptor,
                const Poco::Net::StreamSocket& socket) {
@@ -37,52 +37,61 @@
   acceptor.HandleNewConnection(&connection);
 }
 
-std::string path_of(const keys::Reach& reach) { return reach.text.substr(std::string("unix:").size()); }
+std::string path_of(const keys::Endpoint& endpoint) {
+  return endpoint.text.substr(std::string_view("unix:").size());
+}
+
+void set_limits(grpc::ServerBuilder& builder) {
+  grpc::ResourceQuota quota;
+  quota.SetMaxThreads(max_threads);
+  builder.SetResourceQuota(quota);
+  builder.SetMaxReceiveMessageSize(max_message_bytes);
+  builder.AddChannelArgument(GRPC_ARG_MAX_CONNECTION_IDLE_MS, max_connection_idle_ms);
+}
 
 }  // namespace
 
-CallServer::CallServer(net::EventLoopThread& loop_thread, const AgentConfig& charter, grpc::Service& service)
-    : loop_thread_(loop_thread), control_path_(path_of(charter.control)) {
+CallServer::CallServer(net::EventLoopThread& loop_thread, const AgentConfig& config, grpc::Service& service)
+    : loop_thread_(loop_thread), control_path_(path_of(config.control)) {
   grpc::ServerBuilder builder;
-  grpc::ResourceQuota quota;
-  quota.SetMaxThreads(most_threads);
-  builder.SetResourceQuota(quota);
-  builder.SetMaxReceiveMessageSize(largest_message);
-  builder.AddChannelArgument(GRPC_ARG_MAX_CONNECTION_IDLE_MS, longest_idle_ms);
-  control_ = builder.experimental().AddExternalConnectionAcceptor(ExternalConnection::FROM_FD,
-                                                                  grpc::InsecureServerCredentials());
-  if (charter.listen.tls)
-    listen_ = builder.experimental().AddExternalConnectionAcceptor(ExternalConnection::FROM_FD,
-                                                                   credentials_by(charter.tls));
+  set_limits(builder);
+  control_acceptor_ = builder.experimental().AddExternalConnectionAcceptor(ExternalConnection::FROM_FD,
+                                                                           grpc::InsecureServerCredentials());
+  if (config.listen.tls)
+    tls_acceptor_ = builder.experimental().AddExternalConnectionAcceptor(ExternalConnection::FROM_FD,
+                                                                         server_credentials(config.tls));
   builder.RegisterService(&service);
   server_ = builder.BuildAndStart();
-  if (!server_) throw SystemError("the server of remote calls can't be started", charter.name);
+  if (!server_) throw SystemError("the server of remote calls can't be started", config.name);
   try {
-    loop_thread_.on([&] { listen(charter); });
+    loop_thread_.on([&] { listen(config); });
   } catch (...) {
-    loop_thread_.on([this] { close_doors(); });
+    loop_thread_.on([this] { stop_listening(); });
     throw;
   }
 }
 
 CallServer::~CallServer() {
   loop_thread_.on([this] {
-    close_doors();
+    stop_listening();
     ::unlink(control_path_.c_str());
   });
-  server_->Shutdown(deadline_in(calls_end_within));
+  server_->Shutdown(deadline_in(shutdown_timeout));
 }
 
-void CallServer::listen(const AgentConfig& charter) {
-  doors_.push_back(
-      net::open_owner_door(loop_thread_.loop(), control_path_,
-                           [this](const Poco::Net::StreamSocket& socket) { hand_over(*control_, socket); }));
-  if (!listen_) return;
-  doors_.push_back(std::make_unique<net::Door>(
-      loop_thread_.loop(), net::resolved_address(charter.listen.target, "listen"),
-      [this](const Poco::Net::StreamSocket& socket) { hand_over(*listen_, socket); }));
+void CallServer::listen(const AgentConfig& config) {
+  const auto accept_control = [this](const Poco::Net::StreamSocket& socket) {
+    hand_over(*control_acceptor_, socket);
+  };
+  listeners_.push_back(net::open_owner_door(loop_thread_.loop(), control_path_, accept_control));
+  if (!tls_acceptor_) return;
+  const auto accept_tls = [this](const Poco::Net::StreamSocket& socket) {
+    hand_over(*tls_acceptor_, socket);
+  };
+  listeners_.push_back(std::make_unique<net::Door>(
+      loop_thread_.loop(), net::resolved_address(config.listen.target, "listen"), accept_tls));
 }
 
-void CallServer::close_doors() { doors_.clear(); }
+void CallServer::stop_listening() { listeners_.clear(); }
 
 }  // namespace pearchute::agent
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -100,14 +100,14 @@
   spread_.set_peers(loop_thread_.loop().now(), peers_of(next));
   std::erase_if(instances_, [&](const auto& one) {
     const auto at = next.instances.find(one.first);
-    return at == next.instances.end() || at->second.configuration != one.second.file ||
-           at->second.configuration_base != one.second.base;
+    return at == next.instances.end() || at->second.config_file != one.second.file ||
+           at->second.config_base_file != one.second.base;
   });
   for (const auto& [name, owned] : next.instances) {
-    if (owned.configuration.empty() || instances_.contains(name)) continue;
+    if (owned.config_file.empty() || instances_.contains(name)) continue;
     Instance& instance = instances_[name];
-    instance.file = owned.configuration;
-    instance.base = owned.configuration_base;
+    instance.file = owned.config_file;
+    instance.base = owned.config_base_file;
     instance.caller = std::make_unique<admin::Caller>(loop_thread_.loop(), owned.admin);
   }
 }
@@ -115,7 +115,7 @@
 bool ConfigService::write_config(const fleet::ConfigReplica::State& state) {
   if (supervisor_.trouble().empty() && supervisor_.store().write_config(state)) return true;
   PEARCHUTE_LOG(spdlog::level::err, "the configuration version can't be written: {}",
-                supervisor_.store().fault());
+                supervisor_.store().last_error());
   return false;
 }
 
--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -145,12 +145,12 @@
                          const std::string& trouble)
     : loop_thread_(stage), peers_(peers), store_(store), trouble_(trouble) {
   if (trouble_.empty()) {
-    for (const store::KeptRollout& kept : store_.rollouts(50)) {
+    for (const store::RolloutRecord& kept : store_.rollouts(50)) {
       if (fleet::is_over(kept.state)) {
         past_.push_back(kept);
         continue;
       }
-      auto& one = rollouts_[kept.plan.id] = std::make_unique<One>(*this, kept.plan, kept.begun_unix_ms);
+      auto& one = rollouts_[kept.plan.id] = std::make_unique<One>(*this, kept.plan, kept.started_unix_ms);
       one->rollout.remembered(loop_thread_.loop().now(), kept.stages);
     }
   }
@@ -221,7 +221,7 @@
     if (!to || id.empty()) continue;
     for (const auto& [instance, word] : rollout.words()) (*to->mutable_words())[instance] = word;
   }
-  for (const store::KeptRollout& kept : past_) add(kept.plan, kept.state, kept.word, kept.stages);
+  for (const store::RolloutRecord& kept : past_) add(kept.plan, kept.state, kept.state_reason, kept.stages);
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/coordinator.h
+++ b/src/agent/coordinator.h
@@ -31,7 +31,7 @@
   store::Store& store_;
   const std::string trouble_;
   std::map<std::string, std::unique_ptr<One>> rollouts_;
-  std::vector<store::KeptRollout> past_;
+  std::vector<store::RolloutRecord> past_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/agent/grpc_credentials.cpp
+++ b/src/agent/grpc_credentials.cpp
@@ -2,73 +2,94 @@
 
 #include <sys/stat.h>
 
-#include "keys/authority.h"
+#include "keys/certificate.h"
+#include "keys/pem_file.h"
 #include "net/log.h"
 
 namespace pearchute::agent {
 
-std::shared_ptr<grpc::Channel> channel_to(const keys::Reach& reach, const std::string& name,
-                                          const keys::Files& files) {
-  // Guards against a line that is mended and not used: left to itself the library waits up to two minutes
-  // after a few refused connects. Whoever calls has pauses of its own; a connect is given as long as a call.
+namespace {
+
+// Left to itself gRPC waits up to two minutes after a few refused connects, during which a network that works
+// again is not used. Callers pause between their calls themselves; a connect may take as long as a call.
+constexpr int initial_reconnect_backoff_ms = 200;
+constexpr int connect_timeout_ms = 1500;
+constexpr int max_reconnect_backoff_ms = 1000;
+
+constexpr std::int64_t nanoseconds_per_second = 1'000'000'000;
+
+grpc::ChannelArguments reconnect_arguments() {
   grpc::ChannelArguments arguments;
-  arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 200);
-  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 1500);
-  arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
-  if (!reach.tls)
-    return grpc::CreateCustomChannel(reach.target, grpc::InsecureChannelCredentials(), arguments);
+  arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, initial_reconnect_backoff_ms);
+  arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, connect_timeout_ms);
+  arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, max_reconnect_backoff_ms);
+  return arguments;
+}
+
+}  // namespace
+
+std::shared_ptr<grpc::Channel> channel_to(const keys::Endpoint& endpoint, const std::string& name,
+                                          const keys::TlsFiles& files) {
+  grpc::ChannelArguments arguments = reconnect_arguments();
+  if (!endpoint.tls)
+    return grpc::CreateCustomChannel(endpoint.target, grpc::InsecureChannelCredentials(), arguments);
   grpc::SslCredentialsOptions options;
-  options.pem_root_certs = keys::text_of(files.authority);
-  options.pem_cert_chain = keys::text_of(files.certificate);
-  options.pem_private_key = keys::text_of(files.key);
+  options.pem_root_certs = keys::read_pem_file(files.authority);
+  options.pem_cert_chain = keys::read_pem_file(files.certificate);
+  options.pem_private_key = keys::read_pem_file(files.key);
   arguments.SetSslTargetNameOverride(name);
-  return grpc::CreateCustomChannel(reach.target, grpc::SslCredentials(options), arguments);
+  return grpc::CreateCustomChannel(endpoint.target, grpc::SslCredentials(options), arguments);
 }
 
-std::shared_ptr<grpc::ServerCredentials> credentials_by(const keys::Files& files) {
+std::shared_ptr<grpc::ServerCredentials> server_credentials(const keys::TlsFiles& files) {
   grpc::SslServerCredentialsOptions options(GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY);
-  options.pem_root_certs = keys::text_of(files.authority);
-  options.pem_key_cert_pairs = {{keys::text_of(files.key), keys::text_of(files.certificate)}};
+  options.pem_root_certs = keys::read_pem_file(files.authority);
+  options.pem_key_cert_pairs = {{keys::read_pem_file(files.key), keys::read_pem_file(files.certificate)}};
   return grpc::SslServerCredentials(options);
 }
 
-Caller caller_of(const grpc::ServerContext& context) {
+CallerIdentity identity_of(const grpc::ServerContext& context) {
   if (context.peer().starts_with("unix:")) return {"", fleet::Role::agent, ""};
-  const auto shown = context.auth_context()->FindPropertyValues(GRPC_X509_PEM_CERT_PROPERTY_NAME);
-  if (shown.empty()) return {};
+  const auto presented = context.auth_context()->FindPropertyValues(GRPC_X509_PEM_CERT_PROPERTY_NAME);
+  if (presented.empty()) return {};
   try {
-    const keys::Certificate certificate = keys::certificate_in({shown.front().data(), shown.front().size()});
+    const keys::Certificate certificate =
+        keys::parse_certificate({presented.front().data(), presented.front().size()});
     return {certificate.name, certificate.role, certificate.serial};
   } catch (const keys::Error&) {
     return {};
   }
 }
 
-Revocations::Revocations(const keys::Files& files) : files_(files) {
+Revocations::Revocations(const keys::TlsFiles& files) : files_(files) {
   if (!files_.revoked.empty()) read();
 }
 
 void Revocations::read() {
-  const auto serials = keys::revoked_by(files_.revoked, files_.authority);
+  const std::vector<std::string> serials = keys::revoked_serials(files_.revoked, files_.authority);
   serials_ = {serials.begin(), serials.end()};
-  struct stat what {};
-  if (::stat(files_.revoked.c_str(), &what) == 0)
-    changed_ = what.st_mtim.tv_sec * 1'000'000'000 + what.st_mtim.tv_nsec;
+  if (const auto modified = modification_time_ns()) read_modification_time_ns_ = *modified;
 }
 
-bool Revocations::hold(const std::string& serial) {
+bool Revocations::is_revoked(const std::string& serial) {
   if (files_.revoked.empty()) return false;
   const std::lock_guard lock(mutex_);
-  struct stat what {};
-  const bool there = ::stat(files_.revoked.c_str(), &what) == 0;
-  if (there && what.st_mtim.tv_sec * 1'000'000'000 + what.st_mtim.tv_nsec != changed_) {
+  const std::optional<std::int64_t> modified = modification_time_ns();
+  if (modified && *modified != read_modification_time_ns_) {
     try {
       read();
-    } catch (const pearchute::Error& fault) {
-      PEARCHUTE_LOG(spdlog::level::err, "the revocations stay as they were: {}", fault.what());
+    } catch (const pearchute::Error& error) {
+      PEARCHUTE_LOG(spdlog::level::err, "the revocations stay as they were: {}", error.what());
     }
   }
   return serials_.contains(serial);
 }
 
+// Nothing where there is no such file.
+std::optional<std::int64_t> Revocations::modification_time_ns() const {
+  struct stat status {};
+  if (::stat(files_.revoked.c_str(), &status) != 0) return std::nullopt;
+  return status.st_mtim.tv_sec * nanoseconds_per_second + status.st_mtim.tv_nsec;
+}
+
 }  // namespace pearchute::agent
--- a/src/agent/grpc_credentials.h
+++ b/src/agent/grpc_credentials.h
@@ -1,8 +1,10 @@
-// gRPC's side of certificates: channels to agents, an agent's own listening, and who stands behind a call.
+// gRPC's side of certificates: channels to agents, the credentials of an agent's own server, who makes a
+// call, and whether its certificate is revoked.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
 
+#include <cstdint>
 #include <memory>
 #include <mutex>
 #include <optional>
@@ -10,36 +12,45 @@
 #include <string>
 
 #include "fleet/roles.h"
-#include "keys/reach.h"
+#include "keys/endpoint.h"
+#include "keys/tls_files.h"
 
 namespace pearchute::agent {
 
-// `name` is the agent's, which its certificate has to say. Throws keys::Error where a file can't be read.
-std::shared_ptr<grpc::Channel> channel_to(const keys::Reach& reach, const std::string& name,
-                                          const keys::Files& files);
-std::shared_ptr<grpc::ServerCredentials> credentials_by(const keys::Files& files);
+// `name` is the agent's, which its certificate has to state. Throws KeysError where a file can't be read,
+// ResourceShortage where it can't be read now.
+std::shared_ptr<grpc::Channel> channel_to(const keys::Endpoint& endpoint, const std::string& name,
+                                          const keys::TlsFiles& files);
+// Requires each client to present a certificate of the authority. Throws as channel_to does.
+std::shared_ptr<grpc::ServerCredentials> server_credentials(const keys::TlsFiles& files);
 
-struct Caller {
+// Who makes a call, by its certificate. Without a role it may do nothing.
+struct CallerIdentity {
   std::string name;
   std::optional<fleet::Role> role;
-  std::string serial;
+  std::string serial;  // of the certificate; empty at the Unix socket
 };
-// By the certificate; one at the Unix socket is this user itself, and may do what an agent may.
-Caller caller_of(const grpc::ServerContext& context);
 
-// The revocations, read again when their file changes. A file that can't be used leaves them as they were.
+// A caller at the Unix socket is this user itself, and may do what an agent may.
+CallerIdentity identity_of(const grpc::ServerContext& context);
+
+// The authority's list of revoked certificates, read again when its file changes. Thread-safe.
 class Revocations {
  public:
-  explicit Revocations(const keys::Files& files);  // throws keys::Error
-  bool hold(const std::string& serial);
+  // Throws KeysError where the list can't be used, ResourceShortage where it can't be read now. Without a
+  // list in `files` nothing is revoked.
+  explicit Revocations(const keys::TlsFiles& files);
+  // A changed file that can't be used is logged, and leaves the revocations as they were.
+  bool is_revoked(const std::string& serial);
 
  private:
   void read();
+  std::optional<std::int64_t> modification_time_ns() const;
 
-  const keys::Files files_;
-  std::mutex mutex_;
+  const keys::TlsFiles files_;
+  std::mutex mutex_;  // guards what follows
   std::set<std::string> serials_;
-  std::int64_t changed_ = 0;
+  std::int64_t read_modification_time_ns_ = 0;
 };
 
 }  // namespace pearchute::agent
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -68,7 +68,7 @@
   grpc::Status Synchronize(grpc::ServerContext* context, const v1::ConfigMessage* question,
                            v1::ConfigMessage* answer) override {
     if (!configuration_) return no_configuration();
-    if (caller_of(*context).role != fleet::Role::agent)
+    if (identity_of(*context).role != fleet::Role::agent)
       return {grpc::StatusCode::PERMISSION_DENIED, "only agents exchange versions of the configuration"};
     return on(*context, Act::change, "", [&] { configuration_->synchronize(*question, *answer); });
   }
@@ -138,10 +138,10 @@
   }
   template <class What>
   grpc::Status on(const grpc::ServerContext& context, Act act, const std::string& as, What what) {
-    const Caller caller = caller_of(context);
+    const CallerIdentity caller = identity_of(context);
     std::optional<std::string> refusal;
     if (!caller.role) refusal = "a certificate without a role";
-    else if (revocations_.hold(caller.serial)) refusal = "the certificate is revoked";
+    else if (revocations_.is_revoked(caller.serial)) refusal = "the certificate is revoked";
     else refusal = fleet::refusal(*caller.role, act, caller.name, as);
     if (refusal) {
       PEARCHUTE_LOG(spdlog::level::warn, "{} at {} is refused: {}", caller.name, context.peer(), *refusal);
@@ -196,9 +196,9 @@
                 ConfigService* configuration) {
   try {
     const AgentConfig next = with_patience([&] { return read_agent_config(file); });
-    const bool other = next.name != charter.name || next.state != charter.state ||
+    const bool other = next.name != charter.name || next.state_file != charter.state_file ||
                        next.control.text != charter.control.text || next.listen.text != charter.listen.text ||
-                       next.exchanges != charter.exchanges || next.configures != charter.configures;
+                       next.gossips != charter.gossips || next.spreads_config != charter.spreads_config;
     if (other)
       spdlog::warn("the agent's name, state, places and exchange take effect at its next start only");
     with_patience([&] { stage.on([&] { peers.change(next); }); });
@@ -234,9 +234,8 @@
     coordinator = std::make_unique<Coordinator>(stage, *peers, supervisor->store(), supervisor->trouble());
     std::random_device chance;
     const std::uint64_t seed = static_cast<std::uint64_t>(chance()) << 32 | chance();
-    if (charter.exchanges)
-      gossip = std::make_unique<GossipService>(stage, charter, *supervisor, *peers, seed);
-    if (charter.configures)
+    if (charter.gossips) gossip = std::make_unique<GossipService>(stage, charter, *supervisor, *peers, seed);
+    if (charter.spreads_config)
       configuration = std::make_unique<ConfigService>(stage, charter, *supervisor, *peers, seed + 1);
   });
   const auto service = with_patience([&] {
--- a/src/agent/peers.h
+++ b/src/agent/peers.h
@@ -23,7 +23,7 @@
 
 // Opens the channel to one agent; channel_to, unless many agents of one process share their channels.
 using ChannelFactory = std::function<std::shared_ptr<grpc::Channel>(
-    const keys::Reach& reach, const std::string& name, const keys::Files& files)>;
+    const keys::Endpoint& reach, const std::string& name, const keys::TlsFiles& files)>;
 
 class Peers {
  public:
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -37,12 +37,12 @@
 };
 
 ProcessSupervisor::ProcessSupervisor(net::Loop& loop, const AgentConfig& charter)
-    : loop_(loop), config_(charter), store_(charter.state) {
+    : loop_(loop), config_(charter), store_(charter.state_file) {
   const bool usable = open_store();
   if (usable) lease_owner_ = std::make_unique<fleet::LeaseOwner>(*this);
   else spdlog::error("{}; this agent observes and takes no orders until its state is mended", trouble_);
   const auto kept = usable ? store_.instances() : std::map<std::string, fleet::LeaseOwner::Kept>();
-  const auto processes = usable ? store_.processes() : std::map<std::string, store::Process>();
+  const auto processes = usable ? store_.processes() : std::map<std::string, store::ProcessRecord>();
   for (const auto& [name, owned] : config_.instances) own(name, owned, kept, processes);
   look();
 }
@@ -50,20 +50,20 @@
 // Guards against an agent that takes no orders for good because its folder failed for a moment at its start.
 bool ProcessSupervisor::open_store() {
   const auto until = std::chrono::steady_clock::now() + shortages_pass_within;
-  store::Store::Opened opened = store_.open(trouble_);
-  while (opened == store::Store::Opened::not_now && std::chrono::steady_clock::now() < until) {
+  store::OpenStatus opened = store_.open(trouble_);
+  while (opened == store::OpenStatus::temporarily_unavailable && std::chrono::steady_clock::now() < until) {
     PEARCHUTE_LOG(spdlog::level::warn, "{}; tried again for some seconds", trouble_);
     std::this_thread::sleep_for(between_attempts);
     opened = store_.open(trouble_);
   }
-  return opened == store::Store::Opened::usable;
+  return opened == store::OpenStatus::usable;
 }
 
 ProcessSupervisor::~ProcessSupervisor() { *alive_ = false; }
 
 // Guards against a process that is taken for ended, and started a second time, because it could not be looked
 // at for a moment.
-bool ProcessSupervisor::adopt(const std::string& instance, const store::Process& process) {
+bool ProcessSupervisor::adopt(const std::string& instance, const store::ProcessRecord& process) {
   return retry_while_short([&] { return processes_.adopt(instance, process); },
                            [&](const ResourceShortage& shortage) {
                              PEARCHUTE_LOG(spdlog::level::warn,
@@ -72,22 +72,23 @@
                            });
 }
 
-void ProcessSupervisor::own(const std::string& name, const Owned& owned,
+void ProcessSupervisor::own(const std::string& name, const OwnedInstance& owned,
                             const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
-                            const std::map<std::string, store::Process>& processes) {
+                            const std::map<std::string, store::ProcessRecord>& processes) {
   auto& eye = eyes_[name] = std::make_unique<Eye>();
   eye->caller = std::make_unique<admin::Caller>(loop_, owned.admin);
-  eye->version = owned.version;
+  eye->version = owned.initial_version;
   if (!lease_owner_) return;
   fleet::LeaseOwner::Kept one;
-  one.wanted = owned.wanted, one.version = owned.version;
+  one.wanted = owned.starts;
+  one.version = owned.initial_version;
   if (const auto at = kept.find(name); at != kept.end()) one = at->second;
   // A version that the charter names no more can't be started: the charter's own is.
-  if (!owned.commands.contains(one.version)) one.version = owned.version;
+  if (!owned.commands.contains(one.version)) one.version = owned.initial_version;
   eye->version = one.version;
   if (const auto at = processes.find(name); at != processes.end()) {
     const bool ours = adopt(name, at->second);
-    if (ours && at->second.version > 0) eye->version = at->second.version;
+    if (ours && at->second.command_version > 0) eye->version = at->second.command_version;
     spdlog::info("instance {}: process {} {}", name, at->second.pid, ours ? "is adopted" : "has ended");
   }
   lease_owner_->owns(loop_.now(), name, one);
@@ -107,9 +108,9 @@
       told.push_back("instance " + name + " stays as it was: it is claimed");
       continue;
     }
-    processes_.let_go(name);
+    processes_.release(name);
     eyes_.erase(name);
-    if (lease_owner_) store_.forget(name);
+    if (lease_owner_) store_.erase_instance(name);
     told.push_back("instance " + name + " is not looked after any more; it runs on");
   }
   for (const auto& [name, owned] : config_.instances) {
@@ -237,13 +238,13 @@
 
 bool ProcessSupervisor::write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
                               const std::string& why) {
-  if (store_.write(kept)) return true;
-  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.fault(), why);
+  if (store_.write_instances(kept)) return true;
+  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.last_error(), why);
   return false;
 }
 
 void ProcessSupervisor::start(const std::string& name, int version) {
-  const Owned& owned = config_.instances.at(name);
+  const OwnedInstance& owned = config_.instances.at(name);
   const auto command = owned.commands.find(version);
   if (command == owned.commands.end()) {
     PEARCHUTE_LOG(spdlog::level::err, "instance {}: no command of version {}", name, version);
@@ -252,8 +253,8 @@
   std::string fault;
   const bool started = processes_.start(
       name, command->second, owned.log,
-      [&](store::Process process) {
-        process.version = version;
+      [&](store::ProcessRecord process) {
+        process.command_version = version;
         return store_.write_process(name, process);
       },
       fault);
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -49,11 +49,11 @@
 
  private:
   bool open_store();
-  bool adopt(const std::string& instance, const store::Process& process);
+  bool adopt(const std::string& instance, const store::ProcessRecord& process);
   struct Eye;
-  void own(const std::string& name, const Owned& owned,
+  void own(const std::string& name, const OwnedInstance& owned,
            const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
-           const std::map<std::string, store::Process>& processes);
+           const std::map<std::string, store::ProcessRecord>& processes);
   bool write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept, const std::string& why) override;
   void start(const std::string& instance, int version) override;
   void ask_to_end(const std::string& instance, Span within) override;
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -15,20 +15,27 @@
 
 namespace {
 
-std::string read_boot() {
+// Of /proc/PID/stat, counted from 1; see proc(5).
+constexpr int state_field = 3;
+constexpr int start_time_field = 22;
+
+constexpr mode_t log_file_mode = 0600;
+constexpr int command_not_run_status = 127;  // as shells have it
+
+std::string read_boot_id() {
   const std::string text = read_file("/proc/sys/kernel/random/boot_id");
   return text.substr(0, text.find('\n'));
 }
 
-// Less than 0 where there is no such process.
-int open_pidfd(std::int64_t pid) {
-  const auto pidfd = static_cast<int>(::syscall(SYS_pidfd_open, static_cast<pid_t>(pid), 0));
-  if (pidfd >= 0 || last_failure() == Failure::never) return pidfd;
+// Not open where there is no such process. Throws ResourceShortage.
+FileDescriptor open_pidfd(std::int64_t pid) {
+  FileDescriptor pidfd(static_cast<int>(::syscall(SYS_pidfd_open, static_cast<pid_t>(pid), 0)));
+  if (pidfd.is_open() || last_failure() == Failure::never) return pidfd;
   throw ResourceShortage("process " + std::to_string(pid) + " can't be held: " + text_of_last_error());
 }
 
 // Nothing where there is no such process: its file may also end while it is read.
-std::optional<std::string> status_text_of(std::int64_t pid) {
+std::optional<std::string> read_stat(std::int64_t pid) {
   try {
     return read_file_if_there("/proc/" + std::to_string(pid) + "/stat");
   } catch (const ResourceShortage&) {
@@ -38,142 +45,150 @@
   }
 }
 
+// A pipe over which a child is told to begin. Where it is closed instead, the child ends.
+struct StartPipe {
+  FileDescriptor read_end;
+  FileDescriptor write_end;
+};
+
+bool open_pipe(StartPipe& pipe) {
+  int ends[2];
+  if (::pipe2(ends, O_CLOEXEC) != 0) return false;
+  pipe.read_end = FileDescriptor(ends[0]);
+  pipe.write_end = FileDescriptor(ends[1]);
+  return true;
+}
+
+void redirect_standard_streams(const char* output) {
+  const int in = ::open("/dev/null", O_RDONLY);
+  const int out = ::open(output, O_WRONLY | O_CREAT | O_APPEND, log_file_mode);
+  ::dup2(in, STDIN_FILENO);
+  ::dup2(out, STDOUT_FILENO);
+  ::dup2(out, STDERR_FILENO);
+  ::close_range(STDERR_FILENO + 1, ~0U, 0);
+}
+
+// The child's side of the fork. Async-signal-safe calls only, since other threads of the agent may have held
+// locks. It waits until its record is persisted: an agent that dies before that closes the pipe.
+[[noreturn]] void run_child(StartPipe& pipe, const char* command, const char* output,
+                            const rlimit& descriptor_limit) {
+  pipe.write_end.reset();
+  char begin = 0;
+  if (::read(pipe.read_end.get(), &begin, 1) != 1) ::_exit(0);
+  ::setsid();
+  ::signal(SIGPIPE, SIG_DFL);
+  redirect_standard_streams(output);
+  if (descriptor_limit.rlim_max > 0) ::setrlimit(RLIMIT_NOFILE, &descriptor_limit);
+  ::execl("/bin/sh", "sh", "-c", command, static_cast<char*>(nullptr));
+  ::_exit(command_not_run_status);
+}
+
 }  // namespace
 
-std::optional<std::uint64_t> start_time_of(std::int64_t pid) {
-  const std::optional<std::string> text = status_text_of(pid);
-  if (!text) return std::nullopt;
-  // The name, in brackets, may hold anything; the fields count from behind it. The start is the 22nd of all.
-  const std::size_t name_end = text->rfind(')');
+std::optional<std::uint64_t> start_ticks_of(std::int64_t pid) {
+  const std::optional<std::string> stat = read_stat(pid);
+  if (!stat) return std::nullopt;
+  // The second field, the name in brackets, may hold anything; the others follow its last bracket.
+  const std::size_t name_end = stat->rfind(')');
   if (name_end == std::string::npos) return std::nullopt;
-  std::istringstream fields(text->substr(name_end + 1));
+  std::istringstream fields(stat->substr(name_end + 1));
   std::string field;
-  for (int number = 3; number <= 22 && fields >> field; ++number) {
-    if (number == 3 && (field == "Z" || field == "X")) return std::nullopt;  // has ended
-    if (number == 22) return std::stoull(field);
+  for (int number = state_field; number <= start_time_field && fields >> field; ++number) {
+    const bool has_ended = number == state_field && (field == "Z" || field == "X");
+    if (has_ended) return std::nullopt;
+    if (number == start_time_field) return std::stoull(field);
   }
   return std::nullopt;
 }
 
-// Each instance costs a descriptor here and one of its admin channel, so the agent takes all that it may
-// have.
-Processes::Processes() : boot_(read_boot()) {
-  if (::getrlimit(RLIMIT_NOFILE, &given_) != 0) return;
-  rlimit most = given_;
-  most.rlim_cur = most.rlim_max;
-  ::setrlimit(RLIMIT_NOFILE, &most);
-}
-
-Processes::~Processes() {
-  for (const auto& [instance, held] : held_) ::close(held.pidfd);
+Processes::Processes() : boot_id_(read_boot_id()) {
+  if (::getrlimit(RLIMIT_NOFILE, &inherited_limit_) != 0) return;
+  rlimit raised = inherited_limit_;
+  raised.rlim_cur = raised.rlim_max;
+  ::setrlimit(RLIMIT_NOFILE, &raised);
 }
 
 bool Processes::start(const std::string& instance, const std::string& command, const std::string& log,
-                      const std::function<bool(const store::Process&)>& keep, std::string& fault) {
-  int go[2];
-  if (::pipe2(go, O_CLOEXEC) != 0) return fault = "pipe: " + text_of_last_error(), false;
+                      const std::function<bool(const store::ProcessRecord&)>& persist, std::string& error) {
+  StartPipe pipe;
+  if (!open_pipe(pipe)) {
+    error = "pipe: " + text_of_last_error();
+    return false;
+  }
+  const char* output = log.empty() ? "/dev/null" : log.c_str();
   const pid_t child = ::fork();
   if (child < 0) {
-    fault = "fork: " + text_of_last_error();
-    ::close(go[0]), ::close(go[1]);
+    error = "fork: " + text_of_last_error();
     return false;
   }
-  if (child == 0) {
-    // Nothing but what a forked process may do. It waits for the word that it is kept: an agent that dies
-    // before that closes the pipe, and this one ends.
-    ::close(go[1]);
-    char word = 0;
-    if (::read(go[0], &word, 1) != 1) ::_exit(0);
-    ::setsid();
-    ::signal(SIGPIPE, SIG_DFL);
-    const int in = ::open("/dev/null", O_RDONLY);
-    const int out = ::open(log.empty() ? "/dev/null" : log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    ::dup2(in, 0), ::dup2(out, 1), ::dup2(out, 2);
-    ::close_range(3, ~0U, 0);
-    if (given_.rlim_max > 0) ::setrlimit(RLIMIT_NOFILE, &given_);
-    ::execl("/bin/sh", "sh", "-c", command.c_str(), static_cast<char*>(nullptr));
-    ::_exit(127);
-  }
-  ::close(go[0]);
-  const std::optional<Held> held = held_child(child, fault);
-  const bool kept = held && keep(held->process);
-  if (kept) {
-    let_go(instance);
-    held_[instance] = *held;
-    [[maybe_unused]] const auto told = uninterrupted([&] { return ::write(go[1], "g", 1); });
+  if (child == 0) run_child(pipe, command.c_str(), output, inherited_limit_);
+  pipe.read_end.reset();
+  std::optional<Handle> handle = open_child(child, error);
+  if (handle && persist(handle->process)) {
+    handles_.insert_or_assign(instance, std::move(*handle));
+    [[maybe_unused]] const auto written =
+        uninterrupted([&] { return ::write(pipe.write_end.get(), "g", 1); });
+    return true;
   }
-  ::close(go[1]);
-  if (kept) return true;
-  if (held) fault = "it can't be written down";
+  if (handle) error = "it can't be written down";
+  pipe.write_end.reset();  // ends the child, which is reaped
   uninterrupted([&] { return ::waitpid(child, nullptr, 0); });
-  if (held) ::close(held->pidfd);
   return false;
 }
 
-// A process that waits for the word to begin.
-std::optional<Processes::Held> Processes::held_child(pid_t child, std::string& fault) const {
-  int pidfd = -1;
+// Of a child that has not begun yet.
+std::optional<Processes::Handle> Processes::open_child(pid_t child, std::string& error) const {
   try {
-    pidfd = open_pidfd(child);
-    const auto started = start_time_of(child);
-    if (pidfd >= 0 && started) return Held{pidfd, {child, *started, boot_}};
-    fault = "its process can't be held";
+    FileDescriptor pidfd = open_pidfd(child);
+    const std::optional<std::uint64_t> start_ticks = start_ticks_of(child);
+    if (pidfd.is_open() && start_ticks) {
+      store::ProcessRecord process;
+      process.pid = child;
+      process.start_ticks = *start_ticks;
+      process.boot_id = boot_id_;
+      return Handle{std::move(pidfd), process};
+    }
+    error = "its process can't be held";
   } catch (const ResourceShortage& shortage) {
-    fault = shortage.what();
+    error = shortage.what();
   }
-  if (pidfd >= 0) ::close(pidfd);
   return std::nullopt;
 }
 
-bool Processes::adopt(const std::string& instance, const store::Process& process) {
-  if (process.boot != boot_) return false;
-  // The pidfd first: what it holds can't become another one between the look and the signal.
-  const int pidfd = open_pidfd(process.pid);
-  if (pidfd < 0) return false;
-  bool is_the_same = false;
-  try {
-    is_the_same = start_time_of(process.pid) == process.started;
-  } catch (const ResourceShortage&) {
-    ::close(pidfd);
-    throw;
-  }
-  if (!is_the_same) {
-    ::close(pidfd);
-    return false;
-  }
-  let_go(instance);
-  held_[instance] = {pidfd, process};
+bool Processes::adopt(const std::string& instance, const store::ProcessRecord& process) {
+  if (process.boot_id != boot_id_) return false;
+  // The pidfd comes before the check: the process that it refers to stays the same one from then on.
+  FileDescriptor pidfd = open_pidfd(process.pid);
+  if (!pidfd.is_open() || start_ticks_of(process.pid) != process.start_ticks) return false;
+  handles_.insert_or_assign(instance, Handle{std::move(pidfd), process});
   return alive(instance);
 }
 
 bool Processes::alive(const std::string& instance) {
-  const auto at = held_.find(instance);
-  if (at == held_.end()) return false;
-  pollfd ended{at->second.pidfd, POLLIN, 0};
-  // Guards against a look that fails, by a signal or for want of memory, and is taken for the process's end.
+  const auto at = handles_.find(instance);
+  if (at == handles_.end()) return false;
+  const int pidfd = at->second.pidfd.get();
+  pollfd ended{pidfd, POLLIN, 0};
+  // A poll that fails, by a signal or for want of memory, does not mean that the process has ended.
   if (uninterrupted([&] { return ::poll(&ended, 1, 0); }) != 1) return true;
   siginfo_t status{};
-  ::waitid(P_PIDFD, static_cast<id_t>(at->second.pidfd), &status, WEXITED | WNOHANG);  // where it is a child
-  let_go(instance);
+  ::waitid(P_PIDFD, static_cast<id_t>(pidfd), &status, WEXITED | WNOHANG);  // reaps it where it is a child
+  release(instance);
   return false;
 }
 
 bool Processes::signal(const std::string& instance, int signal) {
-  const auto at = held_.find(instance);
-  return at != held_.end() && ::syscall(SYS_pidfd_send_signal, at->second.pidfd, signal, nullptr, 0) == 0;
+  const auto at = handles_.find(instance);
+  if (at == handles_.end()) return false;
+  return ::syscall(SYS_pidfd_send_signal, at->second.pidfd.get(), signal, nullptr, 0) == 0;
 }
 
-std::optional<store::Process> Processes::process_of(const std::string& instance) const {
-  const auto at = held_.find(instance);
-  if (at == held_.end()) return std::nullopt;
-  return at->second.process;
-}
+void Processes::release(const std::string& instance) { handles_.erase(instance); }
 
-void Processes::let_go(const std::string& instance) {
-  const auto at = held_.find(instance);
-  if (at == held_.end()) return;
-  ::close(at->second.pidfd);
-  held_.erase(at);
+std::optional<store::ProcessRecord> Processes::process_of(const std::string& instance) const {
+  const auto at = handles_.find(instance);
+  if (at == handles_.end()) return std::nullopt;
+  return at->second.process;
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/rpc_deadline.h
+++ b/src/agent/rpc_deadline.h
@@ -1,4 +1,4 @@
-// Deadlines of remote calls as spans of the monotonic clock: a wall clock that is stepped moves none of them.
+// Deadlines of remote calls by the monotonic clock: a wall clock that is stepped moves none of them.
 #pragma once
 
 #include <grpc/support/time.h>
@@ -8,8 +8,8 @@
 
 namespace pearchute::agent {
 
-inline gpr_timespec deadline_in(std::chrono::milliseconds span) {
-  return gpr_time_add(gpr_now(GPR_CLOCK_MONOTONIC), gpr_time_from_millis(span.count(), GPR_TIMESPAN));
+inline gpr_timespec deadline_in(std::chrono::milliseconds timeout) {
+  return gpr_time_add(gpr_now(GPR_CLOCK_MONOTONIC), gpr_time_from_millis(timeout.count(), GPR_TIMESPAN));
 }
 
 }  // namespace pearchute::agent
--- a/src/ctl/fleet_file.cpp
+++ b/src/ctl/fleet_file.cpp
@@ -22,11 +22,12 @@
     }
     if (section.starts_with("agent ") && section.size() > 6 && section.find(' ', 6) == std::string::npos) {
       if (name != "control") throw ini::Error("'" + name + "' is not known in [agent NAME]");
-      fleet.agents.push_back({section.substr(6), keys::reach_in(text)});
+      fleet.agents.push_back({section.substr(6), keys::parse_endpoint(text)});
       return;
     }
     if (section == "tls") {
-      if (!keys::take(fleet.tls, name, text)) throw ini::Error("'" + name + "' is not known in [tls]");
+      if (!keys::set_tls_file(fleet.tls, name, text))
+        throw ini::Error("'" + name + "' is not known in [tls]");
       return;
     }
     if (!section.starts_with("instance "))
@@ -68,7 +69,7 @@
     if (one.place.text.empty()) throw ini::Error("instance " + one.facts.name + " has no 'admin'", file);
   }
   for (const AgentPlace& one : fleet.agents) {
-    if (const std::string lacks = keys::missing(fleet.tls); one.control.tls && !lacks.empty())
+    if (const std::string lacks = keys::missing_tls_file(fleet.tls); one.control.tls && !lacks.empty())
       throw ini::Error("agent " + one.name + " needs '" + lacks + "' in [tls]", file);
   }
   if (fleet.instances.empty()) throw ini::Error("no instance is named", file);
--- a/src/ctl/fleet_file.h
+++ b/src/ctl/fleet_file.h
@@ -7,7 +7,8 @@
 
 #include "admin/place.h"
 #include "ctl/selector.h"
-#include "keys/reach.h"
+#include "keys/endpoint.h"
+#include "keys/tls_files.h"
 
 namespace pearchute::ctl {
 
@@ -19,12 +20,12 @@
 
 struct AgentPlace {
   std::string name;
-  keys::Reach control;
+  keys::Endpoint control;
 };
 
 struct Fleet {
   std::vector<AgentPlace> agents;
-  keys::Files tls;
+  keys::TlsFiles tls;
   std::vector<Instance> instances;  // in the file's order
   std::chrono::milliseconds answers_within{2000};
   std::size_t at_once = 128;
--- a/src/ctl/keys.cpp
+++ b/src/ctl/keys.cpp
@@ -24,10 +24,13 @@
   const auto now = std::chrono::system_clock::now();
   for (const keys::Certificate& one : all) {
     const bool gone = std::ranges::find(revoked, one.serial) != revoked.end();
-    const char* state = gone ? "revoked" : now > one.until ? "expired" : now < one.from ? "not yet" : "holds";
+    const char* state = gone                    ? "revoked"
+                        : now > one.valid_until ? "expired"
+                        : now < one.valid_from  ? "not yet"
+                                                : "holds";
     rows.push_back({{"name", one.name},
                     {"role", one.role ? std::string(fleet::word_for(*one.role)) : "none"},
-                    {"until", day_of(one.until)},
+                    {"until", day_of(one.valid_until)},
                     {"state", state},
                     {"serial", one.serial}});
   }
@@ -63,7 +66,7 @@
     tell({keys::read_certificate(ask.file)}, {}, output);
     return fleet::all_done;
   }
-  tell(authority.issued(), keys::revoked_by(authority.path("ca.crl"), authority.path("ca.pem")), output);
+  tell(authority.issued(), keys::revoked_serials(authority.path("ca.crl"), authority.path("ca.pem")), output);
   return fleet::all_done;
 }
 
--- a/src/keys/authority.h
+++ b/src/keys/authority.h
@@ -1,6 +1,8 @@
-// The certificates of a site: an authority in a folder of its own, which issues and revokes, on OpenSSL. A
-// certificate holds a name and a role; keys never leave their files (mode 0600). It decides nothing about
-// what a role may do.
+// The certificate authority of a site, in a folder of its own: it issues certificates, each with a name and a
+// role, and revokes them. Private keys never leave their files (mode 0600). What a role may do, fleet/roles
+// decides.
+//
+// Each file is replaced as a whole or not at all. One process at a time uses a folder.
 #pragma once
 
 #include <chrono>
@@ -8,40 +10,34 @@
 #include <string>
 #include <vector>
 
-#include "errors/error.h"
 #include "fleet/roles.h"
+#include "keys/certificate.h"
 
 namespace pearchute::keys {
 
-// What is wrong, in plain words; nothing was changed.
-using Error = KeysError;
-
-struct Certificate {
-  std::string name, serial;  // the serial in hex
-  std::optional<fleet::Role> role;
-  std::chrono::system_clock::time_point from, until;
-};
-
+// One folder. All functions throw KeysError where something is wrong with their input or a file, and
+// ResourceShortage where a file can't be read now.
 class Authority {
  public:
   explicit Authority(std::string folder) : folder_(std::move(folder)) {}
-  // Makes ca.key, ca.pem and an empty ca.crl. A folder that holds an authority already is left as it is.
-  void init(const std::string& site, std::chrono::hours lasts);
-  // Makes NAME.key and NAME.pem; to renew is to issue again. Without a role it may do nothing.
-  Certificate issue(const std::string& name, std::optional<fleet::Role> role, std::chrono::seconds lasts);
+
+  // Creates ca.key, ca.pem and an empty ca.crl. Throws where the folder holds an authority already.
+  void init(const std::string& site, std::chrono::hours lifetime);
+
+  // Creates NAME.key and NAME.pem; a certificate is renewed by issuing it again. Without a role its holder
+  // may do nothing.
+  Certificate issue(const std::string& name, std::optional<fleet::Role> role, std::chrono::seconds lifetime);
+
+  // Adds the certificate's serial to ca.crl; no change where it is there already.
   void revoke(const Certificate& certificate);
-  std::vector<Certificate> issued() const;  // those whose files are in the folder
+
+  // The certificates whose files are in the folder, by name.
+  std::vector<Certificate> issued() const;
+
   std::string path(const std::string& file) const { return folder_ + "/" + file; }
 
  private:
   const std::string folder_;
 };
 
-Certificate read_certificate(const std::string& file);
-Certificate certificate_in(const std::string& pem);
-// The serials that an authority's list revokes. The list has to be signed by the authority.
-std::vector<std::string> revoked_by(const std::string& list_file, const std::string& authority_file);
-// Throws ResourceShortage where it can't be had now, KeysError where it can't be read.
-std::string text_of(const std::string& file);
-
 }  // namespace pearchute::keys
--- a/src/lab/scale/hollow_agent.cpp
+++ b/src/lab/scale/hollow_agent.cpp
@@ -17,11 +17,11 @@
   return counted_;
 }
 
-std::shared_ptr<grpc::Channel> SharedChannels::open(const keys::Reach& reach, const std::string& name,
-                                                    const keys::Files& files) {
+std::shared_ptr<grpc::Channel> SharedChannels::open(const keys::Endpoint& endpoint, const std::string& name,
+                                                    const keys::TlsFiles& files) {
   const std::lock_guard lock(mutex_);
-  std::shared_ptr<grpc::Channel>& channel = channels_[reach.target];
-  if (!channel) channel = agent::channel_to(reach, name, files);
+  std::shared_ptr<grpc::Channel>& channel = channels_[endpoint.target];
+  if (!channel) channel = agent::channel_to(endpoint, name, files);
   return channel;
 }
 
@@ -66,8 +66,8 @@
   loop_thread_.on([&] {
     supervisor_ = std::make_unique<agent::ProcessSupervisor>(loop_thread_.loop(), config_);
     peers_ = std::make_unique<agent::Peers>(
-        loop_thread_, config_, [&channels](const auto& reach, const auto& name, const auto& files) {
-          return channels.open(reach, name, files);
+        loop_thread_, config_, [&channels](const auto& endpoint, const auto& name, const auto& files) {
+          return channels.open(endpoint, name, files);
         });
     gossip_ = std::make_unique<agent::GossipService>(loop_thread_, config_, *supervisor_, *peers_, seed);
     configuration_ =
--- a/src/lab/scale/hollow_agent.h
+++ b/src/lab/scale/hollow_agent.h
@@ -36,8 +36,8 @@
 // agents and not with their square.
 class SharedChannels {
  public:
-  std::shared_ptr<grpc::Channel> open(const keys::Reach& reach, const std::string& name,
-                                      const keys::Files& files);
+  std::shared_ptr<grpc::Channel> open(const keys::Endpoint& endpoint, const std::string& name,
+                                      const keys::TlsFiles& files);
 
  private:
   std::mutex mutex_;
--- a/src/lab/scale/hollow_hosts.cpp
+++ b/src/lab/scale/hollow_hosts.cpp
@@ -99,23 +99,25 @@
 
   agent::AgentConfig config_of(const PlannedHost& host) const {
     agent::AgentConfig config;
-    config.name = host.agent, config.state = spec_.folder + "/" + host.agent + ".db";
-    config.exchanges = true, config.configures = true;
+    config.name = host.agent;
+    config.state_file = spec_.folder + "/" + host.agent + ".db";
+    config.gossips = true;
+    config.spreads_config = true;
     config.zone = host.zone.name;
-    config.control = keys::reach_in("unix:" + agent_socket(spec_.folder, host.agent));
-    agent::Owned& owned = config.instances[host.manager];
+    config.control = keys::parse_endpoint("unix:" + agent_socket(spec_.folder, host.agent));
+    agent::OwnedInstance& owned = config.instances[host.manager];
     owned.admin = admin::place_in("unix:" + manager_socket(spec_.folder, host.manager));
     owned.zone = host.zone.name;
     owned.commands[1] = "exec false";
-    owned.wanted = false;  // observed, never started
-    owned.configuration = configuration_file(host);
-    owned.configuration_base = spec_.manager_configuration;
+    owned.starts = false;  // observed, never started
+    owned.config_file = configuration_file(host);
+    owned.config_base_file = spec_.manager_configuration;
     for (const auto& [peer, region] : spec_.regions) {
       if (peer == host.agent) continue;
       config.peer_zones[peer] = spec_.zones.at(peer);
       const bool away = regions_cut_ && region != host.zone.region;
       config.peers[peer] =
-          keys::reach_in("unix:" + (away ? spec_.silent_socket : agent_socket(spec_.folder, peer)));
+          keys::parse_endpoint("unix:" + (away ? spec_.silent_socket : agent_socket(spec_.folder, peer)));
     }
     return config;
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,8 +1,15 @@
-// An agent's durable state in SQLite: of each instance what its keeper keeps and which process was started
-// for it, and the rollouts that it coordinates. Every write is one transaction, on disk when it returns. It
-// checks what it finds at the start, and says what is wrong instead of guessing; it decides nothing.
+// An agent's durable state, one SQLite file: per instance the persisted state of its lease owner and the
+// process that was started for it, the rollouts that the agent coordinates, its gossip incarnation, and the
+// versions of the fleet's configuration.
+//
+// Each write is one transaction, which is on disk when the call returns; a write that fails changes nothing.
+// open() checks the whole file and reports what is wrong instead of repairing or guessing. The tables and
+// their columns are a persisted format: see schema.h.
+//
+// Not thread-safe: all calls come from the agent's event loop, and they block it for the time of the disk.
 #pragma once
 
+#include <array>
 #include <functional>
 #include <map>
 #include <memory>
@@ -12,7 +19,7 @@
 
 #include "fleet/config_version.h"
 #include "fleet/lease_owner.h"
-#include "fleet/rollout.h"
+#include "store/records.h"
 
 namespace SQLite {
 class Database;
@@ -20,68 +27,76 @@
 
 namespace pearchute::store {
 
-// A process of this machine, so that never another one that has its number now is taken for it.
-struct Process {
-  std::int64_t pid = 0;
-  std::uint64_t started = 0;  // clock ticks since the machine's boot
-  std::string boot;           // the machine's boot id
-  int version = 0;            // of the command by which it was started
-  bool operator==(const Process&) const = default;
+// What open() found.
+enum class OpenStatus {
+  temporarily_unavailable,  // the device is full or fails, or the file is locked: worth another attempt
+  usable,
+  damaged,  // an integrity check failed, or a record can't be parsed
+  too_new,  // written by a newer program
+  unusable  // there is no such folder, or no right to write there
 };
 
-struct KeptRollout {
-  fleet::RolloutPlan plan;
-  fleet::Rollout::State state = fleet::Rollout::State::planned;
-  std::map<std::string, fleet::Rollout::Stage> stages;
-  std::string word;
-  std::int64_t begun_unix_ms = 0;
-};
+// The stages of a write transaction, in their order. Tests end the process at each of them.
+enum class TransactionStage { begun, executed, committed };
+inline constexpr std::array all_transaction_stages = {TransactionStage::begun, TransactionStage::executed,
+                                                      TransactionStage::committed};
 
+// The open file. Destroying it closes the file; nothing is pending then.
 class Store {
  public:
-  enum class Opened {
-    not_now,  // the device is full or fails, or the file is held: it may be opened a moment later
-    usable,
-    damaged,
-    too_new,
-    unusable
-  };
-  // `passes` hears the name of each point at which a kill is to be thought of; for tests.
-  explicit Store(std::string path, std::function<void(const char*)> passes = {});
+  using StageObserver = std::function<void(TransactionStage)>;
+
+  // Opens nothing yet. `observe_stage` is called as each transaction reaches a stage; for tests.
+  explicit Store(std::string path, StageObserver observe_stage = {});
   ~Store();
-  // Creates the file, or brings an older one to this version. `fault` says what is wrong where it is not
-  // usable; the file is left as it is.
-  Opened open(std::string& fault);
-  static constexpr int version = 5;
-  static const std::vector<const char*>& points();
-
-  // False where it can't be written (see fault()): nothing of it is, then.
-  bool write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept);
-  bool write_process(const std::string& instance, const std::optional<Process>& process);
-  bool forget(const std::string& instance);
-  bool write_rollout(const KeptRollout& rollout);
-  bool write_incarnation(std::uint64_t incarnation);  // under which this agent speaks
-  // The current version of the configuration and the records of superseded ones, in one transaction.
+
+  // Creates the file, or migrates an older one to the current schema. `error` is empty exactly where the
+  // status is `usable`; otherwise the file is left as it is, and open() may be called again.
+  OpenStatus open(std::string& error);
+
+  // Writes: false where nothing could be written; last_error() says why.
+
+  // Replaces the records of the named instances; the others stay.
+  bool write_instances(const std::map<std::string, fleet::LeaseOwner::Kept>& instances);
+  // Without a process the instance's record is removed.
+  bool write_process(const std::string& instance, const std::optional<ProcessRecord>& process);
+  // Removes the instance and its process.
+  bool erase_instance(const std::string& instance);
+  // Replaces the rollout of that id, and drops the oldest ones beyond a fixed number.
+  bool write_rollout(const RolloutRecord& rollout);
+  bool write_incarnation(std::uint64_t incarnation);
+  // Replaces the current version and the records of superseded ones.
   bool write_config(const fleet::ConfigReplica::State& state);
-  const std::string& fault() const { return fault_; }
+
+  // Why the last write failed; empty after one that succeeded.
+  const std::string& last_error() const { return last_error_; }
+
+  // Reads. REQUIRES: open() has returned `usable`. They throw SQLite::Exception where the file can't be read,
+  // and nlohmann::json::exception where a record can't be parsed.
 
   std::map<std::string, fleet::LeaseOwner::Kept> instances() const;
-  std::map<std::string, Process> processes() const;
-  std::uint64_t incarnation() const;                          // the last that was written; 0: none
-  std::vector<KeptRollout> rollouts(std::size_t most) const;  // the newest first
-  // Throws std::runtime_error where a document is not what its digest says.
+  std::map<std::string, ProcessRecord> processes() const;
+  // The incarnation that was written last; 0: none.
+  std::uint64_t incarnation() const;
+  // `limit` of them at most, the newest first.
+  std::vector<RolloutRecord> rollouts(std::size_t limit) const;
+  // Throws SystemError where a document does not match its digest.
   fleet::ConfigReplica::State config() const;
 
  private:
-  enum class Written { whole, not_now, failed };
-  bool transact(const std::function<void()>& what);
-  Written try_to_write(const std::function<void()>& what);
-  void migrate(int from);
+  enum class WriteResult { written, retryable, failed };
+
+  bool in_transaction(const std::function<void()>& statements);
+  WriteResult try_transaction(const std::function<void()>& statements);
+  void reach_stage(TransactionStage stage) const;
+  OpenStatus open_database(std::string& error);
+  OpenStatus check_and_migrate(std::string& error);
+  void check_records() const;
 
   const std::string path_;
-  const std::function<void(const char*)> passes_;
-  std::unique_ptr<SQLite::Database> database_;
-  std::string fault_;
+  const StageObserver observe_stage_;
+  std::unique_ptr<SQLite::Database> database_;  // none until open() has succeeded
+  std::string last_error_;
 };
 
 }  // namespace pearchute::store
--- a/tests/test_agent_troubles.cpp
+++ b/tests/test_agent_troubles.cpp
@@ -84,7 +84,7 @@
   const std::int64_t its_own = static_cast<std::int64_t>(fleet.seen("n5").pid());
   third.end(SIGTERM);
   ::kill(static_cast<pid_t>(its_own), SIGKILL);
-  assert(wait_for([&] { return !agent::start_time_of(its_own); }));
+  assert(wait_for([&] { return !agent::start_ticks_of(its_own); }));
   world.start(4);
   for (int i = 0; world.status(4).identity().phase() != "serving" && i < 500; ++i)
     world.rest(milliseconds(10));
--- a/tests/test_agents.cpp
+++ b/tests/test_agents.cpp
@@ -14,6 +14,7 @@
 #include "agent/agent_config.h"
 #include "agent/grpc_credentials.h"
 #include "agent/processes.h"
+#include "keys/pem_file.h"
 #include "lab/stand_ins/admin_endpoints.h"
 #include "lab/stand_ins/agent_cluster.h"
 
@@ -28,23 +29,23 @@
   assert(mkdtemp(folder));
   const std::string begun = std::string(folder) + "/begun";
   std::string fault;
-  std::optional<store::Process> kept;
+  std::optional<store::ProcessRecord> kept;
   agent::Processes first;
   const std::string command = "echo x >> " + begun + "; exec sleep 30";
   assert(!first.start(
-             "i", command, "", [](const store::Process&) { return false; }, fault) &&
+             "i", command, "", [](const store::ProcessRecord&) { return false; }, fault) &&
          !fault.empty());
   assert(!first.alive("i") && ::access(begun.c_str(), F_OK) != 0);
   assert(first.start(
-      "i", command, "", [&](const store::Process& one) { return kept = one, true; }, fault));
-  assert(first.alive("i") && kept->pid > 0 && kept->started > 0 && !kept->boot.empty());
+      "i", command, "", [&](const store::ProcessRecord& one) { return kept = one, true; }, fault));
+  assert(first.alive("i") && kept->pid > 0 && kept->start_ticks > 0 && !kept->boot_id.empty());
   {
     agent::Processes after;  // as after the agent's own restart
     assert(after.adopt("i", *kept) && after.alive("i"));
-    store::Process other = *kept;
-    other.started += 1;
+    store::ProcessRecord other = *kept;
+    other.start_ticks += 1;
     assert(!after.adopt("j", other));
-    other = *kept, other.boot = "another";
+    other = *kept, other.boot_id = "another";
     assert(!after.adopt("j", other));
     assert(after.signal("i", SIGKILL) && !after.signal("j", SIGKILL));
   }
@@ -63,8 +64,9 @@
   authority.issue("adm", fleet::Role::admin, hour), authority.issue("none", std::nullopt, hour);
   authority.issue("old", fleet::Role::admin, seconds(-5)), stranger.issue("mal", fleet::Role::admin, hour);
   const auto stub_as = [&](const keys::Authority& from, const std::string& name, const std::string& agent) {
-    const keys::Files files{authority.path("ca.pem"), from.path(name + ".pem"), from.path(name + ".key"), ""};
-    return agent::v1::Agent::NewStub(agent::channel_to(keys::reach_in("tls:" + listen), agent, files));
+    const keys::TlsFiles files{authority.path("ca.pem"), from.path(name + ".pem"), from.path(name + ".key"),
+                               ""};
+    return agent::v1::Agent::NewStub(agent::channel_to(keys::parse_endpoint("tls:" + listen), agent, files));
   };
   const auto show = [&](agent::v1::Agent::Stub& stub) {
     grpc::ClientContext context;
@@ -104,7 +106,7 @@
   assert(show(*stub_as(stranger, "mal", "a1")) == Code::UNAVAILABLE);
   assert(show(*stub_as(authority, "ann", "a2")) == Code::UNAVAILABLE);
   grpc::SslCredentialsOptions nobody;
-  nobody.pem_root_certs = keys::text_of(authority.path("ca.pem"));
+  nobody.pem_root_certs = keys::read_pem_file(authority.path("ca.pem"));
   grpc::ChannelArguments arguments;
   arguments.SetSslTargetNameOverride("a1");
   assert(show(*agent::v1::Agent::NewStub(grpc::CreateCustomChannel(listen, grpc::SslCredentials(nobody),
@@ -118,8 +120,8 @@
   authority.issue("ann", fleet::Role::operate, hour);
   assert(show(*stub_as(authority, "ann", "a1")) == Code::OK);
   // A list that the authority has not signed changes nothing.
-  const std::string list = keys::text_of(authority.path("ca.crl"));
-  std::ofstream(authority.path("ca.crl")) << keys::text_of(stranger.path("ca.crl"));
+  const std::string list = keys::read_pem_file(authority.path("ca.crl"));
+  std::ofstream(authority.path("ca.crl")) << keys::read_pem_file(stranger.path("ca.crl"));
   assert(show(*open) == Code::PERMISSION_DENIED);
   std::ofstream(authority.path("ca.crl")) << list;
   // Connections that say nothing hold nobody up.
--- a/tests/test_errors.cpp
+++ b/tests/test_errors.cpp
@@ -7,7 +7,7 @@
 
 #include "errors/error.h"
 #include "ini/reader.h"
-#include "keys/reach.h"
+#include "keys/endpoint.h"
 
 using namespace pearchute;
 
@@ -54,7 +54,7 @@
     return told_by(
         [&] { ini::read(file, [&](const auto&, const auto&, const std::string& t) { value(t); }); });
   };
-  assert(read_it([](const std::string& text) { keys::reach_in(text); })
+  assert(read_it([](const std::string& text) { keys::parse_endpoint(text); })
              .starts_with(
                  "p: test_faults.ini:2: 'unix:c' is neither unix:/path nor tls:host:port\np: settings: "));
   assert(read_it([](const std::string&) { throw AddressError("far", "", "come nearer"); }) ==
--- a/tests/test_folder_faults.cpp
+++ b/tests/test_folder_faults.cpp
@@ -28,7 +28,9 @@
 constexpr FaultKind folder_kinds[] = {FaultKind::folder_write_fails, FaultKind::folder_write_short,
                                       FaultKind::folder_sync_fails};
 
-store::Process process_of(int number) { return {number, static_cast<std::uint64_t>(number), "boot", number}; }
+store::ProcessRecord process_of(int number) {
+  return {number, static_cast<std::uint64_t>(number), "boot", number};
+}
 
 // As many writes as are asked for, each of the next number; the last that was told as kept.
 int write_on(store::Store& store, int from, int count, int& refused) {
@@ -44,8 +46,8 @@
   store::Store store(path);
   std::string fault;
   const auto opened = store.open(fault);
-  if (opened != store::Store::Opened::usable) std::fprintf(stderr, "%s\n", fault.c_str());
-  assert(opened == store::Store::Opened::usable);
+  if (opened != store::OpenStatus::usable) std::fprintf(stderr, "%s\n", fault.c_str());
+  assert(opened == store::OpenStatus::usable);
   const auto all = store.processes();
   return all.contains("i") ? static_cast<int>(all.at("i").pid) : 0;
 }
@@ -59,7 +61,7 @@
       {
         store::Store store(path);
         std::string fault;
-        assert(store.open(fault) == store::Store::Opened::usable);
+        assert(store.open(fault) == store::OpenStatus::usable);
         kept = write_on(store, 1, 3, refused);
         assert(kept == 3);
         faults.set(kind, share);
@@ -70,7 +72,7 @@
         const int after = write_on(store, 100, 2, refused);
         if (after != 101)
           std::fprintf(stderr, "%s at %g: %s\n", fault_kind_names[static_cast<std::size_t>(kind)].data(),
-                       share, store.fault().c_str());
+                       share, store.last_error().c_str());
         assert(after == 101);
         kept = after;
       }
@@ -92,14 +94,14 @@
     store::Store store(path);
     std::string fault;
     auto opened = store.open(fault);
-    if (opened != store::Store::Opened::usable) {
-      if (opened != store::Store::Opened::not_now) std::fprintf(stderr, "%s\n", fault.c_str());
-      assert(opened == store::Store::Opened::not_now);
+    if (opened != store::OpenStatus::usable) {
+      if (opened != store::OpenStatus::temporarily_unavailable) std::fprintf(stderr, "%s\n", fault.c_str());
+      assert(opened == store::OpenStatus::temporarily_unavailable);
       ++not_now;
       faults.set_none();
       opened = store.open(fault);
     }
-    assert(opened == store::Store::Opened::usable);
+    assert(opened == store::OpenStatus::usable);
     faults.set_none();
   }
   assert(not_now > 0);
@@ -117,7 +119,7 @@
     if (child == 0) {
       store::Store store(path);
       std::string fault;
-      while (store.open(fault) != store::Store::Opened::usable) usleep(1000);
+      while (store.open(fault) != store::OpenStatus::usable) usleep(1000);
       for (int i = before + 1;; ++i) {
         if (store.write_process("i", process_of(i)) && write(told[1], &i, sizeof i) < 0) _exit(1);
       }
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -29,43 +29,45 @@
   return one;
 }
 
-Store::Opened open(Store& store) {
+OpenStatus open(Store& store) {
   std::string fault;
-  const Store::Opened opened = store.open(fault);
+  const OpenStatus opened = store.open(fault);
   if (!fault.empty()) std::fprintf(stderr, "%s\n", fault.c_str());
-  assert((opened == Store::Opened::usable) == fault.empty());
+  assert((opened == OpenStatus::usable) == fault.empty());
   return opened;
 }
 
 void written_and_read() {
   const std::string path = folder + "/a.db";
-  KeptRollout rollout;
+  RolloutRecord rollout;
   rollout.plan.id = "r1", rollout.plan.who = "ann", rollout.plan.targets = {{"i1", "a1", "z1"}};
   rollout.plan.least_serving = {{"z1", 2}}, rollout.plan.warm = seconds(7), rollout.plan.take_over = true;
   rollout.state = fleet::Rollout::State::paused, rollout.stages = {{"i1", fleet::Rollout::Stage::asked}};
-  rollout.word = "by an operator", rollout.begun_unix_ms = 5;
+  rollout.state_reason = "by an operator", rollout.started_unix_ms = 5;
   {
     Store store(path);
-    assert(open(store) == Store::Opened::usable && store.instances().empty());
-    assert(store.write({{"i1", kept(7)}, {"i2", {}}}) && store.write_process("i1", Process{12, 34, "b", 3}));
-    assert(store.write_process("i2", Process{13, 35, "b", 1}) && store.write_process("i2", std::nullopt));
+    assert(open(store) == OpenStatus::usable && store.instances().empty());
+    assert(store.write_instances({{"i1", kept(7)}, {"i2", {}}}) &&
+           store.write_process("i1", ProcessRecord{12, 34, "b", 3}));
+    assert(store.write_process("i2", ProcessRecord{13, 35, "b", 1}) &&
+           store.write_process("i2", std::nullopt));
     assert(store.write_rollout(rollout));
   }
   Store store(path);
-  assert(open(store) == Store::Opened::usable);
+  assert(open(store) == OpenStatus::usable);
   const auto one = store.instances().at("i1");
   assert(one.last_fence == 7 && one.claim->who == "ann" && one.step->version == 4 &&
          one.step->up_within == seconds(6) && one.step->fallback == fleet::Fallback::finish &&
          one.past->end == fleet::StepEnd::time_up && one.past->word == "does not serve" &&
          one.lease == seconds(30));
   assert(!store.instances().at("i2").step && store.processes().size() == 1 &&
-         (store.processes().at("i1") == Process{12, 34, "b", 3}));
+         (store.processes().at("i1") == ProcessRecord{12, 34, "b", 3}));
   const auto back = store.rollouts(10);
   assert(back.size() == 1 && back[0].plan.targets[0].agent == "a1" &&
          back[0].plan.least_serving.at("z1") == 2 && back[0].plan.warm == seconds(7) &&
          back[0].plan.take_over && back[0].stages == rollout.stages && back[0].state == rollout.state);
   for (int i = 0; i < 250; ++i) {
-    rollout.plan.id = "x" + std::to_string(i), rollout.begun_unix_ms = 10 + i;
+    rollout.plan.id = "x" + std::to_string(i), rollout.started_unix_ms = 10 + i;
     if (i < 2 || i > 240) assert(store.write_rollout(rollout));
   }
   assert(store.rollouts(3)[0].plan.id == "x249" && store.rollouts(1000).size() <= 200);
@@ -81,8 +83,9 @@
     if (child == 0) {
       Store store(path);
       std::string fault;
-      if (store.open(fault) != Store::Opened::usable) _exit(1);
-      for (std::uint64_t fence = 1;; ++fence) store.write({{"i1", kept(fence)}, {"i2", kept(fence)}});
+      if (store.open(fault) != OpenStatus::usable) _exit(1);
+      for (std::uint64_t fence = 1;; ++fence)
+        store.write_instances({{"i1", kept(fence)}, {"i2", kept(fence)}});
     }
     usleep(static_cast<useconds_t>(8000 + 331 * i));
     kill(child, SIGKILL);
@@ -92,7 +95,7 @@
     with_journal += std::filesystem::exists(path + "-journal");
     std::filesystem::remove(path);
     Store store(path);
-    assert(open(store) == Store::Opened::usable && store.write({{"i1", kept(1)}}));
+    assert(open(store) == OpenStatus::usable && store.write_instances({{"i1", kept(1)}}));
   }
   std::fprintf(stderr, "%d of 60 left a journal\n", with_journal);
   assert(with_journal > 0);
@@ -101,29 +104,29 @@
 // A kill at each point of a write that changes two instances leaves both as before or both as after.
 void kills() {
   const std::string path = folder + "/k.db";
-  for (const char* point : Store::points()) {
+  for (const TransactionStage stage : all_transaction_stages) {
     std::filesystem::remove(path);
     {
       Store store(path);
-      assert(open(store) == Store::Opened::usable && store.write({{"i1", kept(1)}, {"i2", kept(1)}}));
+      assert(open(store) == OpenStatus::usable && store.write_instances({{"i1", kept(1)}, {"i2", kept(1)}}));
     }
     const pid_t child = fork();
     if (child == 0) {
-      Store store(path, [&](const char* at) {
-        if (std::string(at) == point) raise(SIGKILL);
+      Store store(path, [&](TransactionStage reached) {
+        if (reached == stage) raise(SIGKILL);
       });
       open(store);
-      store.write({{"i1", kept(2)}, {"i2", kept(2)}});
+      store.write_instances({{"i1", kept(2)}, {"i2", kept(2)}});
       _exit(0);
     }
     int status = 0;
     waitpid(child, &status, 0);
     assert(WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL);
     Store store(path);
-    assert(open(store) == Store::Opened::usable);
+    assert(open(store) == OpenStatus::usable);
     const std::uint64_t fence = store.instances().at("i1").last_fence;
     assert(fence == store.instances().at("i2").last_fence);
-    assert(fence == (std::string(point) == "committed" ? 2u : 1u));
+    assert(fence == (stage == TransactionStage::committed ? 2u : 1u));
   }
 }
 
@@ -142,12 +145,12 @@
   }
   {
     Store store(path);
-    assert(open(store) == Store::Opened::usable && store.instances().at("i1").last_fence == 9);
+    assert(open(store) == OpenStatus::usable && store.instances().at("i1").last_fence == 9);
     assert(store.rollouts(5).empty());
   }
   SQLite::Database(path, SQLite::OPEN_READWRITE).exec("PRAGMA user_version = 99;");
   Store store(path);
-  assert(open(store) == Store::Opened::too_new);
+  assert(open(store) == OpenStatus::too_new);
   // It is left as it is.
   assert(SQLite::Database(path).execAndGet("PRAGMA user_version").getInt() == 99);
 }
@@ -171,21 +174,21 @@
   const auto first = config_state(std::string("any \0 byte \xff", 12), 4), second = config_state("", 5);
   {  // A file of version 4 had none.
     Store store(path);
-    assert(open(store) == Store::Opened::usable);
+    assert(open(store) == OpenStatus::usable);
     SQLite::Database(path, SQLite::OPEN_READWRITE)
         .exec("DROP TABLE configuration; DROP TABLE superseded_configuration; PRAGMA user_version = 4;");
   }
   {
     Store store(path);
-    assert(open(store) == Store::Opened::usable && !store.config().current);
+    assert(open(store) == OpenStatus::usable && !store.config().current);
     assert(store.write_config(first) && store.config() == first);
   }
   // A kill at each point leaves the version and the records as before, or both as after.
-  for (const char* point : Store::points()) {
+  for (const TransactionStage stage : all_transaction_stages) {
     const pid_t child = fork();
     if (child == 0) {
-      Store store(path, [&](const char* at) {
-        if (std::string(at) == point) raise(SIGKILL);
+      Store store(path, [&](TransactionStage reached) {
+        if (reached == stage) raise(SIGKILL);
       });
       open(store);
       store.write_config(second);
@@ -195,13 +198,13 @@
     waitpid(child, &status, 0);
     assert(WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL);
     Store store(path);
-    assert(open(store) == Store::Opened::usable);
-    assert(store.config() == (std::string(point) == "committed" ? second : first));
+    assert(open(store) == OpenStatus::usable);
+    assert(store.config() == (stage == TransactionStage::committed ? second : first));
   }
   // A document that is not what its digest says is damage, and is told as such.
   SQLite::Database(path, SQLite::OPEN_READWRITE).exec("UPDATE configuration SET content = 'other';");
   Store store(path);
-  assert(open(store) == Store::Opened::damaged);
+  assert(open(store) == OpenStatus::damaged);
 }
 
 void damage() {
@@ -209,7 +212,7 @@
   {
     Store store(path);
     open(store);
-    for (int i = 0; i < 200; ++i) store.write({{"i" + std::to_string(i), kept(1)}});
+    for (int i = 0; i < 200; ++i) store.write_instances({{"i" + std::to_string(i), kept(1)}});
   }
   const auto size = std::filesystem::file_size(path);
   int told = 0;
@@ -222,14 +225,14 @@
       file << std::string(4096, '\x5a');
     }
     Store store(broken);
-    const Store::Opened opened = open(store);
-    assert(opened == Store::Opened::damaged || opened == Store::Opened::unusable);
+    const OpenStatus opened = open(store);
+    assert(opened == OpenStatus::damaged || opened == OpenStatus::unusable);
     ++told;
   }
   assert(told > 5);
   // No place for it, and one that takes nothing any more: the write fails whole, and says so.
   Store nowhere(folder + "/none/x.db");
-  assert(open(nowhere) == Store::Opened::unusable && !nowhere.write({{"i", kept(1)}}));
+  assert(open(nowhere) == OpenStatus::unusable && !nowhere.write_instances({{"i", kept(1)}}));
   const pid_t child = fork();
   if (child == 0) {
     Store store(path);
@@ -239,14 +242,14 @@
     setrlimit(RLIMIT_FSIZE, &limit);
     std::map<std::string, fleet::LeaseOwner::Kept> many;
     for (int i = 0; i < 2000; ++i) many["j" + std::to_string(i)] = kept(2);
-    const bool written = store.write(many);
-    _exit(!written && !store.fault().empty() ? 0 : 1);
+    const bool written = store.write_instances(many);
+    _exit(!written && !store.last_error().empty() ? 0 : 1);
   }
   int status = 0;
   waitpid(child, &status, 0);
   assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   Store after(path);
-  assert(open(after) == Store::Opened::usable && after.instances().size() == 200);
+  assert(open(after) == OpenStatus::usable && after.instances().size() == 200);
 }
 
 // No file can be opened while a write begins, and one can again at once: what was to be written is.
@@ -255,26 +258,26 @@
   rlimit usual{};
   assert(getrlimit(RLIMIT_NOFILE, &usual) == 0);
   int attempts = 0, short_ones = 0;
-  Store store(path, [&](const char* point) {
-    if (std::string_view(point) != "begun") return;
+  Store store(path, [&](TransactionStage stage) {
+    if (stage != TransactionStage::begun) return;
     rlimit limit = usual;
     if (attempts++ < short_ones) limit.rlim_cur = 0;  // what is open stays open
     assert(setrlimit(RLIMIT_NOFILE, &limit) == 0);
   });
-  assert(open(store) == Store::Opened::usable);
+  assert(open(store) == OpenStatus::usable);
   for (short_ones = 1; short_ones <= 3; ++short_ones) {
     attempts = 0;
     const auto fence = static_cast<std::uint64_t>(short_ones);
-    const bool written = store.write({{"i1", kept(fence)}});
+    const bool written = store.write_instances({{"i1", kept(fence)}});
     assert(setrlimit(RLIMIT_NOFILE, &usual) == 0);
-    assert(written && attempts == short_ones + 1 && store.fault().empty());
+    assert(written && attempts == short_ones + 1 && store.last_error().empty());
     assert(store.instances().at("i1").last_fence == fence);
   }
   // A shortage that stays is told.
   attempts = 0, short_ones = 1000;
-  const bool written = store.write({{"i1", kept(9)}});
+  const bool written = store.write_instances({{"i1", kept(9)}});
   assert(setrlimit(RLIMIT_NOFILE, &usual) == 0);
-  assert(!written && !store.fault().empty() && attempts < 20);
+  assert(!written && !store.last_error().empty() && attempts < 20);
   assert(store.instances().at("i1").last_fence == 3);
 }
 
