--- a/tests/test_characterization_persistence.cpp
+++ b/tests/test_characterization_persistence.cpp
@@ -78,8 +78,8 @@
   return instance;
 }
 
-store::KeptRollout paused_rollout() {
-  store::KeptRollout rollout;
+store::RolloutRecord paused_rollout() {
+  store::RolloutRecord rollout;
   rollout.plan.id = "r1", rollout.plan.who = "ann", rollout.plan.kind = fleet::StepKind::change;
   rollout.plan.fallback = fleet::Fallback::finish, rollout.plan.version = 4, rollout.plan.version_before = 3;
   rollout.plan.targets = {{"i1", "a1", "z1"}, {"i2", "a2", "z2"}};
@@ -90,17 +90,17 @@
   rollout.plan.up_within = seconds(33);
   rollout.state = fleet::Rollout::State::paused;
   rollout.stages = {{"i1", fleet::Rollout::Stage::warming}, {"i2", fleet::Rollout::Stage::waiting}};
-  rollout.word = "by an operator", rollout.begun_unix_ms = 1'700'000'000'001;
+  rollout.state_reason = "by an operator", rollout.started_unix_ms = 1'700'000'000'001;
   return rollout;
 }
 
 // One more, so that each state and stage is on disk once.
-store::KeptRollout rollout_in(fleet::Rollout::State state, int number) {
-  store::KeptRollout rollout;
+store::RolloutRecord rollout_in(fleet::Rollout::State state, int number) {
+  store::RolloutRecord rollout;
   rollout.plan.id = "s" + std::to_string(number), rollout.plan.who = "ben", rollout.state = state;
   rollout.plan.targets = {{"i1", "a1", "z1"}};
   rollout.stages = {{"i1", static_cast<fleet::Rollout::Stage>(number % 6)}};
-  rollout.begun_unix_ms = 1'600'000'000'000 + number;
+  rollout.started_unix_ms = 1'600'000'000'000 + number;
   return rollout;
 }
 
@@ -126,9 +126,9 @@
 void write_store(const std::string& file) {
   store::Store store(file);
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
-  ASSERT_TRUE(store.write({{"i1", claimed_instance()}, {"i2", stopped_instance()}}));
-  ASSERT_TRUE(store.write_process("i1", store::Process{1234, 567890, "boot-id", 3}));
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
+  ASSERT_TRUE(store.write_instances({{"i1", claimed_instance()}, {"i2", stopped_instance()}}));
+  ASSERT_TRUE(store.write_process("i1", store::ProcessRecord{1234, 567890, "boot-id", 3}));
   int number = 0;
   for (const fleet::Rollout::State state : all_states)
     ASSERT_TRUE(store.write_rollout(rollout_in(state, number++)));
@@ -180,7 +180,7 @@
 TEST_F(PersistenceTest, StoreWrittenBeforeIsRead) {
   store::Store store(copy_of(store_written_before));
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
 
   const auto instances = store.instances();
   ASSERT_EQ(instances.size(), 2u);
@@ -213,17 +213,17 @@
 
   const auto processes = store.processes();
   ASSERT_EQ(processes.size(), 1u);
-  EXPECT_EQ(processes.at("i1"), (store::Process{1234, 567890, "boot-id", 3}));
+  EXPECT_EQ(processes.at("i1"), (store::ProcessRecord{1234, 567890, "boot-id", 3}));
   EXPECT_EQ(store.incarnation(), 42u);
 }
 
 TEST_F(PersistenceTest, RolloutsWrittenBeforeAreRead) {
   store::Store store(copy_of(store_written_before));
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
   const auto rollouts = store.rollouts(100);
   ASSERT_EQ(rollouts.size(), 10u);
-  const store::KeptRollout& newest = rollouts[0];
+  const store::RolloutRecord& newest = rollouts[0];
   EXPECT_EQ(newest.plan.id, "r1");
   EXPECT_EQ(newest.plan.who, "ann");
   EXPECT_EQ(newest.plan.kind, fleet::StepKind::change);
@@ -247,12 +247,12 @@
   EXPECT_EQ(newest.plan.drain_within, seconds(32));
   EXPECT_EQ(newest.plan.up_within, seconds(33));
   EXPECT_EQ(newest.state, fleet::Rollout::State::paused);
-  EXPECT_EQ(newest.word, "by an operator");
-  EXPECT_EQ(newest.begun_unix_ms, 1'700'000'000'001);
+  EXPECT_EQ(newest.state_reason, "by an operator");
+  EXPECT_EQ(newest.started_unix_ms, 1'700'000'000'001);
   EXPECT_EQ(newest.stages.at("i1"), fleet::Rollout::Stage::warming);
   EXPECT_EQ(newest.stages.at("i2"), fleet::Rollout::Stage::waiting);
   for (std::size_t number = 0; number < std::size(all_states); ++number) {
-    const store::KeptRollout& one = rollouts[rollouts.size() - 1 - number];  // the newest first
+    const store::RolloutRecord& one = rollouts[rollouts.size() - 1 - number];  // the newest first
     EXPECT_EQ(one.plan.id, "s" + std::to_string(number));
     EXPECT_EQ(one.state, all_states[number]);
     EXPECT_EQ(one.stages.at("i1"), static_cast<fleet::Rollout::Stage>(number % 6));
@@ -262,7 +262,7 @@
 TEST_F(PersistenceTest, ConfigurationWrittenBeforeIsRead) {
   store::Store store(copy_of(store_written_before));
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
   const fleet::ConfigReplica::State state = store.config();
   ASSERT_TRUE(state.current);
   EXPECT_EQ(state.current->mark.epoch, 2u);
