--- a/src/keys/x509.cpp
+++ b/src/keys/x509.cpp
@@ -52,7 +52,7 @@
     const GENERAL_NAME* name = sk_GENERAL_NAME_value(names.get(), i);
     if (name->type != GEN_URI) continue;
     const std::string uri = text_of(name->d.uniformResourceIdentifier);
-    if (uri.starts_with(role_uri_prefix)) role = fleet::role_in(uri.substr(role_uri_prefix.size()));
+    if (uri.starts_with(role_uri_prefix)) role = fleet::parse_role(uri.substr(role_uri_prefix.size()));
   }
   return role;
 }
@@ -110,7 +110,7 @@
 }
 
 std::string role_uri(fleet::Role role) {
-  return std::string(role_uri_prefix) + std::string(fleet::word_for(role));
+  return std::string(role_uri_prefix) + std::string(fleet::name_of(role));
 }
 
 }  // namespace pearchute::keys
--- a/src/store/instance_table.cpp
+++ b/src/store/instance_table.cpp
@@ -6,9 +6,9 @@
 
 namespace pearchute::store {
 
-using fleet::Claim;
+using fleet::Duration;
+using fleet::Lease;
 using fleet::LeaseOwner;
-using fleet::Span;
 using nlohmann::json;
 
 namespace {
@@ -19,46 +19,47 @@
   erase.exec();
 }
 
-LeaseOwner::Kept instance_in(SQLite::Statement& row) {
-  LeaseOwner::Kept instance;
+LeaseOwner::PersistedInstance instance_in(SQLite::Statement& row) {
+  LeaseOwner::PersistedInstance instance;
   instance.wanted = row.getColumn(1).getInt() != 0;
   instance.version = row.getColumn(2).getInt();
   instance.last_fence = static_cast<std::uint64_t>(row.getColumn(3).getInt64());
-  instance.lease = Span(row.getColumn(7).getInt64());
+  instance.lease_duration = Duration(row.getColumn(7).getInt64());
   if (!row.getColumn(4).isNull()) {
-    Claim lease;
+    Lease lease;
     lease.operation = row.getColumn(4).getString();
     lease.who = row.getColumn(5).getString();
     lease.fence = static_cast<std::uint64_t>(row.getColumn(6).getInt64());
-    instance.claim = lease;
+    instance.lease = lease;
   }
   if (!row.getColumn(8).isNull()) instance.step = decode_step(json::parse(row.getColumn(8).getString()));
   if (!row.getColumn(9).isNull())
-    instance.past = decode_step_outcome(json::parse(row.getColumn(9).getString()));
+    instance.last_step = decode_step_outcome(json::parse(row.getColumn(9).getString()));
   return instance;
 }
 
 }  // namespace
 
-void put_instance(SQLite::Database& database, const std::string& name, const LeaseOwner::Kept& instance) {
+void put_instance(SQLite::Database& database, const std::string& name,
+                  const LeaseOwner::PersistedInstance& instance) {
   SQLite::Statement put(database, "INSERT OR REPLACE INTO instance VALUES (?,?,?,?,?,?,?,?,?,?)");
   put.bind(1, name);
   put.bind(2, instance.wanted);
   put.bind(3, instance.version);
   put.bind(4, static_cast<std::int64_t>(instance.last_fence));
-  if (instance.claim) {
-    put.bind(5, instance.claim->operation);
-    put.bind(6, instance.claim->who);
-    put.bind(7, static_cast<std::int64_t>(instance.claim->fence));
+  if (instance.lease) {
+    put.bind(5, instance.lease->operation);
+    put.bind(6, instance.lease->who);
+    put.bind(7, static_cast<std::int64_t>(instance.lease->fence));
   }
-  put.bind(8, static_cast<std::int64_t>(instance.lease.count()));
+  put.bind(8, static_cast<std::int64_t>(instance.lease_duration.count()));
   if (instance.step) put.bind(9, encode_step(*instance.step).dump());
-  if (instance.past) put.bind(10, encode_step_outcome(*instance.past).dump());
+  if (instance.last_step) put.bind(10, encode_step_outcome(*instance.last_step).dump());
   put.exec();
 }
 
-std::map<std::string, LeaseOwner::Kept> read_instances(SQLite::Database& database) {
-  std::map<std::string, LeaseOwner::Kept> instances;
+std::map<std::string, LeaseOwner::PersistedInstance> read_instances(SQLite::Database& database) {
+  std::map<std::string, LeaseOwner::PersistedInstance> instances;
   SQLite::Statement row(database, "SELECT * FROM instance");
   while (row.executeStep()) instances[row.getColumn(0).getString()] = instance_in(row);
   return instances;
--- a/src/store/instance_table.h
+++ b/src/store/instance_table.h
@@ -17,8 +17,8 @@
 namespace pearchute::store {
 
 void put_instance(SQLite::Database& database, const std::string& name,
-                  const fleet::LeaseOwner::Kept& instance);
-std::map<std::string, fleet::LeaseOwner::Kept> read_instances(SQLite::Database& database);
+                  const fleet::LeaseOwner::PersistedInstance& instance);
+std::map<std::string, fleet::LeaseOwner::PersistedInstance> read_instances(SQLite::Database& database);
 // Removes the instance's rows of both tables.
 void erase_instance(SQLite::Database& database, const std::string& name);
 
--- a/src/store/json_codec.cpp
+++ b/src/store/json_codec.cpp
@@ -2,9 +2,9 @@
 
 namespace pearchute::store {
 
+using fleet::Duration;
 using fleet::Fallback;
 using fleet::RolloutPlan;
-using fleet::Span;
 using fleet::Step;
 using fleet::StepKind;
 using nlohmann::json;
@@ -16,7 +16,7 @@
   return static_cast<Enum>(from.get<int>());
 }
 
-Span decode_microseconds(const json& from) { return Span(from.get<Span::rep>()); }
+Duration decode_microseconds(const json& from) { return Duration(from.get<Duration::rep>()); }
 
 }  // namespace
 
@@ -42,12 +42,12 @@
   return step;
 }
 
-json encode_step_outcome(const fleet::Life::Past& outcome) {
+json encode_step_outcome(const fleet::InstanceLifecycle::CompletedStep& outcome) {
   return {
-      {"step", encode_step(outcome.step)}, {"end", static_cast<int>(outcome.end)}, {"word", outcome.word}};
+      {"step", encode_step(outcome.step)}, {"end", static_cast<int>(outcome.end)}, {"word", outcome.detail}};
 }
 
-fleet::Life::Past decode_step_outcome(const json& from) {
+fleet::InstanceLifecycle::CompletedStep decode_step_outcome(const json& from) {
   return {decode_step(from.at("step")), decode_enum<fleet::StepEnd>(from.at("end")), from.at("word")};
 }
 
@@ -61,16 +61,16 @@
           {"version", plan.version},
           {"version_before", plan.version_before},
           {"targets", targets},
-          {"at_once", plan.at_once},
+          {"at_once", plan.max_concurrent},
           {"batch", plan.batch},
-          {"least_serving", plan.least_serving},
+          {"least_serving", plan.min_serving},
           {"warm_us", plan.warm.count()},
           {"gate_us", plan.gate.count()},
           {"margin", plan.margin},
           {"failures", plan.failures},
           {"reverts", plan.reverts},
           {"take_over", plan.take_over},
-          {"lease_us", plan.lease.count()},
+          {"lease_us", plan.lease_duration.count()},
           {"drain_within_us", plan.drain_within.count()},
           {"up_within_us", plan.up_within.count()}};
 }
@@ -85,16 +85,16 @@
   plan.version_before = from.at("version_before");
   for (const json& target : from.at("targets"))
     plan.targets.push_back({target.at(0), target.at(1), target.at(2)});
-  plan.at_once = from.at("at_once");
+  plan.max_concurrent = from.at("at_once");
   plan.batch = from.at("batch");
-  plan.least_serving = from.at("least_serving").get<std::map<std::string, int>>();
+  plan.min_serving = from.at("least_serving").get<std::map<std::string, int>>();
   plan.warm = decode_microseconds(from.at("warm_us"));
   plan.gate = decode_microseconds(from.at("gate_us"));
   plan.margin = from.at("margin");
   plan.failures = from.at("failures");
   plan.reverts = from.value("reverts", false);  // records of older programs have none
   plan.take_over = from.at("take_over");
-  plan.lease = decode_microseconds(from.at("lease_us"));
+  plan.lease_duration = decode_microseconds(from.at("lease_us"));
   plan.drain_within = decode_microseconds(from.at("drain_within_us"));
   plan.up_within = decode_microseconds(from.at("up_within_us"));
   return plan;
--- a/src/store/json_codec.h
+++ b/src/store/json_codec.h
@@ -15,8 +15,8 @@
 nlohmann::json encode_step(const fleet::Step& step);
 fleet::Step decode_step(const nlohmann::json& from);
 
-nlohmann::json encode_step_outcome(const fleet::Life::Past& outcome);
-fleet::Life::Past decode_step_outcome(const nlohmann::json& from);
+nlohmann::json encode_step_outcome(const fleet::InstanceLifecycle::CompletedStep& outcome);
+fleet::InstanceLifecycle::CompletedStep decode_step_outcome(const nlohmann::json& from);
 
 // The plan without its id, which is the record's key.
 nlohmann::json encode_plan(const fleet::RolloutPlan& plan);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -147,7 +147,7 @@
   if (observe_stage_) observe_stage_(stage);
 }
 
-bool Store::write_instances(const std::map<std::string, fleet::LeaseOwner::Kept>& instances) {
+bool Store::write_instances(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& instances) {
   return in_transaction([&] {
     for (const auto& [name, instance] : instances) put_instance(*database_, name, instance);
   });
@@ -176,7 +176,9 @@
   return in_transaction([&] { put_config(*database_, state); });
 }
 
-std::map<std::string, fleet::LeaseOwner::Kept> Store::instances() const { return read_instances(*database_); }
+std::map<std::string, fleet::LeaseOwner::PersistedInstance> Store::instances() const {
+  return read_instances(*database_);
+}
 
 std::map<std::string, ProcessRecord> Store::processes() const { return read_processes(*database_); }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -57,7 +57,7 @@
   // Writes: false where nothing could be written; last_error() says why.
 
   // Replaces the records of the named instances; the others stay.
-  bool write_instances(const std::map<std::string, fleet::LeaseOwner::Kept>& instances);
+  bool write_instances(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& instances);
   // Without a process the instance's record is removed.
   bool write_process(const std::string& instance, const std::optional<ProcessRecord>& process);
   // Removes the instance and its process.
@@ -74,7 +74,7 @@
   // Reads. REQUIRES: open() has returned `usable`. They throw SQLite::Exception where the file can't be read,
   // and nlohmann::json::exception where a record can't be parsed.
 
-  std::map<std::string, fleet::LeaseOwner::Kept> instances() const;
+  std::map<std::string, fleet::LeaseOwner::PersistedInstance> instances() const;
   std::map<std::string, ProcessRecord> processes() const;
   // The incarnation that was written last; 0: none.
   std::uint64_t incarnation() const;
