--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -51,7 +51,7 @@
     session_.event(event, wire_->waiting(), out);
     wire_->send(out);
   }
-  bool overdue(Duration now) {
+  bool overdue(TimePoint now) {
     constexpr seconds whole_call_within(5), read_within(10);
     if (wire_->waiting() == 0 || wire_->written() != written_)
       written_ = wire_->written(), stuck_since_ = now;
@@ -64,7 +64,7 @@
   AdminServer& admin_server_;
   Session session_;
   std::unique_ptr<net::Wire> wire_;
-  Duration since_, stuck_since_;
+  TimePoint since_, stuck_since_;
   std::uint64_t written_ = 0;
 };
 
@@ -111,7 +111,7 @@
 // Twenty times a second, which is also how often the rest of many calls goes on.
 void AdminServer::sweep() {
   std::vector<Line*> overdue, due;
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   for (const auto& line : lines_) {
     if (line->overdue(now)) overdue.push_back(line.get());
     else if (line->session().waiting()) due.push_back(line.get());
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -97,7 +97,7 @@
 }
 
 void ConfigService::change(const AgentConfig& next) {
-  spread_.set_peers(loop_thread_.loop().now(), peers_of(next));
+  spread_.set_peers(loop_thread_.loop().now().time_since_epoch(), peers_of(next));
   std::erase_if(instances_, [&](const auto& one) {
     const auto at = next.instances.find(one.first);
     return at == next.instances.end() || at->second.config_file != one.second.file ||
@@ -123,11 +123,12 @@
 
 void ConfigService::turn() {
   net::Loop& loop = loop_thread_.loop();
-  for (const std::string& peer : spread_.due(loop.now())) exchange(peer);
-  const Span next = std::max(spread_.next(loop.now()), loop.now() + milliseconds(1));
-  if (wake_ && *wake_ <= next && *wake_ > loop.now()) return;
+  for (const std::string& peer : spread_.due(loop.now().time_since_epoch())) exchange(peer);
+  const Duration next =
+      std::max(spread_.next(loop.now().time_since_epoch()), loop.now().time_since_epoch() + milliseconds(1));
+  if (wake_ && *wake_ <= next && *wake_ > loop.now().time_since_epoch()) return;
   wake_ = next;
-  loop.at(next, [this, alive = alive_] {
+  loop.at(TimePoint(next), [this, alive = alive_] {
     if (!*alive) return;
     wake_.reset();
     turn();
@@ -135,13 +136,14 @@
 }
 
 void ConfigService::exchange(const std::string& peer) {
-  const v1::ConfigMessage question = to_wire(spread_.question(loop_thread_.loop().now(), peer));
+  const v1::ConfigMessage question =
+      to_wire(spread_.question(loop_thread_.loop().now().time_since_epoch(), peer));
   peers_.call<v1::ConfigMessage, v1::ConfigMessage>(
       peer, duration_cast<milliseconds>(fleet::ConfigSpread::answer_timeout),
       [](auto* to, auto... what) { to->Synchronize(what...); }, question,
       [this, alive = alive_, peer](bool ok, const v1::ConfigMessage& answer) {
         if (!*alive) return;
-        const Span now = loop_thread_.loop().now();
+        const Duration now = loop_thread_.loop().now().time_since_epoch();
         if (ok) spread_.answered(now, peer, from_wire(answer));
         else spread_.missed(now, peer);
         turn();
@@ -149,7 +151,7 @@
 }
 
 void ConfigService::synchronize(const v1::ConfigMessage& question, v1::ConfigMessage& answer) {
-  answer = to_wire(spread_.receive(loop_thread_.loop().now(), from_wire(question)));
+  answer = to_wire(spread_.receive(loop_thread_.loop().now().time_since_epoch(), from_wire(question)));
   turn();
 }
 
@@ -161,7 +163,7 @@
   }
   const fleet::PublishRequest request = {publication.parent(), publication.content(),
                                          publication.new_epoch()};
-  const fleet::PublishResult result = spread_.publish(loop_thread_.loop().now(), request);
+  const fleet::PublishResult result = spread_.publish(loop_thread_.loop().now().time_since_epoch(), request);
   published.set_result(std::string(name_of(result)));
   *published.mutable_mark() = to_wire(spread_.replica().mark());
   turn();
@@ -179,7 +181,8 @@
   net::Loop& loop = loop_thread_.loop();
   if (const auto document = spread_.to_apply()) {
     for (auto& [name, instance] : instances_) {
-      const bool due = instance.in_force != document->mark || loop.now() >= instance.look_at;
+      const bool due =
+          instance.in_force != document->mark || loop.now().time_since_epoch() >= instance.look_at;
       if (due && !instance.calling) configure(name, instance, *document);
     }
   }
@@ -209,7 +212,7 @@
         if (at == instances_.end()) return;
         Instance& asked = at->second;
         asked.calling = false;
-        asked.look_at = loop_thread_.loop().now() + look_again_after;
+        asked.look_at = loop_thread_.loop().now().time_since_epoch() + look_again_after;
         const admin::v1::Configured& configured = reply.configured();
         if (end == CallEnd::answered && reply.has_configured()) {
           asked.in_force = mark_in(configured.in_force());
@@ -234,8 +237,8 @@
     all.push_back({name, instance.in_force, instance.not_in_force_reason});
   // What no manager has been asked about yet is unknown, not in force.
   const bool known =
-      std::ranges::all_of(instances_, [](const auto& one) { return one.second.look_at > Span(); });
-  if (known) spread_.set_instances(loop_thread_.loop().now(), all);
+      std::ranges::all_of(instances_, [](const auto& one) { return one.second.look_at > Duration(); });
+  if (known) spread_.set_instances(loop_thread_.loop().now().time_since_epoch(), all);
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/config_service.h
+++ b/src/agent/config_service.h
@@ -32,7 +32,7 @@
     bool calling = false;
     fleet::ConfigMark in_force;
     std::string not_in_force_reason;
-    Span look_at{};
+    Duration look_at{};
   };
   bool write_config(const fleet::ConfigReplica::State& state) override;
   void turn();
@@ -46,7 +46,7 @@
   Peers& peers_;
   fleet::ConfigSpread spread_;
   std::map<std::string, Instance> instances_;
-  std::optional<Span> wake_;
+  std::optional<Duration> wake_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -29,7 +29,7 @@
     return owner.store_.write_rollout(
         {rollout.plan(), state, rollout.stages(), rollout.detail(), begun_unix_ms});
   }
-  Span now() const { return owner.loop_thread_.loop().now(); }
+  Duration now() const { return owner.loop_thread_.loop().now().time_since_epoch(); }
   // What comes back after this rollout has gone is dropped.
   template <class What>
   auto while_here(What what) const {
@@ -38,7 +38,7 @@
     };
   }
   void again(std::function<void()> what) {
-    owner.loop_thread_.loop().at(now() + ask_again_after, while_here(what));
+    owner.loop_thread_.loop().at(TimePoint(now() + ask_again_after), while_here(what));
   }
   void request_leases(const std::string& agent, const std::vector<std::string>& instances) override {
     v1::ClaimAsk ask;
@@ -47,7 +47,7 @@
     ask.set_lease_ms(
         static_cast<std::uint64_t>(duration_cast<milliseconds>(rollout.plan().lease_duration).count()));
     ask.set_take_over(rollout.plan().take_over);
-    const Span sent = now();
+    const Duration sent = now();
     owner.peers_.call<v1::ClaimAsk, v1::ClaimAnswer>(
         agent, answers_within, [](auto* to, auto... what) { to->Claim(what...); }, ask,
         while_here([this, agent, instances, sent](bool ok, const v1::ClaimAnswer& answer) {
@@ -73,7 +73,7 @@
     for (const std::string& instance : instances) ask.add_instances(instance);
     ask.set_lease_ms(
         static_cast<std::uint64_t>(duration_cast<milliseconds>(rollout.plan().lease_duration).count()));
-    const Span sent = now();
+    const Duration sent = now();
     owner.peers_.call<v1::Renewal, v1::Renewed>(
         agent, answers_within, [](auto* to, auto... what) { to->Renew(what...); }, ask,
         while_here([this, agent, sent](bool ok, const v1::Renewed& answer) {
@@ -153,7 +153,7 @@
         continue;
       }
       auto& one = rollouts_[kept.plan.id] = std::make_unique<One>(*this, kept.plan, kept.started_unix_ms);
-      one->rollout.restore(loop_thread_.loop().now(), kept.stages);
+      one->rollout.restore(loop_thread_.loop().now().time_since_epoch(), kept.stages);
     }
   }
   wake();
@@ -162,7 +162,7 @@
 Coordinator::~Coordinator() { *alive_ = false; }
 
 void Coordinator::wake() {
-  for (const auto& [id, one] : rollouts_) one->rollout.on_timer(loop_thread_.loop().now());
+  for (const auto& [id, one] : rollouts_) one->rollout.on_timer(loop_thread_.loop().now().time_since_epoch());
   loop_thread_.loop().at(loop_thread_.loop().now() + milliseconds(200), [this, alive = alive_] {
     if (*alive) wake();
   });
@@ -183,7 +183,7 @@
     rollouts_.erase(over);
   }
   auto& one = rollouts_[plan.id] = std::make_unique<One>(*this, plan, unix_ms());
-  one->rollout.begin(loop_thread_.loop().now());
+  one->rollout.begin(loop_thread_.loop().now().time_since_epoch());
   return "";
 }
 
@@ -191,7 +191,7 @@
   const auto at = rollouts_.find(id);
   if (at == rollouts_.end()) return "no such rollout under way here";
   Rollout& rollout = at->second->rollout;
-  const Span now = loop_thread_.loop().now();
+  const Duration now = loop_thread_.loop().now().time_since_epoch();
   if (rollout.over()) return "it is over";
   if (word == "pause") rollout.pause(now);
   else if (word == "resume") rollout.resume(now);
--- a/src/agent/gossip_service.cpp
+++ b/src/agent/gossip_service.cpp
@@ -46,7 +46,7 @@
 }
 
 std::vector<fleet::StatusReport> GossipService::own_words() {
-  const Span now = loop_thread_.loop().now();
+  const Duration now = loop_thread_.loop().now().time_since_epoch();
   std::vector<fleet::StatusReport> words;
   std::map<std::string, Before> present;
   for (const ProcessSupervisor::Seen& seen : supervisor_.seen()) {
@@ -75,11 +75,11 @@
 }
 
 void GossipService::beat() {
-  const Span now = loop_thread_.loop().now();
+  const Duration now = loop_thread_.loop().now().time_since_epoch();
   if (supervisor_.looked_at_all()) gossip_state_.publish(own_words());
   gossip_state_.on_timer(now);
   for (const std::string& peer : scheduler_.due(now)) ask(peer);
-  loop_thread_.loop().at(scheduler_.next(now), [this, alive = alive_] {
+  loop_thread_.loop().at(TimePoint(scheduler_.next(now)), [this, alive = alive_] {
     if (*alive) beat();
   });
 }
@@ -91,13 +91,13 @@
     v1::Mark& to = *question.add_marks();
     to.set_agent(agent), to.set_incarnation(mark.incarnation), to.set_through(mark.through);
   }
-  const Span asked = loop_thread_.loop().now();
+  const Duration asked = loop_thread_.loop().now().time_since_epoch();
   peers_.call<v1::Question, v1::Bulletin>(
       peer, duration_cast<milliseconds>(fleet::AntiEntropyScheduler::answer_timeout),
       [](auto* to, auto... what) { to->Exchange(what...); }, question,
       [this, alive = alive_, peer, asked](bool ok, const v1::Bulletin& bulletin) {
         if (!*alive) return;
-        const Span now = loop_thread_.loop().now();
+        const Duration now = loop_thread_.loop().now().time_since_epoch();
         std::vector<fleet::ReportDelta> all;
         for (const v1::News& news : bulletin.news()) {
           if (auto one = from_wire(news)) all.push_back(std::move(*one));
@@ -113,12 +113,13 @@
 void GossipService::answer(const v1::Question& question, v1::Bulletin& bulletin) {
   std::map<std::string, fleet::ReportVersion> marks;
   for (const v1::Mark& mark : question.marks()) marks[mark.agent()] = {mark.incarnation(), mark.through()};
-  for (const fleet::ReportDelta& news : gossip_state_.answer(loop_thread_.loop().now(), marks))
+  for (const fleet::ReportDelta& news :
+       gossip_state_.answer(loop_thread_.loop().now().time_since_epoch(), marks))
     *bulletin.add_news() = to_wire(news);
 }
 
 void GossipService::tell(v1::Shown& shown) const {
-  const Span now = loop_thread_.loop().now();
+  const Duration now = loop_thread_.loop().now().time_since_epoch();
   for (const std::string& agent : gossip_state_.agents()) {
     const fleet::GossipState::Known known = gossip_state_.known(now, agent);
     v1::Heard& to = *shown.add_heard();
--- a/src/agent/gossip_service.h
+++ b/src/agent/gossip_service.h
@@ -28,7 +28,7 @@
   struct Before {
     fleet::InstanceState condition{};
     std::uint64_t life = 0, done = 0, answered = 0;
-    Span since{}, looked{};
+    Duration since{}, looked{};
     double traffic = 0, share = 1;
   };
   bool persist_incarnation(std::uint64_t incarnation) override;
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -164,9 +164,10 @@
     });
   }
   void fill(v1::Claim& to, const fleet::Lease& claim) const {
-    const Span now = loop_thread_.loop().now();
-    const auto in_ms = [](Span span) {
-      return static_cast<std::uint64_t>(std::max<Span::rep>(duration_cast<milliseconds>(span).count(), 0));
+    const Duration now = loop_thread_.loop().now().time_since_epoch();
+    const auto in_ms = [](Duration span) {
+      return static_cast<std::uint64_t>(
+          std::max<Duration::rep>(duration_cast<milliseconds>(span).count(), 0));
     };
     to.set_operation(claim.operation), to.set_who(claim.who), to.set_fence(claim.fence);
     to.set_held_ms(in_ms(now - claim.since)), to.set_left_ms(in_ms(claim.until - now));
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -92,7 +92,7 @@
     if (ours && at->second.command_version > 0) eye->version = at->second.command_version;
     spdlog::info("instance {}: process {} {}", name, at->second.pid, ours ? "is adopted" : "has ended");
   }
-  lease_owner_->add_instance(loop_.now(), name, one);
+  lease_owner_->add_instance(loop_.now().time_since_epoch(), name, one);
 }
 
 std::vector<std::string> ProcessSupervisor::change(const AgentConfig& next) {
@@ -104,7 +104,7 @@
     // Where it is reached is what makes it this instance: another place is another one.
     const bool same = at != next.instances.end() && at->second.admin.text == owned.admin.text;
     if (same) continue;
-    if (lease_owner_ && !lease_owner_->remove_instance(loop_.now(), name)) {
+    if (lease_owner_ && !lease_owner_->remove_instance(loop_.now().time_since_epoch(), name)) {
       config_.instances[name] = owned;
       told.push_back("instance " + name + " stays as it was: it is claimed");
       continue;
@@ -125,19 +125,19 @@
 // ---- What operators ask
 
 fleet::LeaseTable::Answer ProcessSupervisor::ask(const fleet::LeaseRequest& ask) {
-  if (lease_owner_) return lease_owner_->acquire(loop_.now(), ask);
+  if (lease_owner_) return lease_owner_->acquire(loop_.now().time_since_epoch(), ask);
   fleet::LeaseTable::Answer answer;
   answer.fault = trouble_;
   return answer;
 }
 
 bool ProcessSupervisor::renew(const std::string& operation, const std::vector<std::string>& instances,
-                              Span lease) {
-  return lease_owner_ && lease_owner_->renew(loop_.now(), operation, instances, lease);
+                              Duration lease) {
+  return lease_owner_ && lease_owner_->renew(loop_.now().time_since_epoch(), operation, instances, lease);
 }
 
 void ProcessSupervisor::release(const std::string& operation) {
-  if (lease_owner_) lease_owner_->release(loop_.now(), operation);
+  if (lease_owner_) lease_owner_->release(loop_.now().time_since_epoch(), operation);
 }
 
 bool ProcessSupervisor::step(const std::string& instance, const fleet::Step& step, std::string& fault) {
@@ -146,7 +146,7 @@
   if (at != config_.instances.end() && step.kind == fleet::StepKind::change &&
       !at->second.commands.contains(step.version))
     return fault = "no command of version " + std::to_string(step.version), false;
-  return lease_owner_->step(loop_.now(), instance, step, fault);
+  return lease_owner_->step(loop_.now().time_since_epoch(), instance, step, fault);
 }
 
 std::vector<ProcessSupervisor::Seen> ProcessSupervisor::seen() const {
@@ -167,7 +167,7 @@
     }
     const fleet::InstanceLifecycle& life = *lease_owner_->lifecycle(name);
     one.condition = life.condition(), one.version = life.version(), one.falls = life.crash_count();
-    one.claim = lease_owner_->leases().lease_on(loop_.now(), name);
+    one.claim = lease_owner_->leases().lease_on(loop_.now().time_since_epoch(), name);
     one.under_way = life.current_step(), one.last = life.last_step();
     if (const auto process = processes_.process_of(name)) one.pid = process->pid;
   }
@@ -222,16 +222,16 @@
   look.serves = eye.phase == "serving";
   look.drains = eye.rest == "draining", look.drained = eye.rest == "drained";
   look.version = eye.version;
-  lease_owner_->observe(loop_.now(), name, look);
+  lease_owner_->observe(loop_.now().time_since_epoch(), name, look);
 }
 
-void ProcessSupervisor::wake_at(Span when) {
-  if (wake_ && *wake_ <= when && *wake_ > loop_.now()) return;
+void ProcessSupervisor::wake_at(Duration when) {
+  if (wake_ && *wake_ <= when && *wake_ > loop_.now().time_since_epoch()) return;
   wake_ = when;
-  loop_.at(when, [this, alive = alive_] {
+  loop_.at(TimePoint(when), [this, alive = alive_] {
     if (!*alive) return;
     wake_.reset();
-    lease_owner_->on_timer(loop_.now());
+    lease_owner_->on_timer(loop_.now().time_since_epoch());
   });
 }
 
@@ -264,7 +264,7 @@
                 started ? "started, version " + std::to_string(version) : "can't be started: " + fault);
 }
 
-void ProcessSupervisor::request_shutdown(const std::string& name, Span within) {
+void ProcessSupervisor::request_shutdown(const std::string& name, Duration within) {
   admin::v1::Call call;
   call.mutable_end()->set_within_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(within).count()));
   eyes_.at(name)->caller->call(call, answers_within, {});
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -26,7 +26,7 @@
   std::vector<std::string> change(const AgentConfig& next);
   // What operators ask; `fault` says why not.
   fleet::LeaseTable::Answer ask(const fleet::LeaseRequest& ask);
-  bool renew(const std::string& operation, const std::vector<std::string>& instances, Span lease);
+  bool renew(const std::string& operation, const std::vector<std::string>& instances, Duration lease);
   store::Store& store() { return store_; }
   void release(const std::string& operation);
   bool step(const std::string& instance, const fleet::Step& step, std::string& fault);
@@ -57,7 +57,7 @@
   bool write(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
              const std::string& why) override;
   void start(const std::string& instance, int version) override;
-  void request_shutdown(const std::string& instance, Span within) override;
+  void request_shutdown(const std::string& instance, Duration within) override;
   void cancel_shutdown(const std::string& instance) override;
   void set_drain(const std::string& instance, bool drains, const fleet::Step& step) override;
   void terminate(const std::string& instance) override;
@@ -66,7 +66,7 @@
                   const std::string& word) override;
   void lease_ended(const std::string& instance, const fleet::Lease& claim,
                    fleet::LeaseTable::EndReason why) override;
-  void wake_at(Span when) override;
+  void wake_at(Duration when) override;
   void look();
   void looked(const std::string& instance);
 
@@ -77,7 +77,7 @@
   std::string trouble_;
   std::map<std::string, std::unique_ptr<Eye>> eyes_;
   std::unique_ptr<fleet::LeaseOwner> lease_owner_;  // none where it only observes
-  std::optional<Span> wake_;
+  std::optional<Duration> wake_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -6,20 +6,20 @@
 
 namespace pearchute {
 
-bool WorkloadManager::may_throttle(Duration now, const QueuedRequest& held) const {
+bool WorkloadManager::may_throttle(TimePoint now, const QueuedRequest& held) const {
   const RequestType& type = type_of(held);
   if (type.idempotency == Idempotency::idempotent) return true;
   if (held.out == 0 && !held.first_uncertain_attempt_at) return true;
   if (type.idempotency == Idempotency::non_idempotent ||
       type.deduplication_scope != DeduplicationScope::fleet)
     return false;
-  const Duration first =
+  const TimePoint first =
       held.first_uncertain_attempt_at ? *held.first_uncertain_attempt_at : held.dispatches.front().sent;
   return now < first + type.deduplication_window;
 }
 
 // Nothing may follow the dispatches that it had, whatever comes.
-bool WorkloadManager::spent(Duration now, const QueuedRequest& held) const {
+bool WorkloadManager::spent(TimePoint now, const QueuedRequest& held) const {
   const RequestType& type = type_of(held);
   if (static_cast<int>(held.dispatches.size()) >= rules_.max_attempts) return true;
   if (!held.first_uncertain_attempt_at || type.idempotency == Idempotency::idempotent) return false;
@@ -29,7 +29,7 @@
 }
 
 // Dispatches past the first: two at once only for a restartable job, and within the ration.
-bool WorkloadManager::may_go(Duration now, const QueuedRequest& held) {
+bool WorkloadManager::may_go(TimePoint now, const QueuedRequest& held) {
   const RequestType& type = type_of(held);
   // Not within a round of its end: what is on its way then could come to its engine after the final answer.
   if (held.over || held.streaming || now + rules_.event_interval >= held.end || spent(now, held))
@@ -44,10 +44,10 @@
   return held.dispatches.empty() || within_ration(now);
 }
 
-bool WorkloadManager::within_ration(Duration now) {
+bool WorkloadManager::within_ration(TimePoint now) {
   if (!rules_.retry_budget_window) return true;
   // A job taken just at the window's edge is not counted, a dispatch there is.
-  const Duration from = now - *rules_.retry_budget_window;
+  const TimePoint from = now - *rules_.retry_budget_window;
   while (!taken_.empty() && taken_.front() <= from + rules_.event_interval) taken_.pop_front();
   while (!resent_.empty() && resent_.front() < from - rules_.event_interval) resent_.pop_front();
   const double earned =
@@ -55,7 +55,7 @@
   return static_cast<double>(resent_.size()) + 1 <= earned;
 }
 
-bool WorkloadManager::may_go_to(Duration now, const QueuedRequest& held, const Engine& engine) const {
+bool WorkloadManager::may_go_to(TimePoint now, const QueuedRequest& held, const Engine& engine) const {
   const RequestType& type = type_of(held);
   if (!engine.known_up) return false;
   const auto named = [](const auto& allowed, auto id) {
--- a/src/core/arrival_order.cpp
+++ b/src/core/arrival_order.cpp
@@ -23,13 +23,15 @@
   std::erase_if(waiting_, [&](const Call& call) { return call.id == id; });
 }
 
-Duration ArrivalOrder::needs_read_up_to() const {
-  return waiting_.empty() ? Duration::max() : std::ranges::min(waiting_, {}, &Call::latest).latest;
+TimePoint ArrivalOrder::needs_read_up_to() const {
+  return waiting_.empty() ? TimePoint::max() : std::ranges::min(waiting_, {}, &Call::latest).latest;
 }
 
-std::vector<ArrivalOrder::Settled> ArrivalOrder::settle(Duration now, Duration read_up_to) {
+std::vector<ArrivalOrder::Settled> ArrivalOrder::settle(TimePoint now, TimePoint read_up_to) {
   // The middle of the bounds tells the order of all calls of a key whose bounds are apart.
-  std::ranges::stable_sort(waiting_, {}, [](const Call& call) { return call.earliest + call.latest; });
+  std::ranges::stable_sort(waiting_, {}, [](const Call& call) {
+    return call.earliest.time_since_epoch() + call.latest.time_since_epoch();
+  });
   const auto is_overdue = [&](const Call& call) { return now - call.read >= waits_at_most; };
   // What came between the others' bounds, or before, holds up those of its key.
   const auto is_settled = [&](const Call& call) {
--- a/src/core/arrival_order.h
+++ b/src/core/arrival_order.h
@@ -16,8 +16,8 @@
   struct Call {
     RequestId id;
     OrderKey key;
-    Duration earliest{}, latest{};  // its last byte came between these
-    Duration read{};                // when it was read
+    TimePoint earliest{}, latest{};  // its last byte came between these
+    TimePoint read{};                // when it was read
   };
   struct Settled {
     RequestId id;
@@ -29,10 +29,10 @@
   void came(const Call& call) { waiting_.push_back(call); }
   void withdrawn(RequestId id);
   // Those that go on now, in order. All that came before `read_up_to` has been read.
-  std::vector<Settled> settle(Duration now, Duration read_up_to);
+  std::vector<Settled> settle(TimePoint now, TimePoint read_up_to);
   bool empty() const { return waiting_.empty(); }
   // The moment up to which all has to be read for the first of them to go on.
-  Duration needs_read_up_to() const;
+  TimePoint needs_read_up_to() const;
 
  private:
   std::vector<Call> waiting_;
--- a/src/core/beat.cpp
+++ b/src/core/beat.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void WorkloadManager::beat(Duration now) {
+void WorkloadManager::beat(TimePoint now) {
   host_.schedule_wakeup(milliseconds(100), beat_mark);
   note_beat(now);
   fade_figures();
@@ -27,8 +27,8 @@
 }
 
 // Beats that come late again and again tell that this manager's own core is short.
-void WorkloadManager::note_beat(Duration now) {
-  const bool behind = beat_due_ > Duration(0) &&
+void WorkloadManager::note_beat(TimePoint now) {
+  const bool behind = beat_due_ > TimePoint{} &&
                       now > beat_due_ + std::max<Duration>(rules_.event_interval, milliseconds(20));
   beats_late_ = behind ? std::min(beats_late_ + 1, 10) : std::max(beats_late_ - 1, 0);
   beat_due_ = now + milliseconds(100);
@@ -41,13 +41,13 @@
   for (auto& [data_set, drawn] : data_sets_) drawn *= 0.99;
 }
 
-void WorkloadManager::forget_what_is_over(Duration now) {
+void WorkloadManager::forget_what_is_over(TimePoint now) {
   std::erase_if(lines_, [&](auto& l) { return l.second.jobs.empty() && now >= l.second.rests_until; });
   std::erase_if(data_sets_, [](const auto& one) { return one.second < 0.001; });
   std::erase_if(engines_, [](const auto& one) { return one.second.has_gone(); });
 }
 
-void WorkloadManager::look_at_engine(Duration now, Engine& engine) {
+void WorkloadManager::look_at_engine(TimePoint now, Engine& engine) {
   look_after(now, engine);
   if (now >= engine.closed_until && !engine.on_trial) let_go(engine, now);  // else it may stand still
   for (const auto& [sent, which] : engine.out) learn_from_open(now, engine, sent, which);
@@ -60,7 +60,7 @@
 }
 
 // Guards against learning too late: what is out and already far behind counts before its answer comes.
-void WorkloadManager::learn_from_open(Duration now, Engine& engine, Duration sent,
+void WorkloadManager::learn_from_open(TimePoint now, Engine& engine, TimePoint sent,
                                       std::pair<RequestId, int> which) {
   const QueuedRequest& held = jobs_.at(which.first);
   const Attempt& dispatch = held.dispatches[which.second];
@@ -92,7 +92,7 @@
 
 // Down a tenth each beat while a job that may go has waited for room past a tenth of a second, up again
 // slower when not; never under the mean, where it would cut what pays best and leave engines idle.
-void WorkloadManager::move_cut(Duration now) {
+void WorkloadManager::move_cut(TimePoint now) {
   largest_ = std::max(largest_ * 0.998, mean_cost_);
   bool crowded = false;
   for (const auto& [turn, id] : held_) {
@@ -104,7 +104,7 @@
 }
 
 // Held jobs that can no longer make it: an answer now is worth more than one at the end.
-void WorkloadManager::give_up_the_late(Duration now) {
+void WorkloadManager::give_up_the_late(TimePoint now) {
   for (auto it = held_.begin(); it != held_.end();) {
     QueuedRequest& held = jobs_.at((it++)->second);
     // A client whose connection broke calls again at once: after a second it does not come.
--- a/src/core/cold_budgets.cpp
+++ b/src/core/cold_budgets.cpp
@@ -13,7 +13,7 @@
       managers_(std::max(1, service.managers)),
       kinds_(service.kinds) {}
 
-void ColdBudgets::on_endpoint_update(Duration now, EndpointUpdate news,
+void ColdBudgets::on_endpoint_update(TimePoint now, EndpointUpdate news,
                                      const std::vector<EngineEndpoint>& engines) {
   std::set<EngineId> named;
   for (const EngineEndpoint& listed : engines) {
@@ -35,9 +35,9 @@
 }
 
 // From the listed start, or from when the list told of it if that came late, by five seconds at most.
-bool ColdBudgets::cold(Duration now, const Start& start) const {
+bool ColdBudgets::cold(TimePoint now, const Start& start) const {
   if (multiple_ <= 0 || window_ <= Duration(0) || !start.listed.started_at) return false;
-  const Duration began = *start.listed.started_at;
+  const TimePoint began = *start.listed.started_at;
   constexpr std::chrono::seconds told_late(5);
   return now < std::max(began, std::min(start.told, began + told_late)) + lasts_;
 }
@@ -53,7 +53,7 @@
   return largest_ms > even / 2 ? std::max(even, whole / 2) : even;
 }
 
-bool ColdBudgets::forbids(Duration now, EngineId engine, double work_ms, double largest_ms) const {
+bool ColdBudgets::forbids(TimePoint now, EngineId engine, double work_ms, double largest_ms) const {
   const auto at = engines_.find(engine);
   if (at == engines_.end() || !cold(now, at->second)) return false;
   double sent = work_ms;
@@ -63,7 +63,7 @@
   return sent > own_part(at->second, largest_ms);
 }
 
-void ColdBudgets::attempt_left(Duration now, EngineId engine, double work_ms) {
+void ColdBudgets::attempt_left(TimePoint now, EngineId engine, double work_ms) {
   const auto at = engines_.find(engine);
   if (at == engines_.end()) return;
   std::deque<Sent>& sent = at->second.sent;
--- a/src/core/cold_budgets.h
+++ b/src/core/cold_budgets.h
@@ -15,26 +15,26 @@
  public:
   ColdBudgets() = default;
   explicit ColdBudgets(const ServiceDefinition& service);
-  void on_endpoint_update(Duration now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
+  void on_endpoint_update(TimePoint now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
   // Whether an attempt of that much work would be more than this manager's part.
   // `largest_ms` is the usual work of the class that needs most: where that is over an even part, managers
   // take turns.
-  bool forbids(Duration now, EngineId engine, double work_ms, double largest_ms) const;
-  void attempt_left(Duration now, EngineId engine, double work_ms);
+  bool forbids(TimePoint now, EngineId engine, double work_ms, double largest_ms) const;
+  void attempt_left(TimePoint now, EngineId engine, double work_ms);
   // Where it stands; nothing where the engine was never listed.
   const EngineEndpoint* listed(EngineId engine) const;
 
  private:
   struct Sent {
-    Duration at{};
+    TimePoint at{};
     double work_ms = 0;
   };
   struct Start {
     EngineEndpoint listed;
-    Duration told{};  // when the list first told of this start
+    TimePoint told{};  // when the list first told of this start
     std::deque<Sent> sent;
   };
-  bool cold(Duration now, const Start& start) const;
+  bool cold(TimePoint now, const Start& start) const;
   double own_part(const Start& start, double largest_ms) const;
 
   double multiple_ = 0, cold_from_ = 1;
--- a/src/core/control.cpp
+++ b/src/core/control.cpp
@@ -43,7 +43,7 @@
   host_.schedule_wakeup(milliseconds(100), beat_mark);
 }
 
-void WorkloadManager::on_endpoint_update(Duration now, EndpointUpdate news,
+void WorkloadManager::on_endpoint_update(TimePoint now, EndpointUpdate news,
                                          const std::vector<EngineEndpoint>& engines) {
   if (news != EndpointUpdate::cached) subscribe_wait_ = milliseconds(500);
   std::set<EngineId> named;
@@ -60,7 +60,7 @@
       engine.told = now;
       engine.strikes = 0, engine.error_rate = 0, engine.closed_until = now, engine.on_trial = false;
       engine.pace.stretch = first ? 1 : std::max(1.0, fleet_.stretch);
-      engine.others_bytes.reset(), let_go(engine, Duration::max());
+      engine.others_bytes.reset(), let_go(engine, TimePoint::max());
     }
   }
   if (news == EndpointUpdate::cached) doubt_starts(now, engines);
@@ -71,7 +71,7 @@
   release(now);
 }
 
-void WorkloadManager::on_endpoints_refused(Duration) {
+void WorkloadManager::on_endpoints_refused(TimePoint) {
   if (!rules_.endpoints_on_request) return;
   // Guards against asking an overrun discovery: twice as long after each refusal, and unevenly.
   const double part = 0.75 + 0.5 * std::generate_canonical<double, 32>(chance_);
@@ -80,7 +80,7 @@
   subscribe_wait_ = std::min(2 * subscribe_wait_, longest);
 }
 
-void WorkloadManager::on_request(Duration now, const Request& job) {
+void WorkloadManager::on_request(TimePoint now, const Request& job) {
   TypeFigures& type = types_[job.type.value];
   QueuedRequest& held = jobs_[job.id];
   held.job = job, held.turn = next_turn_++, turns_[held.turn] = job.id;
@@ -126,34 +126,34 @@
   held.held = true, held_[held.turn] = job.id, place_newcomer(now, held);
 }
 
-void WorkloadManager::on_request_cancelled(Duration now, RequestId id) {
+void WorkloadManager::on_request_cancelled(TimePoint now, RequestId id) {
   if (!jobs_.contains(id)) return;
   over(jobs_.at(id)), forget_if_done(id), release(now);
 }
 
 // Guards against work for clients that have gone by the time it begins. What is out goes on, since a client
 // whose connection broke calls again.
-void WorkloadManager::on_client_disconnected(Duration now, RequestId id) {
+void WorkloadManager::on_client_disconnected(TimePoint now, RequestId id) {
   const auto at = jobs_.find(id);
   if (at != jobs_.end() && !at->second.away_since) at->second.away_since = now;
 }
 
-void WorkloadManager::on_client_reconnected(Duration now, RequestId id) {
+void WorkloadManager::on_client_reconnected(TimePoint now, RequestId id) {
   const auto at = jobs_.find(id);
   if (at == jobs_.end() || !at->second.away_since) return;
   at->second.away_since.reset(), release(now);
 }
 
-void WorkloadManager::heard(Duration now, RequestId id, int number) {
+void WorkloadManager::heard(TimePoint now, RequestId id, int number) {
   if (Attempt* dispatch = find(id, number)) engines_[dispatch->engine].last_word = dispatch->last_note = now;
 }
 
-void WorkloadManager::on_stream_started(Duration now, RequestId id, int number) {
+void WorkloadManager::on_stream_started(TimePoint now, RequestId id, int number) {
   heard(now, id, number);
   if (jobs_.contains(id)) jobs_.at(id).streaming = true;
 }
 
-void WorkloadManager::on_progress(Duration now, RequestId id, int number, double share_done) {
+void WorkloadManager::on_progress(TimePoint now, RequestId id, int number, double share_done) {
   heard(now, id, number);
   if (!find(id, number) || !rules_.allows_cancel) return;
   const QueuedRequest& held = jobs_.at(id);
@@ -174,7 +174,7 @@
   }
 }
 
-void WorkloadManager::on_spill(Duration now, RequestId id, int number, double missing_mb) {
+void WorkloadManager::on_spill(TimePoint now, RequestId id, int number, double missing_mb) {
   heard(now, id, number);
   if (!find(id, number)) return;
   const Request& job = jobs_.at(id).job;
@@ -186,7 +186,7 @@
   bias = std::min(bias + ((grant + missing_mb) / estimate - bias) / 50, 1.5);
 }
 
-void WorkloadManager::on_attempt_ended(Duration now, RequestId id, int number, Outcome outcome,
+void WorkloadManager::on_attempt_ended(TimePoint now, RequestId id, int number, Outcome outcome,
                                        Duration elapsed, bool finished, std::optional<double> work_ms,
                                        std::optional<double> memory_mb, const LoadReport& load) {
   if (!find(id, number)) return;
@@ -199,10 +199,10 @@
   // would take at the engine's pace. Guards against engines that are filled up again and again with work that
   // nobody waits for; harms where answers were lost, by an engine that is used less for as long.
   const double more_ms = ideal_ms(held) * std::max(1.0, engine.pace.stretch);
-  const Duration until = now + std::min(from_ms(more_ms), type.type.request_timeout);
+  const TimePoint until = now + std::min(from_ms(more_ms), type.type.request_timeout);
   const bool runs_on = outcome == Outcome::timed_out && !rules_.allows_cancel;
-  engine.runs_on.push_back({runs_on ? until : Duration::min(), dispatch.grant, dispatch.threads});
-  let_go(engine, Duration::min());
+  engine.runs_on.push_back({runs_on ? until : TimePoint::min(), dispatch.grant, dispatch.threads});
+  let_go(engine, TimePoint::min());
   engine.dispatches -= 1, engine.out.erase({dispatch.sent, {id, number}});
   if (engine.protecting) {
     const double floor = capacity(engine) / std::max(8.0, slots(now, engine));
@@ -241,7 +241,7 @@
     engine.last_full = now;  // no word: one that hangs is full, too
     engine.pace.open = std::max(engine.pace.open * 0.8, 0.25);
   } else if (outcome == Outcome::unreachable) {
-    let_go(engine, Duration::max());  // it has died, with what ran there
+    let_go(engine, TimePoint::max());  // it has died, with what ran there
     sign_of_trouble(now, engine, Trouble::unreachable);
   } else if (outcome == Outcome::timed_out && engine.last_word < dispatch.sent) {
     sign_of_trouble(now, engine, Trouble::unanswered);
@@ -273,7 +273,7 @@
   forget_if_done(id), release(now);
 }
 
-void WorkloadManager::on_engine_wait(Duration now, RequestId id, int number, WaitCause wait) {
+void WorkloadManager::on_engine_wait(TimePoint now, RequestId id, int number, WaitCause wait) {
   heard(now, id, number);
   Attempt* dispatch = find(id, number);
   if (!dispatch || wait != WaitCause::data_load) return;
@@ -298,13 +298,13 @@
   }
 }
 
-void WorkloadManager::on_probe_ended(Duration now, EngineId id, Outcome outcome, Duration,
+void WorkloadManager::on_probe_ended(TimePoint now, EngineId id, Outcome outcome, Duration,
                                      const LoadReport& load) {
   if (engines_.contains(id) && outcome == Outcome::succeeded) heed(now, engines_.at(id), load);
   release(now);
 }
 
-void WorkloadManager::on_wakeup(Duration now, std::uint64_t mark) {
+void WorkloadManager::on_wakeup(TimePoint now, std::uint64_t mark) {
   if (mark == beat_mark) beat(now);
   if (mark == subscribe_mark) host_.subscribe_endpoints();
   if (const auto turn = turns_.find(mark); turn != turns_.end()) {
@@ -318,7 +318,7 @@
 }
 
 // The program ends before these jobs would: each gets its final answer now.
-void WorkloadManager::closing(Duration now) {
+void WorkloadManager::closing(TimePoint now) {
   for (auto it = turns_.begin(); it != turns_.end();)
     give_up(now, jobs_.at((it++)->second), RejectionReason::shutting_down);
 }
@@ -351,7 +351,7 @@
          10.0 * static_cast<double>(jobs_.size()) > 9.0 * rules_.max_open_requests;
 }
 
-void WorkloadManager::give_up(Duration now, QueuedRequest& held, RejectionReason reason) {
+void WorkloadManager::give_up(TimePoint now, QueuedRequest& held, RejectionReason reason) {
   if (held.over) return;
   host_.on_rejection(held.job.id, reason);
   const RequestId id = held.job.id;
--- a/src/core/control.h
+++ b/src/core/control.h
@@ -45,25 +45,25 @@
   WorkloadManager(const WorkloadManager&) = delete;
   WorkloadManager& operator=(const WorkloadManager&) = delete;
 
-  void on_endpoint_update(Duration now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
-  void on_endpoints_refused(Duration now);
-  void on_request(Duration now, const Request& job);
-  void on_request_cancelled(Duration now, RequestId id);
+  void on_endpoint_update(TimePoint now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
+  void on_endpoints_refused(TimePoint now);
+  void on_request(TimePoint now, const Request& job);
+  void on_request_cancelled(TimePoint now, RequestId id);
   // Nobody is there for it, and somebody may come again: nothing of it leaves meanwhile.
-  void on_client_disconnected(Duration now, RequestId id);
-  void on_client_reconnected(Duration now, RequestId id);
-  void on_stream_started(Duration now, RequestId job, int number);
-  void on_progress(Duration now, RequestId id, int number, double share_done);
-  void on_spill(Duration now, RequestId id, int number, double missing_mb);
-  void on_engine_wait(Duration now, RequestId id, int number, WaitCause wait);
+  void on_client_disconnected(TimePoint now, RequestId id);
+  void on_client_reconnected(TimePoint now, RequestId id);
+  void on_stream_started(TimePoint now, RequestId job, int number);
+  void on_progress(TimePoint now, RequestId id, int number, double share_done);
+  void on_spill(TimePoint now, RequestId id, int number, double missing_mb);
+  void on_engine_wait(TimePoint now, RequestId id, int number, WaitCause wait);
   // `work_ms` and `memory_mb` are what the job needed, where answers tell.
-  void on_attempt_ended(Duration now, RequestId id, int number, Outcome outcome, Duration elapsed,
+  void on_attempt_ended(TimePoint now, RequestId id, int number, Outcome outcome, Duration elapsed,
                         bool job_finished, std::optional<double> work_ms, std::optional<double> memory_mb,
                         const LoadReport& load);
-  void on_probe_ended(Duration now, EngineId engine, Outcome outcome, Duration elapsed,
+  void on_probe_ended(TimePoint now, EngineId engine, Outcome outcome, Duration elapsed,
                       const LoadReport& load);
-  void on_wakeup(Duration now, std::uint64_t mark);
-  void closing(Duration now);
+  void on_wakeup(TimePoint now, std::uint64_t mark);
+  void closing(TimePoint now);
 
   // What it believes, for those who ask. Asking changes no decision.
   struct EngineEstimate {
@@ -71,13 +71,13 @@
     bool is_cold = false;
   };
   template <class Visit>
-  void tell_engines(Duration now, Visit visit) const {
+  void tell_engines(TimePoint now, Visit visit) const {
     for (const auto& [id, engine] : engines_)
       visit(engine, EngineEstimate{slots(now, engine), capacity(engine), cold(now, engine)});
   }
   // What a held job waits for.
   enum class QueuedFor { not_queued, key_order, key_quiet_period, retry_budget, capacity };
-  QueuedFor queued_for(Duration now, RequestId id) {
+  QueuedFor queued_for(TimePoint now, RequestId id) {
     const auto at = jobs_.find(id);
     if (at == jobs_.end() || !at->second.held) return QueuedFor::not_queued;
     const QueuedRequest& held = at->second;
@@ -104,7 +104,7 @@
  private:
   enum : std::uint64_t { beat_mark = 1, subscribe_mark = 2, job_marks = 16 };
 
-  void heard(Duration now, RequestId id, int number);
+  void heard(TimePoint now, RequestId id, int number);
   Attempt* find(RequestId id, int number) {  // only while it is out: nothing else may be told of
     const auto it = jobs_.find(id);
     const bool known = it != jobs_.end() && number < static_cast<int>(it->second.dispatches.size());
@@ -115,65 +115,65 @@
     return engine.listed.kind.value >= 0 ? kinds_[engine.listed.kind.value] : MachineKind{};
   }
   bool tiny(const QueuedRequest& held) const;
-  bool data_held(Duration now, const Engine& engine, DataSetId data_set) const;
+  bool data_held(TimePoint now, const Engine& engine, DataSetId data_set) const;
   // No dispatch may begin for as long as its client is away, whatever else would allow it.
   bool may_begin(const QueuedRequest& held) const {
     return static_cast<int>(held.dispatches.size()) < rules_.max_attempts && !held.away_since;
   }
-  bool spent(Duration now, const QueuedRequest& held) const;
-  static void let_go(Engine& engine, Duration until);
+  bool spent(TimePoint now, const QueuedRequest& held) const;
+  static void let_go(Engine& engine, TimePoint until);
   // Rules
-  bool may_throttle(Duration now, const QueuedRequest& held) const;
-  bool may_go(Duration now, const QueuedRequest& held);
-  bool may_go_to(Duration now, const QueuedRequest& held, const Engine& engine) const;
-  bool within_ration(Duration now);
-  void doubt_starts(Duration now, const std::vector<EngineEndpoint>& engines);
-  bool cold(Duration now, const Engine& engine) const;
-  bool cold_allows(Duration now, const Engine& engine, const QueuedRequest& held) const;
-  std::optional<std::uint64_t> own_turn(Duration now, const Engine& engine, int a_window,
+  bool may_throttle(TimePoint now, const QueuedRequest& held) const;
+  bool may_go(TimePoint now, const QueuedRequest& held);
+  bool may_go_to(TimePoint now, const QueuedRequest& held, const Engine& engine) const;
+  bool within_ration(TimePoint now);
+  void doubt_starts(TimePoint now, const std::vector<EngineEndpoint>& engines);
+  bool cold(TimePoint now, const Engine& engine) const;
+  bool cold_allows(TimePoint now, const Engine& engine, const QueuedRequest& held) const;
+  std::optional<std::uint64_t> own_turn(TimePoint now, const Engine& engine, int a_window,
                                         Duration lasts) const;
   double cold_budget(const Engine& engine) const;
-  bool by_turns(Duration now, const Engine& engine) const;
+  bool by_turns(TimePoint now, const Engine& engine) const;
   double cold_work(const QueuedRequest& held) const;
   void over(QueuedRequest& held);
   void forget_if_done(RequestId id);
   // The ordinary path
-  void place_newcomer(Duration now, QueuedRequest& newcomer);
-  void release(Duration now);
-  bool place(Duration now, QueuedRequest& held);
-  void send(Duration now, QueuedRequest& held, Engine& engine, double grant, bool home);
+  void place_newcomer(TimePoint now, QueuedRequest& newcomer);
+  void release(TimePoint now);
+  bool place(TimePoint now, QueuedRequest& held);
+  void send(TimePoint now, QueuedRequest& held, Engine& engine, double grant, bool home);
   double capacity(const Engine& engine) const;
-  double slots(Duration now, const Engine& engine) const;
+  double slots(TimePoint now, const Engine& engine) const;
   bool pooled(const Engine& engine) const { return engine.even_slots < largest_threads_; }
-  double pool_room(Duration now, double part) const;
-  std::optional<double> grant_on(Duration now, const Engine& engine, const QueuedRequest& held) const;
+  double pool_room(TimePoint now, double part) const;
+  std::optional<double> grant_on(TimePoint now, const Engine& engine, const QueuedRequest& held) const;
   double ideal_ms(const QueuedRequest& held) const;
   double need_mb(const QueuedRequest& held) const;
   int priority(const QueuedRequest& held) const;
   double density(const QueuedRequest& held) const;
   // Health
   bool slow() const;
-  void sign_of_trouble(Duration now, Engine& engine, Trouble why);
+  void sign_of_trouble(TimePoint now, Engine& engine, Trouble why);
   void compare(const Engine& engine, const Attempt& dispatch, double sample, double part);
   void learn(Engine& engine, const QueuedRequest& held, const Attempt& dispatch, Duration elapsed);
-  void look_after(Duration now, Engine& engine);
-  void heed(Duration now, Engine& engine, const LoadReport& load);
+  void look_after(TimePoint now, Engine& engine);
+  void heed(TimePoint now, Engine& engine, const LoadReport& load);
   double weight(const QueuedRequest& held) const;
   double usual_work(const TypeFigures& type) const;
   double usual_work(const QueuedRequest& held) const { return usual_work(types_[held.job.type.value]); }
   // Ten times a second
-  void beat(Duration now);
-  void note_beat(Duration now);
+  void beat(TimePoint now);
+  void note_beat(TimePoint now);
   void fade_figures();
-  void forget_what_is_over(Duration now);
-  void look_at_engine(Duration now, Engine& engine);
-  void learn_from_open(Duration now, Engine& engine, Duration sent, std::pair<RequestId, int> which);
+  void forget_what_is_over(TimePoint now);
+  void look_at_engine(TimePoint now, Engine& engine);
+  void learn_from_open(TimePoint now, Engine& engine, TimePoint sent, std::pair<RequestId, int> which);
   void probe_in_turn();
-  void move_cut(Duration now);
-  void give_up_the_late(Duration now);
+  void move_cut(TimePoint now);
+  void give_up_the_late(TimePoint now);
   // Giving up
   bool crammed() const;
-  void give_up(Duration now, QueuedRequest& held, RejectionReason reason);
+  void give_up(TimePoint now, QueuedRequest& held, RejectionReason reason);
 
   DecisionSink& host_;
   std::knuth_b chance_;
@@ -194,15 +194,15 @@
   std::map<std::uint64_t, RequestId> held_;   // by order of arrival
   std::map<std::uint64_t, RequestId> turns_;  // every job not forgotten, for wake marks
   std::map<OrderKey, OrderLine> lines_;
-  std::deque<Duration> taken_, resent_;
+  std::deque<TimePoint> taken_, resent_;
   std::uint64_t next_turn_ = job_marks;
   Duration subscribe_wait_;
   double cut_;            // most work for a unit of billed value that is taken on
   double largest_ = 0;    // recent largest of the same
   double mean_cost_ = 0;  // work for a unit of billed value, over all jobs taken
   double work_taken_ = 0, value_taken_ = 0;
-  Duration beat_due_{};  // of the next beat
-  int beats_late_ = 0;   // of late, less those in time
+  TimePoint beat_due_{};  // of the next beat
+  int beats_late_ = 0;    // of late, less those in time
   Mean mean_work_ms_;
   double job_rate_ = 0;  // jobs a second, smoothed
   double probes_due_ = 0;
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -16,7 +16,7 @@
 
 // A job that comes frees no room, so what waits goes on to wait: only its own place is looked for. Guards
 // against overload, in which a scan of the queue for each job that comes takes all of the processor.
-void WorkloadManager::place_newcomer(Duration now, QueuedRequest& newcomer) {
+void WorkloadManager::place_newcomer(TimePoint now, QueuedRequest& newcomer) {
   if (!may_go(now, newcomer) || !place(now, newcomer)) return;
   bool over_budget = false;
   for (const auto& [turn, id] : held_) {
@@ -26,7 +26,7 @@
   if (over_budget) release(now);
 }
 
-void WorkloadManager::release(Duration now) {
+void WorkloadManager::release(TimePoint now) {
   std::vector<QueuedRequest*> passed;
   std::map<std::pair<RequestTypeId, int>, double> blocked;  // least need that found no room in this scan
   for (auto it = held_.begin(); it != held_.end();) {
@@ -61,7 +61,7 @@
   }
 }
 
-bool WorkloadManager::place(Duration now, QueuedRequest& held) {
+bool WorkloadManager::place(TimePoint now, QueuedRequest& held) {
   const TypeFigures& type = types_[held.job.type.value];
   const bool full = pool_room(now, priority(held) == 3 ? 1.5 : 1) < type.type.threads;
   // Homes, agreed on without a word: the first engine of all by the data set's hash and the first of the own
@@ -133,7 +133,7 @@
   return best != nullptr;
 }
 
-void WorkloadManager::send(Duration now, QueuedRequest& held, Engine& engine, double grant, bool home) {
+void WorkloadManager::send(TimePoint now, QueuedRequest& held, Engine& engine, double grant, bool home) {
   const TypeFigures& type = types_[held.job.type.value];
   held_.erase(held.turn), held.held = false, held.overtaken = 0;
   if (engine.protecting && engine.protected_for == held.job.id) engine.protecting = false;
@@ -155,7 +155,7 @@
   }
   // Guards against repeats that wait for a connection and leave when they are not known as such any more.
   if (held.first_uncertain_attempt_at && type.type.idempotency == Idempotency::idempotent_by_key) {
-    const Duration last =
+    const TimePoint last =
         *held.first_uncertain_attempt_at + type.type.deduplication_window - rules_.event_interval;
     host_.limit_send_delay(held.job.id, std::max(last - now, Duration(1)));
   }
--- a/src/core/health.cpp
+++ b/src/core/health.cpp
@@ -65,7 +65,7 @@
   follow(fleet_, fleet_even_, fleet_live_);
 }
 
-void WorkloadManager::sign_of_trouble(Duration now, Engine& engine, Trouble why) {
+void WorkloadManager::sign_of_trouble(TimePoint now, Engine& engine, Trouble why) {
   if (now < engine.closed_until) return;
   const bool sure = why == Trouble::unreachable;
   // Never more than a third of the fleet on suspicion alone: the rest would be overrun by what all share.
@@ -83,7 +83,7 @@
 }
 
 // Looks for dispatches that are overdue, on an engine that says nothing or by themselves.
-void WorkloadManager::look_after(Duration now, Engine& engine) {
+void WorkloadManager::look_after(TimePoint now, Engine& engine) {
   int silent = 0;
   std::vector<std::pair<RequestId, int>> lost;
   for (const auto& [sent, which] : engine.out) {
@@ -123,7 +123,7 @@
 }
 
 // Others' part of the engine's memory, where it tells: the one thing that separate ledgers cannot add up.
-void WorkloadManager::heed(Duration now, Engine& engine, const LoadReport& load) {
+void WorkloadManager::heed(TimePoint now, Engine& engine, const LoadReport& load) {
   if (engine.listed.kind.value < 0) return;
   // Exception: where engines tell how many jobs they hold, this manager may also use half of the threads
   // that are free there, up to one and a half a core (the least that engines do before they get less done).
--- a/src/core/key_order.cpp
+++ b/src/core/key_order.cpp
@@ -17,7 +17,7 @@
   lines_[key].entries.push_back({.id = id});
 }
 
-std::optional<KeyOrder::Break> KeyOrder::forbids(Duration now, RequestId id) const {
+std::optional<KeyOrder::Break> KeyOrder::forbids(TimePoint now, RequestId id) const {
   const auto key = keys_.find(id);
   if (key == keys_.end()) return std::nullopt;
   const Line& line = lines_.at(key->second);
@@ -44,18 +44,18 @@
   drop_if_done(id);
 }
 
-void KeyOrder::rest(Duration now, Line& line) const {
+void KeyOrder::rest(TimePoint now, Line& line) const {
   line.rests_until = std::max(line.rests_until, now + rest_);
 }
 
-void KeyOrder::attempt_called_off(Duration now, RequestId id) {
+void KeyOrder::attempt_called_off(TimePoint now, RequestId id) {
   const Found found = find(id);
   if (!found.entry || found.entry->out == 0) return;
   found.entry->called_off = true;
   rest(now, *found.line);
 }
 
-void KeyOrder::attempt_ended(Duration now, RequestId id, Outcome outcome) {
+void KeyOrder::attempt_ended(TimePoint now, RequestId id, Outcome outcome) {
   const Found found = find(id);
   if (!found.entry || found.entry->out == 0) return;
   found.entry->out -= 1;
@@ -79,12 +79,12 @@
   keys_.erase(id);
 }
 
-Duration KeyOrder::rest_left(Duration now, OrderKey key) const {
+Duration KeyOrder::rest_left(TimePoint now, OrderKey key) const {
   const auto line = lines_.find(key);
   return line == lines_.end() ? Duration(0) : std::max(line->second.rests_until - now, Duration(0));
 }
 
-void KeyOrder::forget_rested(Duration now) {
+void KeyOrder::forget_rested(TimePoint now) {
   std::erase_if(lines_,
                 [&](const auto& one) { return one.second.entries.empty() && now >= one.second.rests_until; });
 }
--- a/src/core/key_order.h
+++ b/src/core/key_order.h
@@ -22,16 +22,16 @@
 
   explicit KeyOrder(Duration rest = {}) : rest_(rest) {}
   void taken(RequestId id, OrderKey key);
-  std::optional<Break> forbids(Duration now, RequestId id) const;
+  std::optional<Break> forbids(TimePoint now, RequestId id) const;
   void attempt_left(RequestId id);
   void attempt_taken_back(RequestId id);  // no byte of it has left this machine after all
   // The manager has called it off; whatever its engine says from then on, its end is not sure.
-  void attempt_called_off(Duration now, RequestId id);
-  void attempt_ended(Duration now, RequestId id, Outcome outcome);  // of one that had left
+  void attempt_called_off(TimePoint now, RequestId id);
+  void attempt_ended(TimePoint now, RequestId id, Outcome outcome);  // of one that had left
   void over(RequestId id);  // it has its final answer, or its client has gone
   // How long the key of that request has to rest from now on; zero where it need not.
-  Duration rest_left(Duration now, OrderKey key) const;
-  void forget_rested(Duration now);
+  Duration rest_left(TimePoint now, OrderKey key) const;
+  void forget_rested(TimePoint now);
   std::size_t keys() const { return lines_.size(); }
 
  private:
@@ -42,14 +42,14 @@
   };
   struct Line {
     std::deque<Entry> entries;  // in the order in which they were taken
-    Duration rests_until{};
+    TimePoint rests_until{};
   };
   struct Found {
     Line* line = nullptr;
     Entry* entry = nullptr;
   };
   Found find(RequestId id);
-  void rest(Duration now, Line& line) const;
+  void rest(TimePoint now, Line& line) const;
   void drop_if_done(RequestId id);
 
   Duration rest_;
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -35,7 +35,7 @@
   return estimate > 0 ? 1.125 * type.memory_bias * estimate : type.typical_memory_mb.value;
 }
 
-double WorkloadManager::slots(Duration now, const Engine& engine) const {
+double WorkloadManager::slots(TimePoint now, const Engine& engine) const {
   const double learned = engine.even_slots * (pooled(engine) ? fleet_.open : engine.pace.open);
   return now < engine.told_at + seconds(2) ? std::max(learned, engine.told_slots) : learned;
 }
@@ -43,7 +43,7 @@
 // Exception: where engines' slots are less than one job of the largest type, such parts make one pool,
 // lest many managers' single jobs add up past what the engines bear. Cold engines with turns stand outside: a
 // turn is all that a manager may use of them, else their parts would go to the warm ones beside.
-double WorkloadManager::pool_room(Duration now, double part) const {
+double WorkloadManager::pool_room(TimePoint now, double part) const {
   double room = 0;
   int live = 0;
   for (const auto& [id, engine] : engines_) {
@@ -56,7 +56,7 @@
 }
 
 // The grant that the job would get there, or nothing where the ledger has no room.
-std::optional<double> WorkloadManager::grant_on(Duration now, const Engine& engine,
+std::optional<double> WorkloadManager::grant_on(TimePoint now, const Engine& engine,
                                                 const QueuedRequest& held) const {
   const double whole = capacity(engine), open = slots(now, engine);
   const double cap = rules_.max_grant_share * kind_of(engine).memory_mb;
@@ -102,13 +102,13 @@
   return size < 0.5 ? 3 : size < 2 ? 2 : size < 6 ? 1 : 0;
 }
 
-bool WorkloadManager::data_held(Duration now, const Engine& engine, DataSetId data_set) const {
+bool WorkloadManager::data_held(TimePoint now, const Engine& engine, DataSetId data_set) const {
   const auto told = engine.told_held.find(data_set);
   return engine.loads.contains(data_set) || (told != engine.told_held.end() && now < told->second);
 }
 
 // What runs on up to `until` no longer has its grant.
-void WorkloadManager::let_go(Engine& engine, Duration until) {
+void WorkloadManager::let_go(Engine& engine, TimePoint until) {
   std::erase_if(engine.runs_on, [&](const Engine::RunsOn& one) {
     if (one.until > until) return false;
     engine.live_bytes -= one.grant, engine.live_threads -= one.threads;
--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -24,12 +24,12 @@
   attempts_ = AttemptBudget(service);
 }
 
-void RuleGuard::on_endpoint_update(Duration now, EndpointUpdate news,
+void RuleGuard::on_endpoint_update(TimePoint now, EndpointUpdate news,
                                    const std::vector<EngineEndpoint>& engines) {
   cold_.on_endpoint_update(now, news, engines);
 }
 
-void RuleGuard::taken(Duration now, const TakenRequest& request) {
+void RuleGuard::taken(TimePoint now, const TakenRequest& request) {
   Record record;
   record.type = request.type;
   records_.emplace(request.id, record);
@@ -37,7 +37,7 @@
   if (request.order_key) order_.taken(request.id, *request.order_key);
 }
 
-void RuleGuard::attempt_left(Duration now, const AttemptFacts& attempt) {
+void RuleGuard::attempt_left(TimePoint now, const AttemptFacts& attempt) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
@@ -56,11 +56,11 @@
   drop_if_done(request);
 }
 
-void RuleGuard::attempt_called_off(Duration now, RequestId request) {
+void RuleGuard::attempt_called_off(TimePoint now, RequestId request) {
   order_.attempt_called_off(now, request);
 }
 
-void RuleGuard::attempt_ended(Duration now, const AttemptFacts& attempt, Outcome outcome) {
+void RuleGuard::attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
@@ -87,7 +87,7 @@
   if (at->second.over && at->second.out <= 0) records_.erase(at);
 }
 
-void RuleGuard::forget_old(Duration now) { order_.forget_rested(now); }
+void RuleGuard::forget_old(TimePoint now) { order_.forget_rested(now); }
 
 std::optional<Rule> RuleGuard::broken_by_place(const RequestType& type, const Record& record,
                                                const EngineEndpoint& engine) const {
@@ -104,7 +104,7 @@
   return is_known_there ? std::nullopt : std::optional(Rule::repeat_group);
 }
 
-std::optional<Rule> RuleGuard::broken_by_attempt(Duration now, const AttemptFacts& attempt) const {
+std::optional<Rule> RuleGuard::broken_by_attempt(TimePoint now, const AttemptFacts& attempt) const {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return Rule::one_answer;
   const Record& record = at->second;
--- a/src/core/rule_guard.h
+++ b/src/core/rule_guard.h
@@ -49,8 +49,8 @@
 
 // An attempt whose first byte is about to go.
 struct SendingFacts {
-  Duration now{};
-  Duration end{};  // of the client's time
+  TimePoint now{};
+  TimePoint end{};  // of the client's time
   bool answered = false;
   bool client_is_there = true;
   EngineState engine = EngineState::up;
@@ -74,14 +74,14 @@
 
 // An attempt that has been decided on, and those before it.
 struct RepeatFacts {
-  Duration now{};
+  TimePoint now{};
   Idempotency idempotency = Idempotency::idempotent;
   Duration deduplication_window{};
   int attempts = 0;  // so far
   int most_attempts = 1;
   int out = 0;
-  bool allows_hedging = false;                         // allowed by the settings
-  std::optional<Duration> first_uncertain_attempt_at;  // when the first attempt that may have run was sent
+  bool allows_hedging = false;                          // allowed by the settings
+  std::optional<TimePoint> first_uncertain_attempt_at;  // when the first attempt that may have run was sent
 };
 
 // A client's connection that is about to be closed, by this side.
@@ -93,8 +93,8 @@
 
 // A final answer that is about to go out.
 struct AnsweringFacts {
-  Duration now{};
-  Duration end{};
+  TimePoint now{};
+  TimePoint end{};
   bool answered = false;
 };
 
@@ -104,15 +104,15 @@
   void serve(const ServiceDefinition& service);
 
   // What happens at the sockets, as it happens.
-  void on_endpoint_update(Duration now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
-  void taken(Duration now, const TakenRequest& request);
-  void attempt_left(Duration now, const AttemptFacts& attempt);
-  void attempt_taken_back(RequestId request);                // no byte of it has left this machine after all
-  void attempt_called_off(Duration now, RequestId request);  // of one that has left
-  void attempt_ended(Duration now, const AttemptFacts& attempt, Outcome outcome);
+  void on_endpoint_update(TimePoint now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
+  void taken(TimePoint now, const TakenRequest& request);
+  void attempt_left(TimePoint now, const AttemptFacts& attempt);
+  void attempt_taken_back(RequestId request);                 // no byte of it has left this machine after all
+  void attempt_called_off(TimePoint now, RequestId request);  // of one that has left
+  void attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome);
   void over(RequestId request);  // it has its final answer, or its client has gone
-  void forget_old(Duration now);
-  Duration rest_left(Duration now, OrderKey key) const { return order_.rest_left(now, key); }
+  void forget_old(TimePoint now);
+  Duration rest_left(TimePoint now, OrderKey key) const { return order_.rest_left(now, key); }
 
   // The rule that forbids it; it is counted as held back.
   std::optional<Rule> forbids_sending(const SendingFacts& facts);
@@ -136,15 +136,15 @@
   struct Record {
     RequestTypeId type;
     int attempts = 0, out = 0;
-    std::optional<Duration> first_uncertain_attempt_at;  // when the first attempt that may have run left
-    Duration last_left{};
+    std::optional<TimePoint> first_uncertain_attempt_at;  // when the first attempt that may have run left
+    TimePoint last_left{};
     ZoneId uncertain_zone{-1};
     CellId uncertain_cell{};
     bool over = false;
   };
   std::optional<Rule> broken_by(const SendingFacts& facts) const;
   std::optional<Rule> broken_by(const RepeatFacts& facts) const;
-  std::optional<Rule> broken_by_attempt(Duration now, const AttemptFacts& attempt) const;
+  std::optional<Rule> broken_by_attempt(TimePoint now, const AttemptFacts& attempt) const;
   std::optional<Rule> broken_by_place(const RequestType& type, const Record& record,
                                       const EngineEndpoint& engine) const;
   std::optional<Rule> hold_back(Rule rule);
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -9,12 +9,12 @@
 using std::chrono::seconds;
 
 // Cold counts from the listed start, or from when the list told of it if that came late.
-bool WorkloadManager::cold(Duration now, const Engine& engine) const {
+bool WorkloadManager::cold(TimePoint now, const Engine& engine) const {
   if (rules_.slow_start_limit_multiple <= 0 || rules_.slow_start_window <= Duration(0) ||
       !engine.listed.started_at)
     return false;
   if (now < engine.doubted_until) return true;
-  const Duration start = *engine.listed.started_at;
+  const TimePoint start = *engine.listed.started_at;
   return now < std::max(start, std::min(engine.told, start + seconds(5))) + rules_.slow_start_duration;
 }
 
@@ -26,7 +26,7 @@
 }
 
 // Whether an engine is cold, and an even part of its budget less than a job of some type.
-bool WorkloadManager::by_turns(Duration now, const Engine& engine) const {
+bool WorkloadManager::by_turns(TimePoint now, const Engine& engine) const {
   if (!cold(now, engine)) return false;
   const double part = cold_budget(engine) / rules_.managers;
   return std::ranges::any_of(types_, [&](const TypeFigures& one) { return usual_work(one) > part; });
@@ -40,7 +40,7 @@
 
 // The number of the own turn that lasts now, where all managers have theirs in the order of their numbers, so
 // many new ones a window, from the engine's listed start, which all know.
-std::optional<std::uint64_t> WorkloadManager::own_turn(Duration now, const Engine& engine, int a_window,
+std::optional<std::uint64_t> WorkloadManager::own_turn(TimePoint now, const Engine& engine, int a_window,
                                                        Duration lasts) const {
   const Duration since_start = now - *engine.listed.started_at;
   if (since_start < Duration(0)) return std::nullopt;
@@ -52,14 +52,14 @@
   const std::uint64_t back = (passed + all - own) % all;  // how many turns ago the own one began
   if (back > passed) return std::nullopt;
   const auto number = static_cast<Duration::rep>(passed - back);
-  const Duration began = *engine.listed.started_at + number * rules_.slow_start_window / a_window;
+  const TimePoint began = *engine.listed.started_at + number * rules_.slow_start_window / a_window;
   // A turn that began before this manager did may have been used by its last life.
-  if (began < Duration(0) || now - began > lasts) return std::nullopt;
+  if (began < TimePoint{} || now - began > lasts) return std::nullopt;
   return passed - back;
 }
 
 // Whether a cold engine may be sent this job: any warm one may.
-bool WorkloadManager::cold_allows(Duration now, const Engine& engine, const QueuedRequest& held) const {
+bool WorkloadManager::cold_allows(TimePoint now, const Engine& engine, const QueuedRequest& held) const {
   if (!cold(now, engine)) return true;
   const Duration window = rules_.slow_start_window;
   const auto room = [&](double most, Duration within, double work) {
@@ -69,7 +69,7 @@
   };
   const bool turns = by_turns(now, engine);
   const double whole = cold_budget(engine);
-  const double lost = now < window ? 0.5 : 1;  // its last life may have spent some
+  const double lost = now.time_since_epoch() < window ? 0.5 : 1;  // its last life may have spent some
   if (room(whole / rules_.managers * (turns ? 0.5 : 1) * lost, window, usual_work(held))) return true;
   if (!turns) return false;
   // Exception: where an even part is less than a job, managers take turns at the engine: six new ones in a
@@ -85,10 +85,10 @@
 // latest has started by now, and the others as long before it as they say. Guards against cold engines that
 // are pushed over by restarted managers; harms by engines that are less used than they may be for the cold
 // time after a start.
-void WorkloadManager::doubt_starts(Duration now, const std::vector<EngineEndpoint>& engines) {
-  std::optional<Duration> latest;
+void WorkloadManager::doubt_starts(TimePoint now, const std::vector<EngineEndpoint>& engines) {
+  std::optional<TimePoint> latest;
   for (const EngineEndpoint& listed : engines) {
-    if (listed.started_at) latest = std::max(latest.value_or(Duration::min()), *listed.started_at);
+    if (listed.started_at) latest = std::max(latest.value_or(TimePoint::min()), *listed.started_at);
   }
   for (const EngineEndpoint& listed : engines) {
     if (!listed.started_at) continue;
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -14,8 +14,8 @@
 
 struct Attempt {
   EngineId engine;
-  Duration sent{};
-  Duration last_note{};
+  TimePoint sent{};
+  TimePoint last_note{};
   double grant = 0;
   int threads = 0;
   bool out = true;
@@ -30,15 +30,15 @@
 struct QueuedRequest {
   Request job;
   std::uint64_t turn = 0;  // order of arrival
-  Duration taken{};
-  Duration sla_end{};
-  Duration end{};  // the final answer goes out by then
+  TimePoint taken{};
+  TimePoint sla_end{};
+  TimePoint end{};  // the final answer goes out by then
   double work_ms = 0;
   std::vector<Attempt> dispatches;
   int out = 0;
   int overtaken = 0;
-  std::optional<Duration> away_since;                  // its client has gone, and may come again
-  std::optional<Duration> first_uncertain_attempt_at;  // when the first dispatch that may have run was sent
+  std::optional<TimePoint> away_since;                  // its client has gone, and may come again
+  std::optional<TimePoint> first_uncertain_attempt_at;  // when the first dispatch that may have run was sent
   ZoneId uncertain_zone{-1};
   CellId uncertain_cell{};
   bool held = false;
@@ -64,25 +64,25 @@
 struct Engine {
   EngineEndpoint listed;
   bool known_up = false;
-  Duration told{};           // when it was first listed, or listed with a new start
-  Duration doubted_until{};  // its start may be later than it seems; until then it counts as cold
+  TimePoint told{};           // when it was first listed, or listed with a new start
+  TimePoint doubted_until{};  // its start may be later than it seems; until then it counts as cold
   double live_bytes = 0;
   int live_threads = 0;
   int dispatches = 0;
   double even_slots = 0;  // threads, this manager's part of the stated start
   Pace pace;
   double told_slots = 0;  // what its load report leaves open
-  Duration told_at{-1'000'000'000};
+  TimePoint told_at{Duration(-1'000'000'000)};
   double error_rate = 0;
   int strikes = 0;  // signs of trouble in a row
-  Duration closed_until{};
+  TimePoint closed_until{};
   Trouble trouble = Trouble::none;
   bool on_trial = false;
   bool trying = false;  // a trial is out
-  Duration last_word{};
-  Duration last_full{-1'000'000'000};
+  TimePoint last_word{};
+  TimePoint last_full{Duration(-1'000'000'000)};
   struct RunsOn {
-    Duration until{};
+    TimePoint until{};
     double grant = 0;
     int threads = 0;
   };
@@ -90,11 +90,11 @@
   RequestId protected_for{};
   bool protecting = false;
   double protected_bytes = 0;
-  std::deque<std::pair<Duration, double>> cold_sends;
+  std::deque<std::pair<TimePoint, double>> cold_sends;
   std::optional<double> others_bytes;
-  std::map<DataSetId, int> loads;           // own loads that hold a data set there
-  std::map<DataSetId, Duration> told_held;  // until when others' are taken to, as notes told
-  std::set<std::pair<Duration, std::pair<RequestId, int>>> out;  // own dispatches, oldest first
+  std::map<DataSetId, int> loads;            // own loads that hold a data set there
+  std::map<DataSetId, TimePoint> told_held;  // until when others' are taken to, as notes told
+  std::set<std::pair<TimePoint, std::pair<RequestId, int>>> out;  // own dispatches, oldest first
   bool has_gone() const { return listed.state == EngineState::removed && out.empty(); }
 };
 
@@ -116,7 +116,7 @@
 // The jobs of one order key, in turn.
 struct OrderLine {
   std::deque<RequestId> jobs;
-  Duration rests_until{};
+  TimePoint rests_until{};
 };
 
 }  // namespace pearchute
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -18,7 +18,21 @@
 
 // A length of time, in microseconds.
 using Duration = std::chrono::microseconds;
-using Span = Duration;  // src/agent only, until it follows
+
+// The steady clock of this instance: its epoch is the instance's start, and steps of the wall clock don't
+// move it. It has no now(): whoever drives the decisions passes the time in.
+struct InstanceClock {
+  using rep = Duration::rep;
+  using period = Duration::period;
+  using duration = Duration;
+  using time_point = std::chrono::time_point<InstanceClock>;
+  static constexpr bool is_steady = true;
+};
+
+// A moment, as time since the instance's start; one before the start is negative. A value-initialized
+// TimePoint is the start. Durations and moments don't mix: their sums and differences are those of
+// std::chrono.
+using TimePoint = InstanceClock::time_point;
 
 // An integer that names one thing of one kind; ids of different kinds don't mix.
 template <class Tag, class Number>
@@ -200,7 +214,7 @@
   ZoneId zone{-1};
   MachineKindId kind{-1};
   CellId cell{};
-  std::optional<Duration> started_at;  // since this manager's start; negative where it was before
+  std::optional<TimePoint> started_at;  // since this manager's start; negative where it was before
 };
 
 // A request as the front hands it to the decisions.
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -102,7 +102,7 @@
   // ---- The program and the list of engines
 
   void list_changed(EndpointUpdate news, const std::vector<Member>& members) override {
-    const Duration now = parts_.loop.now();
+    const Duration now = now_since_start();
     std::vector<Member> merged = members;
     std::set<std::string> named;
     for (Member& member : merged) {
@@ -134,9 +134,10 @@
     phase_ = phase;
     tell("phase", "", net::Program::name_of(phase));
   }
-  void looked(Duration now) override {
+  void looked(TimePoint now) override {
     configuration_.looked();
-    if (phase_ < net::Program::Phase::leaving) quiescence_.update(now, parts_.front.idle());
+    if (phase_ < net::Program::Phase::leaving)
+      quiescence_.update(now.time_since_epoch(), parts_.front.idle());
   }
 
   // ---- What orders do
@@ -150,21 +151,21 @@
     parts_.front.list_changed(EndpointUpdate::delta, {member});
   }
   void manager_drains(bool drains) override {
-    quiescence_.set_drain_ordered(parts_.loop.now(), drains, parts_.front.idle());
+    quiescence_.set_drain_ordered(now_since_start(), drains, parts_.front.idle());
   }
   void wake_at(Duration when) override {
-    if (wake_ && *wake_ <= when && *wake_ > parts_.loop.now()) return;
+    if (wake_ && *wake_ <= when && *wake_ > now_since_start()) return;
     wake_ = when;
-    parts_.loop.at(when, [this] {
+    parts_.loop.at(TimePoint(when), [this] {
       wake_.reset();
-      drains_.on_timer(parts_.loop.now());
+      drains_.on_timer(now_since_start());
     });
   }
   void directives_changed() override {
     tell("order", "", std::to_string(drains_.in_force().size()) + " orders are in force");
     if (terms_.orders_file.empty()) return;
     std::string fault;
-    if (orders_file_.write(drains_.all(), parts_.loop.now(), unix_now(), fault)) {
+    if (orders_file_.write(drains_.all(), now_since_start(), unix_now(), fault)) {
       unwritten_.clear();
       return;
     }
@@ -214,6 +215,8 @@
   }
 
  private:
+  // The fleet's decisions take moments as time since the start.
+  Duration now_since_start() const { return parts_.loop.now().time_since_epoch(); }
   void remember() {
     const auto found = orders_file_.read(unix_now());
     if (found.damaged) {
@@ -221,7 +224,7 @@
                 "): what was drained by an order is not any more; give the orders again";
       spdlog::error("{}", damage_);
     }
-    for (const auto& [order, left] : found.orders) drains_.restore(parts_.loop.now(), order, left);
+    for (const auto& [order, left] : found.orders) drains_.restore(now_since_start(), order, left);
     if (!found.orders.empty())
       spdlog::info("{} orders from before the start hold", drains_.in_force().size());
   }
@@ -245,11 +248,11 @@
     for (const auto& [waits, count] : parts_.front.tell_waits())
       (*status.mutable_held_by_reason())[std::string(name_of(waits))] = count;
     std::uint64_t up = 0, draining = 0, left_out = 0;
-    const Duration now = parts_.loop.now();
+    const Duration now = now_since_start();
     parts_.front.tell_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
       up += engine.known_up;
       draining += engine.listed.state == EngineState::draining;
-      left_out += engine.known_up && now < engine.closed_until;
+      left_out += engine.known_up && TimePoint(now) < engine.closed_until;
     });
     status.set_engines_up(up), status.set_engines_draining(draining), status.set_engines_left_out(left_out);
     status.set_orders(drains_.in_force().size());
@@ -278,7 +281,7 @@
       }
       shown[at->second.engine.id] = &at->second;
     }
-    const Duration now = parts_.loop.now();
+    const Duration now = now_since_start();
     std::map<std::string, admin::v1::Engine> by_name;
     parts_.front.tell_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& belief,
                                   const net::Engines::Shown& sockets, Duration oldest) {
@@ -296,8 +299,8 @@
       to.set_state(std::string(fleet::name_of(drains_.state_of(member.name))));
       to.set_cold(belief.is_cold), to.set_live_mb(engine.live_bytes), to.set_capacity_mb(belief.capacity_mb);
       to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.live_threads, 0)));
-      to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.closed_until - now));
-      if (now < engine.closed_until || engine.on_trial)
+      to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.closed_until - TimePoint(now)));
+      if (TimePoint(now) < engine.closed_until || engine.on_trial)
         to.set_closed_why(std::string(name_of(engine.trouble)));
       to.set_on_trial(engine.on_trial), to.set_pace(engine.pace.stretch),
           to.set_error_rate(engine.error_rate);
@@ -335,7 +338,7 @@
   }
 
   void take_order(const admin::v1::Order& from, admin::v1::Reply& reply) {
-    const Duration now = parts_.loop.now();
+    const Duration now = now_since_start();
     const auto came = std::chrono::steady_clock::now().time_since_epoch();
     fleet::DrainDirective order;
     order.id = from.id(), order.subject = from.subject(), order.holder = from.holder();
@@ -371,14 +374,14 @@
     Room room;
     for (std::size_t i = skip; i < all.size(); ++i) {
       admin::v1::Order order;
-      fill(order, all[i], parts_.loop.now());
+      fill(order, all[i], now_since_start());
       if (!room.takes(order)) return orders.set_more(true);
       *orders.add_orders() = std::move(order);
     }
   }
 
   void request_shutdown(const admin::v1::End& end, admin::v1::Reply& reply) {
-    const Duration now = parts_.loop.now();
+    const Duration now = now_since_start();
     if (phase_ >= net::Program::Phase::leaving) {
       reply.set_outcome(admin::v1::refused);
       reply.set_fault("the manager is ending already");
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -145,8 +145,8 @@
   }
   const Duration unix_now =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
-  list_ = std::make_unique<EngineList>(deployment_,
-                                       std::chrono::duration_cast<milliseconds>(unix_now - loop_.now()));
+  list_ = std::make_unique<EngineList>(
+      deployment_, std::chrono::duration_cast<milliseconds>(unix_now - loop_.now().time_since_epoch()));
   front_ = std::make_unique<Front>(loop_, deployment_, seed_in(configuration), descriptors, memory_mb << 20,
                                    counters_);
   if (annex) {
@@ -192,7 +192,7 @@
 void Program::read_again() {
   constexpr seconds at_most(5);
   constexpr milliseconds between(50);
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   if (!reload_until_) reload_until_ = now + at_most;
   try {
     apply_configuration();
@@ -240,7 +240,7 @@
 
 // Looks, at short intervals, whether the next phase has come.
 void Program::watch() {
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   constexpr seconds counters_every(10);  // what has changed when is seen without asking
   if (asked_for_counters || now - counters_at_ >= counters_every) {
     asked_for_counters = 0, counters_at_ = now;
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -29,7 +29,7 @@
   class Annex : public ListFeed::Listener {
    public:
     virtual void entered(Phase phase) = 0;
-    virtual void looked(Duration now) = 0;  // some fifty times a second, and fewer once it ends
+    virtual void looked(TimePoint now) = 0;  // some fifty times a second, and fewer once it ends
   };
   struct Parts {
     Loop& loop;
@@ -67,8 +67,9 @@
   std::unique_ptr<Annex> annex_;  // ends before the front that it governs
   std::unique_ptr<ListFeed> feed_;
   std::unique_ptr<Door> door_;
-  Duration counters_at_{}, asked_at_{}, give_up_after_{}, finishing_since_{}, reload_at_{};
-  std::optional<Duration> reload_until_;  // while a configuration is to be read again
+  TimePoint counters_at_{}, asked_at_{}, finishing_since_{}, reload_at_{};
+  Duration give_up_after_{};               // from the order to end to the last answers
+  std::optional<TimePoint> reload_until_;  // while a configuration is to be read again
 };
 
 }  // namespace pearchute::net
--- a/src/drill/session.cpp
+++ b/src/drill/session.cpp
@@ -61,7 +61,7 @@
   }
 
   WorkloadManager& manager() { return *manager_; }
-  Duration now() const { return session_.clock_ - start_; }
+  TimePoint now() const { return TimePoint(session_.clock_ - start_); }
   Duration start() const { return start_; }
   const service::Deployment& deployment() const { return deployment_; }
   RequestTypeId type(std::string_view name) const {
@@ -221,7 +221,7 @@
 
 void Session::decode_event(Instance& instance, std::string_view message) {
   WorkloadManager& manager = instance.manager();
-  const Duration now = instance.now();
+  const TimePoint now = instance.now();
   const auto job = [&] { return RequestId{static_cast<std::uint64_t>(fields_.required_whole("handle"))}; };
   const auto copy = [&] {
     const std::int64_t number = fields_.required_whole("copy");
@@ -277,7 +277,7 @@
       engine.zone = instance.deployment().zone(entry.zone);
       engine.kind = instance.deployment().kind(entry.kind);
       if (entry.started_at && *entry.started_at > 0)
-        engine.started_at = Duration(*entry.started_at) - instance.start();
+        engine.started_at = TimePoint(Duration(*entry.started_at) - instance.start());
     }
     manager.on_endpoint_update(now, news, engines);
   } else if (message == "PING_RESULT") {
--- a/src/engines/engines.cpp
+++ b/src/engines/engines.cpp
@@ -33,7 +33,7 @@
   std::size_t busy() const { return talk_.open() + kept_back_.size(); }
   bool opened() const { return wire_->opened(); }
   bool knows(std::string_view id) const { return talk_.knows(id); }
-  Duration idle_since() const { return idle_since_; }
+  TimePoint idle_since() const { return idle_since_; }
   bool in_doubt() const { return in_doubt_; }
   // It carries nothing new, and what it still has no longer than it takes to end.
   void doubt() {
@@ -42,7 +42,7 @@
   }
 
   // What no longer works without having ended.
-  void look(Duration now) {
+  void look(TimePoint now) {
     if (!opened()) {
       const Duration limit = owner_.limits_.connect_timeout;
       if (limit > Duration(0) && now - opened_at_ >= limit)
@@ -78,7 +78,7 @@
     }
   }
 
-  void want(AttemptId key, const Want& want, std::optional<Duration> leave_by, bool again = false) {
+  void want(AttemptId key, const Want& want, std::optional<TimePoint> leave_by, bool again = false) {
     owner_.on_[key] = this;
     if (busy() == 0) idle_until_ = owner_.loop_.now(), quiet_ = first_quiet;
     // Kept back until the connection is up and its socket takes it, so that one given up by then never
@@ -226,7 +226,7 @@
     AttemptId key;
     Want want;
     std::string id, kind, token, statement;
-    std::optional<Duration> leave_by;
+    std::optional<TimePoint> leave_by;
     bool again = false;
     Want want_again() const {
       Want same = want;
@@ -240,8 +240,9 @@
   std::unique_ptr<Wire> wire_;
   std::vector<Kept> kept_back_;
   static constexpr milliseconds first_quiet{400};
-  Duration opened_at_, idle_since_, idle_until_{}, heard_{}, whole_since_{}, quiet_{first_quiet};
-  std::optional<Duration> asked_at_;  // for a sign that it works
+  TimePoint opened_at_, idle_since_, idle_until_{}, heard_{}, whole_since_{};
+  Duration quiet_{first_quiet};
+  std::optional<TimePoint> asked_at_;  // for a sign that it works
   bool in_doubt_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -319,7 +320,7 @@
   for (Link* link : links) link->opened() ? link->doubt() : link->lost(EngineCloseReason::engine_gone);
 }
 
-void Engines::want(EngineId engine, AttemptId key, const Want& want, std::optional<Duration> leave_by) {
+void Engines::want(EngineId engine, AttemptId key, const Want& want, std::optional<TimePoint> leave_by) {
   ++counters_.dispatches;
   constexpr double worth_spent = 0.005, most_saved = 4;
   if (limits_.liveness_probe_cost > 0)
@@ -455,7 +456,7 @@
 }
 
 void Engines::sweep() {
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   std::vector<Link*> links;
   for (const auto& [engine, place] : places_) {
     for (const auto& link : place.links) links.push_back(link.get());
--- a/src/engines/engines.h
+++ b/src/engines/engines.h
@@ -40,7 +40,7 @@
   void forget(EngineId engine);  // it has gone; what is still open there ends in its own way
   void forget_others(const std::set<EngineId>& named);
   // What has not left by `leave_by` never does, and ends as unreachable.
-  void want(EngineId engine, AttemptId key, const Want& want, std::optional<Duration> leave_by = {});
+  void want(EngineId engine, AttemptId key, const Want& want, std::optional<TimePoint> leave_by = {});
   void never_mind(AttemptId key);  // it still ends once, as stopped if nothing else
   // True where it has not left: it never does, and ends so, after this event.
   bool take_back(AttemptId key, Outcome ends_as);
--- a/src/engines/list.h
+++ b/src/engines/list.h
@@ -45,7 +45,7 @@
   // gap or a broken one. `applied` hears each as it is taken.
   void take_newer(const nlohmann::json& known, const std::function<void(const Change&)>& applied);
   // The source of the list has said something; `is_current`: it has told by then all that it had.
-  void heard(Duration now, bool is_current) { start_times_.heard(now, has_list_ && is_current); }
+  void heard(TimePoint now, bool is_current) { start_times_.heard(now, has_list_ && is_current); }
   std::int64_t cursor() const { return cursor_; }
   bool has_list() const { return has_list_; }
   std::size_t names() const { return ids_.size(); }
@@ -94,7 +94,8 @@
   std::unique_ptr<Wire> wire_;
   std::unique_ptr<EventFeed> feed_;
   std::uint64_t opened_ = 0;  // streams so far, which tells a timer's own from a later one
-  Duration opened_at_{}, last_sign_{}, pause_{};
+  TimePoint opened_at_{}, last_sign_{};
+  Duration pause_{};  // before the next connection, a backoff
   static constexpr int most_patience = 16;
   int patience_ = 1;    // times the usual, for discovery's first word
   bool spoke_ = false;  // this stream has brought something
--- a/src/engines/resp.h
+++ b/src/engines/resp.h
@@ -52,7 +52,7 @@
 struct Want {
   std::string_view id, kind, token, statement;
   std::int64_t wait_ms = 0;
-  std::optional<Duration> answer_by =
+  std::optional<TimePoint> answer_by =
       std::nullopt;           // where set, wait_ms is what is left of it when the request leaves
   std::int64_t grant_mb = 0;  // 0: the engine chooses
   int priority = 1;
--- a/src/engines/start_times.h
+++ b/src/engines/start_times.h
@@ -19,20 +19,20 @@
   explicit StartTimes(std::chrono::milliseconds unix_start) : unix_start_(unix_start) {}
 
   // Something has come from the list's source; `is_current`: nothing that it has to tell is left out by then.
-  void heard(Duration now, bool is_current) {
+  void heard(TimePoint now, bool is_current) {
     current_until_ = last_current_;
     if (is_current) last_current_ = now;
     now_ = now;
   }
 
   // The start of an engine that the list tells as `unix_time`. The same time told again gives the same start.
-  Duration start_of(EngineId engine, std::chrono::milliseconds unix_time) {
+  TimePoint start_of(EngineId engine, std::chrono::milliseconds unix_time) {
     const auto known = starts_.find(engine);
     if (known != starts_.end() && known->second.unix_time == unix_time) return known->second.start;
     // Where the clock was behind when the manager started, the start would lie ahead.
-    if (now_ && unix_time - unix_start_ > *now_ + clocks_differ)
-      unix_start_ = unix_time - std::chrono::floor<std::chrono::milliseconds>(*now_);
-    Duration start = unix_time - unix_start_;
+    if (now_ && unix_time - unix_start_ > now_->time_since_epoch() + clocks_differ)
+      unix_start_ = unix_time - std::chrono::floor<std::chrono::milliseconds>(now_->time_since_epoch());
+    TimePoint start(unix_time - unix_start_);
     // Where it was ahead, the start would lie before what the list can have left out. Only then is it moved:
     // managers whose clocks are right go by the same start.
     if (current_until_ && start < *current_until_ - told_within) start = *now_;
@@ -52,11 +52,11 @@
   static constexpr std::chrono::seconds clocks_differ{2};
   struct Start {
     std::chrono::milliseconds unix_time{};
-    Duration start{};
+    TimePoint start{};
   };
   std::chrono::milliseconds unix_start_;
-  std::optional<Duration> now_, last_current_;
-  std::optional<Duration> current_until_;  // before the last sign
+  std::optional<TimePoint> now_, last_current_;
+  std::optional<TimePoint> current_until_;  // before the last sign
   std::map<EngineId, Start> starts_;
 };
 
--- a/src/front/client.h
+++ b/src/front/client.h
@@ -33,10 +33,10 @@
     // next.
     if (idle && calls_ > 0) since_ = front_.loop_.now();
     // Bytes that come when reading goes on may have come at any time since it stopped.
-    Duration at = paused_since_.value_or(front_.loop_.unread_since());
+    TimePoint at = paused_since_.value_or(front_.loop_.unread_since());
     // So may those that came with the connection, where nothing was waited for since it was taken.
     if (http_.bytes_fed() == 0 && at <= since_) at = std::min(at, came_since_);
-    const Duration now = front_.loop_.now();
+    const TimePoint now = front_.loop_.now();
     arrivals_.came(http_.bytes_fed() + bytes.size(), std::min(at, now), now);
     http_.feed(bytes);
     if (!wire_->paused()) paused_since_.reset();
@@ -64,17 +64,17 @@
   }
   bool owes_answer() const { return owes_answer_; }
   void note_answered() { owes_answer_ = false; }
-  Duration call_came() const { return call_came_; }  // the last byte of the open call, at the earliest
+  TimePoint call_came() const { return call_came_; }  // the last byte of the open call, at the earliest
   // The bounds of when it came, as close as this system tells.
-  std::pair<Duration, Duration> call_came_between() {
+  std::pair<TimePoint, TimePoint> call_came_between() {
     constexpr std::chrono::milliseconds close_enough(5);
-    const Duration now = front_.loop_.now();
+    const TimePoint now = front_.loop_.now();
     const bool is_last = http_.bytes_taken() == http_.bytes_fed() && wire_ && !wire_->has_unread();
     if (call_came_by_ - call_came_ <= close_enough || !is_last) return {call_came_, call_came_by_};
     const auto age = wire_->age_of_last_data();
     if (!age) return {call_came_, call_came_by_};
-    const Duration earliest = std::max<Duration>(call_came_, now - *age - data_age_resolution);
-    const Duration latest = std::min<Duration>(call_came_by_, now - *age + data_age_resolution);
+    const TimePoint earliest = std::max<TimePoint>(call_came_, now - *age - data_age_resolution);
+    const TimePoint latest = std::min<TimePoint>(call_came_by_, now - *age + data_age_resolution);
     return earliest <= latest ? std::pair(earliest, latest) : std::pair(call_came_, call_came_by_);
   }
   // Whether what it has written behind its open call may be a call of that key.
@@ -105,7 +105,7 @@
   bool stranger() const { return calls_ == 0; }
   // The lower, the sooner it goes where places run short, and then the longest at it: one that has said
   // nothing since it came, one that is idle between calls, and last one that may just be about to call.
-  std::pair<int, Duration> usefulness(Duration now) const {
+  std::pair<int, TimePoint> usefulness(TimePoint now) const {
     constexpr std::chrono::milliseconds calls_within(
         250);  // a usual client's first call comes a round trip after it does
     return {calls_ > 0 ? 1 : now - since_ < calls_within ? 2 : 0, since_};
@@ -113,7 +113,7 @@
   std::size_t held() const { return http_.held(); }
 
   // Whether its time is up, and with what status; 0: without a word.
-  std::optional<int> overdue(Duration now) {
+  std::optional<int> overdue(TimePoint now) {
     if (wire_->waiting() > 0) {
       if (wire_->written() != written_) written_ = wire_->written(), stuck_since_ = now;
       // An answer that is read by nobody; a usual client reads at once.
@@ -139,8 +139,8 @@
   ClientId id_;
   HttpServerSide http_;
   std::unique_ptr<Wire> wire_;
-  Duration since_, stuck_since_, came_since_, call_came_{}, call_came_by_{};
-  std::optional<Duration> paused_since_;  // what came since then was not read at once
+  TimePoint since_, stuck_since_, came_since_, call_came_{}, call_came_by_{};
+  std::optional<TimePoint> paused_since_;  // what came since then was not read at once
   ArrivalTimes arrivals_;
   bool owes_answer_ = false;
   std::uint64_t calls_ = 0, written_ = 0;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -92,7 +92,7 @@
     loop_.cut_finishing();
   if (clients_.size() >= most_clients_) {
     ++counters_.shed;
-    const Duration now = loop_.now();
+    const TimePoint now = loop_.now();
     Client* least = nullptr;
     for (const auto& [id, client] : clients_) {
       const bool is_less = client->useless() && (!least || client->usefulness(now) < least->usefulness(now));
@@ -198,7 +198,7 @@
 
 bool Front::idle() const {
   if (owed_ > 0) return false;
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   return std::ranges::none_of(jobs_, [&](const auto& one) {
     const OpenJob& job = one.second;
     return job.status != 0 && !job.fetched && now - job.answered_at <= long_enough_to_call_again;
@@ -293,7 +293,7 @@
 // ---- Jobs ----
 
 void Front::take_job(Client& client, std::string_view kind, Message& message) {
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   const RequestTypeId type = deployment_.type(service::plain_name(std::string(kind)));
   const std::variant<Request, BadRequest> read = job_in(deployment_, type, message);
   if (const auto* refusal = std::get_if<BadRequest>(&read))
@@ -338,7 +338,7 @@
 // Guards against calls of a key that are taken in the order in which they are read, where several lie unread
 // or one waits behind an open call: the module hears of them as they came.
 void Front::await_earlier_calls(Client& client, const Request& job, std::string_view key) {
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   const auto [earliest, latest] = client.call_came_between();
   log_.taken(jobs_.at(job.id).id, jobs_.at(job.id).kind, *job.key, job.time_left, now - earliest,
              now - latest);
@@ -364,7 +364,7 @@
 void Front::hand_over(const Request& job) {
   const auto it = jobs_.find(job.id);
   if (it == jobs_.end() || it->second.answered) return;
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   Request taken = job;
   taken.time_left = it->second.end - now;
   counters_.rules.taken(now, {job.id, job.type, it->second.order_key});
@@ -414,7 +414,7 @@
   job.path_given_to = caller;
 }
 
-void Front::forget_answer_at(Duration when, RequestId id) {
+void Front::forget_answer_at(TimePoint when, RequestId id) {
   loop_.at(when, [this, id] {
     const auto at = jobs_.find(id);
     if (at == jobs_.end() || !at->second.answered) return;
@@ -475,7 +475,7 @@
 }
 
 void Front::sweep() {
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   counters_.rules.forget_old(now);
   std::vector<std::pair<Client*, int>> overdue;
   for (const auto& [id, client] : clients_) {
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -94,7 +94,7 @@
   // For one dispatch.
   struct Sent {
     int number = 0;
-    Duration at{};
+    TimePoint at{};
     EngineId engine{};
     std::string engine_name;
     bool has_left = false;
@@ -102,8 +102,8 @@
   // For one job.
   struct OpenJob {
     std::string id, kind, token, statement;
-    Duration taken{};
-    Duration end{};  // the client's patience
+    TimePoint taken{};
+    TimePoint end{};  // the client's patience
     RequestTypeId type;
     std::optional<OrderKey> order_key;  // in a class that keeps order
     std::optional<double> estimate_ms;
@@ -111,16 +111,17 @@
     std::optional<ClientId> path_given_to;  // it is about to call the path there
     bool has_path = false;
     bool answered = false, fetched = false;
-    Duration answered_at{};
+    TimePoint answered_at{};
     int status = 0;  // of an answer that may be fetched by its path
     std::string headers, body;
     double grant_mb = 0;
     int priority = 1;
-    std::optional<Duration> leave_by;  // of the next dispatch, or the last
+    std::optional<TimePoint> leave_by;  // of the next dispatch, or the last
     int dispatches = 0;
     std::vector<Sent> out;
-    std::optional<Duration> first_uncertain_attempt_at;  // when the first dispatch that may have run was sent
-    Outcome last_end = Outcome::succeeded;               // of a dispatch; done where none has ended
+    std::optional<TimePoint>
+        first_uncertain_attempt_at;         // when the first dispatch that may have run was sent
+    Outcome last_end = Outcome::succeeded;  // of a dispatch; done where none has ended
     std::optional<RejectionReason> given_up;
   };
 
@@ -139,7 +140,7 @@
   void give_path(RequestId id);
   void log_what_it_waits_for(RequestId id);
   void settle_account(RequestId id, OpenJob& job);
-  void forget_answer_at(Duration when, RequestId id);
+  void forget_answer_at(TimePoint when, RequestId id);
   void forget_if_done(RequestId id);
   void refuse(Client& client, RefusalReason reason, int status, std::string_view what);
   void refuse_for_now(Client& client, RefusalReason reason);
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -33,8 +33,8 @@
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   OpenJob& job = it->second;
-  const Duration now = loop_.now();
-  const Duration end = time_limit > Duration(0) ? std::min(job.end, now + time_limit) : job.end;
+  const TimePoint now = loop_.now();
+  const TimePoint end = time_limit > Duration(0) ? std::min(job.end, now + time_limit) : job.end;
   const bool is_forbidden = repeat_is_forbidden(id, job);
   const AttemptId key{id, job.dispatches++};
   const auto name = engine_names_.find(engine);
@@ -92,7 +92,7 @@
   OpenJob& job = it->second;
   const auto sent = std::ranges::find(job.out, key.number, &Sent::number);
   if (sent == job.out.end()) return Outcome::not_sent;
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   const AttemptFacts attempt = attempt_of(key, job, *sent);
   const auto rule = counters_.rules.forbids_sending(
       {now, job.end, job.answered, client_is_there(job), departure.state, departure.told}, attempt);
@@ -138,7 +138,7 @@
 void Front::cancel_attempt(RequestId id, int number) {
   const auto it = jobs_.find(id);
   const bool is_over = it == jobs_.end() || it->second.answered;
-  const bool is_withdrawn = is_over && it != jobs_.end() && it->second.answered_at == Duration(0);
+  const bool is_withdrawn = is_over && it != jobs_.end() && it->second.answered_at == TimePoint{};
   call_off({id, number}, is_withdrawn ? CallOffReason::client_left
                          : is_over    ? CallOffReason::answered
                                       : CallOffReason::moved);
@@ -185,13 +185,13 @@
 // ---- For those who ask ----
 
 void Front::tell_jobs(std::size_t most, const std::function<void(const JobSeen&)>& visit) {
-  std::vector<std::pair<Duration, RequestId>> oldest;
+  std::vector<std::pair<TimePoint, RequestId>> oldest;
   for (const auto& [id, job] : jobs_) {
     if (!job.answered) oldest.emplace_back(job.taken, id);
   }
   const std::size_t told = std::min(most, oldest.size());
   std::partial_sort(oldest.begin(), oldest.begin() + static_cast<std::ptrdiff_t>(told), oldest.end());
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   for (std::size_t i = 0; i < told; ++i) {
     const OpenJob& job = jobs_.at(oldest[i].second);
     JobSeen seen{job.id, job.kind, now - job.taken, job.end - now, job.dispatches, {}, {}};
@@ -215,7 +215,7 @@
 
 void Front::tell_engines(const std::function<void(const Engine&, const WorkloadManager::EngineEstimate&,
                                                   const Engines::Shown&, Duration)>& visit) const {
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   std::map<EngineId, Duration> oldest;
   for (const auto& [id, job] : jobs_) {
     for (const Sent& sent : job.out) {
@@ -237,7 +237,8 @@
   OpenJob& job = it->second;
   const auto sent = std::ranges::find(job.out, key.number, &Sent::number);
   if (sent == job.out.end()) return;
-  const Duration now = loop_.now(), elapsed = now - sent->at;
+  const TimePoint now = loop_.now();
+  const Duration elapsed = now - sent->at;
   if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !job.first_uncertain_attempt_at)
     job.first_uncertain_attempt_at = sent->at;
   job.last_end = outcome;
--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -84,7 +84,8 @@
 HollowManager::HollowManager(net::Loop& loop, const service::Deployment& deployment, const Spec& spec)
     : loop_(loop),
       spec_(spec),
-      list_(deployment, milliseconds(unix_ms()) - std::chrono::duration_cast<milliseconds>(loop.now())),
+      list_(deployment, milliseconds(unix_ms()) -
+                            std::chrono::duration_cast<milliseconds>(loop.now().time_since_epoch())),
       feed_(loop, spec.channel, list_, *this, counters_) {
   open_admin_channel();
   feed_.open();
--- a/src/lab/simulations/many_managers.cpp
+++ b/src/lab/simulations/many_managers.cpp
@@ -96,13 +96,13 @@
   };
   std::map<RequestId, Open> jobs;
   std::vector<std::pair<RequestId, int>> to_stop;
-  using Wake = std::pair<Duration, std::uint64_t>;
+  using Wake = std::pair<TimePoint, std::uint64_t>;
   std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes;
   WorkloadManager module;  // last, since it asks for wakes as it is made
 
   Instance(Impl& of, const ServiceDefinition& service, std::uint64_t seed)
       : all(of), began(of.now), module(service, seed, *this) {}
-  Duration own_now() const { return all.now - began; }
+  TimePoint own_now() const { return TimePoint(all.now - began); }
 
   // A call into the module, its time counted. What it has called off ends after it.
   template <class Call>
@@ -156,7 +156,7 @@
 
 EngineEndpoint ManyManagers::Impl::listed_now(const Machine& machine) const {
   EngineEndpoint listed = machine.listed;
-  if (machine.cold) listed.started_at = -now;
+  if (machine.cold) listed.started_at = TimePoint(-now);
   return listed;
 }
 
@@ -166,7 +166,7 @@
   for (const Machine& machine : machines) {
     if (!machine.cold) continue;
     list.push_back(machine.listed);
-    list.back().started_at = -instance.began;
+    list.back().started_at = TimePoint(-instance.began);
   }
   instance.call([&] { instance.module.on_endpoint_update(instance.own_now(), EndpointUpdate::delta, list); });
 }
@@ -178,7 +178,7 @@
     if (!machine.cold || now >= hears_at[static_cast<std::size_t>(number)])
       list.push_back(listed_now(machine));
   }
-  instance->call([&] { instance->module.on_endpoint_update(Duration(0), EndpointUpdate::cached, list); });
+  instance->call([&] { instance->module.on_endpoint_update(TimePoint{}, EndpointUpdate::cached, list); });
   return instance;
 }
 
--- a/src/lab/stand_ins/relay.cpp
+++ b/src/lab/stand_ins/relay.cpp
@@ -34,7 +34,7 @@
 
 struct Relay::Pair {
   struct Lot {
-    Duration due;
+    TimePoint due;
     std::string bytes;
   };
   explicit Pair(Relay& r) : relay(r) {}
@@ -57,8 +57,8 @@
     const Flow& flow = relay.flows_[way];
     Side* to = sides[way == there ? back : there].get();
     if (flow.held || flow.cut || !to || gone) return;
-    const Duration now = relay.loop_.now();
-    std::optional<Duration> again;
+    const TimePoint now = relay.loop_.now();
+    std::optional<TimePoint> again;
     while (!kept[way].empty() && !again) {
       Lot& lot = kept[way].front();
       if (lot.due > now) {
@@ -104,7 +104,7 @@
   std::array<std::unique_ptr<Side>, 2> sides;  // by the way of what they bring
   std::array<std::deque<Lot>, 2> kept;
   std::array<std::size_t, 2> kept_bytes{};
-  std::array<Duration, 2> next_drop{};
+  std::array<TimePoint, 2> next_drop{};
   std::array<bool, 2> over{}, awaited{};
   bool spoiled = false, gone = false;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -50,7 +50,7 @@
   take_the_rest(loop_.now() + at_most);
 }
 
-void Door::take_the_rest(Duration until) {
+void Door::take_the_rest(TimePoint until) {
   if (shut_) return;
   if (take(backlog) == Taken::all || loop_.now() >= until) return close();
   constexpr std::chrono::milliseconds between(2);
@@ -100,8 +100,8 @@
 // Guards against a connection that is taken to have come just now: what is left for the next round, or waits
 // for a descriptor, has been there since the first of them.
 void Door::socket_ready(Readiness) {
-  const Duration found_since = loop_.unread_since_;
-  const Duration waits_since = std::min(waits_since_.value_or(found_since), found_since);
+  const TimePoint found_since = loop_.unread_since_;
+  const TimePoint waits_since = std::min(waits_since_.value_or(found_since), found_since);
   loop_.unread_since_ = waits_since;
   // A few at a time, so that what they say is read before others are taken: in a burst a full table would
   // else take those for idle that have called.
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -71,22 +71,22 @@
   std::optional<WatchId> watch(int descriptor, Readiness interest, Watcher& watcher);
   void change_interest(WatchId id, Readiness interest);
   void unwatch(WatchId id);  // it hears no more, not even of what was found together
-  Duration now() const;
+  TimePoint now() const;
   // The earliest moment at which bytes that are read now can have come: while the loop is busy they lie
   // unread.
-  Duration unread_since() const { return unread_since_; }
+  TimePoint unread_since() const { return unread_since_; }
   // From a wait that found events which may have lain there for long, or from when none was made for long,
   // until one that finds none, within bounds: what peers have said meanwhile may not have been read yet.
   bool is_behind() const { return behind_since_ || now() - looked_at_ > stale_after; }
   void when_caught_up(std::function<void()> what);  // after the event at hand, where it is not behind
   // All that had come by then has been read, also from connections that waited to be accepted.
-  Duration read_up_to() const { return read_up_to_; }
+  TimePoint read_up_to() const { return read_up_to_; }
   // Heard after each look for what has come, while `needs` asks for one: the loop does not wait meanwhile.
   void after_each_look(std::function<bool()> needs, std::function<void()> what);
   // Something that has come is left unread for now.
   void note_unread_left() { unread_left_ = true; }
   void note_accepted() { accepted_ = true; }
-  void at(Duration when, std::function<void()> what);
+  void at(TimePoint when, std::function<void()> what);
   void soon(std::function<void()> what);    // after the event at hand, before the next
   void retire(std::unique_ptr<Wire> wire);  // closes it; destroyed once no event can be within it
   void finish(
@@ -111,8 +111,8 @@
     std::function<void()> what;
   };
   void wait();
-  void note_wait(Duration begun, Duration at_most, bool looked);
-  void note_look(Duration begun);
+  void note_wait(TimePoint begun, Duration at_most, bool looked);
+  void note_look(TimePoint begun);
   void note_backlog(int found);
   void run_timers();
   int wait_ms() const;
@@ -131,7 +131,7 @@
     bool is_later = false;  // the system is to be told once more
   };
   struct Timer {
-    Duration when;
+    TimePoint when;
     std::uint64_t order;
     std::function<void()> what;
     bool operator<(const Timer& other) const {  // the heap's top is the earliest
@@ -141,15 +141,15 @@
   std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
   std::vector<Timer> timers_;
   std::uint64_t next_order_ = 0;
-  Duration polled_{}, unread_since_{};
-  std::optional<Duration> behind_since_;
+  TimePoint polled_{}, unread_since_{};
+  std::optional<TimePoint> behind_since_;
   std::vector<std::function<void()>> when_caught_up_;
   std::deque<std::function<void()>> soon_;
   std::vector<std::unique_ptr<Wire>> retired_;
   // A connection that has all it is to send, until that has gone and the peer has ended, too.
   struct Finishing {
     std::unique_ptr<Wire> wire;
-    Duration since{}, moved_at{};  // when bytes last went
+    TimePoint since{}, moved_at{};  // when bytes last went
     std::uint64_t written = 0;
   };
   void close_those_that_stand_still();
@@ -161,8 +161,8 @@
   std::unordered_map<std::uint64_t, Watch> watches_;
   std::uint64_t next_watch_ = 1, failed_events_ = 0;
   std::optional<LookListener> look_listener_;
-  Duration read_up_to_{-1}, looked_at_{};
-  std::optional<Duration> last_whole_look_;  // the one before, where all that it found was read
+  TimePoint read_up_to_{Duration(-1)}, looked_at_{};
+  std::optional<TimePoint> last_whole_look_;  // the one before, where all that it found was read
   bool unread_left_ = false, accepted_ = false;
   std::size_t unwatched_ = 0;  // sockets that the system has not taken yet, or not as they are to be watched
 };
@@ -261,7 +261,7 @@
   enum class Taken { all, some, shortage };
   void socket_ready(Readiness what) override;
   Taken take(int most);
-  void take_the_rest(Duration until);
+  void take_the_rest(TimePoint until);
   void close();
   void rest();
 
@@ -270,7 +270,7 @@
   Poco::Net::SocketAddress address_;
   std::function<void(const Poco::Net::StreamSocket&)> came_;
   std::optional<WatchId> watch_;
-  std::optional<Duration>
+  std::optional<TimePoint>
       waits_since_;  // the oldest connection that may be in the queue, where one is left there
   bool shutting_ = false, shut_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -138,9 +138,9 @@
 // it; else what it brought may have come at any time since the last look. Guards against a process that had
 // no turn when its wait was over: it took longer than was asked for, and nobody knows when in it the system
 // looked.
-void Loop::note_wait(Duration begun, Duration at_most, bool looked) {
+void Loop::note_wait(TimePoint begun, Duration at_most, bool looked) {
   constexpr Duration waited = std::chrono::milliseconds(1), overslept = std::chrono::milliseconds(10);
-  const Duration ended = now();
+  const TimePoint ended = now();
   const bool had_to_wait = ended - begun > waited;
   const bool had_no_turn = ended - begun > at_most + overslept;
   if (had_no_turn) unread_since_ = begun;
@@ -176,7 +176,7 @@
   std::array<epoll_event, most_events> events;
   // A wait that a signal ends early has found nothing, and the next one waits for what is left by then.
   const int at_most_ms = wait_ms();
-  const Duration begun = now();
+  const TimePoint begun = now();
   const int found = ::epoll_wait(poll_descriptor_, events.data(), most_events, at_most_ms);
   note_wait(begun, std::chrono::milliseconds(at_most_ms), found >= 0);
   note_backlog(found);
@@ -196,7 +196,7 @@
 
 // A look finds all that had come to watched sockets by when it began. What came on connections that it
 // accepted is found by the next one.
-void Loop::note_look(Duration begun) {
+void Loop::note_look(TimePoint begun) {
   if (unread_left_ || unwatched_ > 0) {
     last_whole_look_.reset();
   } else {
@@ -213,11 +213,11 @@
   look_listener_ = LookListener{std::move(needs), std::move(what)};
 }
 
-Duration Loop::now() const {
-  return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - start_);
+TimePoint Loop::now() const {
+  return TimePoint(std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - start_));
 }
 
-void Loop::at(Duration when, std::function<void()> what) {
+void Loop::at(TimePoint when, std::function<void()> what) {
   timers_.push_back({when, next_order_++, std::move(what)});
   std::push_heap(timers_.begin(), timers_.end());
 }
@@ -254,7 +254,7 @@
 // on gets all that it was sent.
 void Loop::close_those_that_stand_still() {
   constexpr std::chrono::seconds stands_still_after(1), at_most(10);
-  const Duration at = now();
+  const TimePoint at = now();
   for (Finishing& one : finishing_) {
     if (one.wire->written() != one.written) one.written = one.wire->written(), one.moved_at = at;
     if (at - one.moved_at >= stands_still_after || at - one.since >= at_most) one.wire->close();
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -28,12 +28,12 @@
   std::vector<Sent> sent;
   std::vector<RequestId> throttled, cancelled;
   std::vector<std::pair<RequestId, int>> stopped;
-  std::vector<std::pair<Duration, std::uint64_t>> wakes;
+  std::vector<std::pair<TimePoint, std::uint64_t>> wakes;
   std::map<RequestId, Duration> leave_within;
   int probes = 0, subscriptions = 0;
   double grant = 0;
   int priority = 1;
-  Duration now{};
+  TimePoint now{};
 
   void dispatch(RequestId job, EngineId engine, Duration) override {
     sent.push_back({job, engine, grant, priority});
@@ -70,7 +70,7 @@
 
 struct Bench {
   RecordingSink host;
-  Duration now{};
+  TimePoint now{};
   WorkloadManager manager;
   std::map<std::uint64_t, int> numbers;
 
@@ -110,7 +110,7 @@
   }
   // Lets time pass, delivering each wake in its turn.
   void pass(Duration span) {
-    const Duration until = now + span;
+    const TimePoint until = now + span;
     while (true) {
       auto next = host.wakes.end();
       for (auto it = host.wakes.begin(); it != host.wakes.end(); ++it) {
--- a/tests/decision_calls.h
+++ b/tests/decision_calls.h
@@ -22,6 +22,8 @@
 
 using Microseconds = std::int64_t;
 
+inline TimePoint at(Microseconds since_start) { return TimePoint(Duration(since_start)); }
+
 inline std::string text_of(RejectionReason reason) {
   switch (reason) {
     case RejectionReason::overload:
@@ -108,7 +110,7 @@
     engine.zone = ZoneId{one.zone};
     engine.kind = MachineKindId{one.kind};
     engine.cell = CellId{one.cell};
-    if (one.started_at >= 0) engine.started_at = Duration(one.started_at);
+    if (one.started_at >= 0) engine.started_at = at(one.started_at);
   }
   return all;
 }
@@ -140,9 +142,9 @@
       : world_(world), manager_(service_of(settings), seed, *this) {}
 
   void list(Microseconds now, int mode, const std::vector<EngineFacts>& engines) {
-    manager_.on_endpoint_update(Duration(now), news_of(mode), listed(engines));
+    manager_.on_endpoint_update(at(now), news_of(mode), listed(engines));
   }
-  void on_endpoints_refused(Microseconds now) { manager_.on_endpoints_refused(Duration(now)); }
+  void on_endpoints_refused(Microseconds now) { manager_.on_endpoints_refused(at(now)); }
   void request(Microseconds now, const RequestFacts& facts) {
     Request job;
     job.id = RequestId{facts.id};
@@ -154,48 +156,48 @@
     if (facts.work_ms > 0) job.work_ms = facts.work_ms;
     if (facts.memory_mb > 0) job.memory_mb = facts.memory_mb;
     job.data_set = DataSetId{facts.data_set};
-    manager_.on_request(Duration(now), job);
+    manager_.on_request(at(now), job);
   }
   void withdrawn(Microseconds now, std::uint64_t id) {
-    manager_.on_request_cancelled(Duration(now), RequestId{id});
+    manager_.on_request_cancelled(at(now), RequestId{id});
   }
   void client_left(Microseconds now, std::uint64_t id) {
-    manager_.on_client_disconnected(Duration(now), RequestId{id});
+    manager_.on_client_disconnected(at(now), RequestId{id});
   }
   void client_came(Microseconds now, std::uint64_t id) {
-    manager_.on_client_reconnected(Duration(now), RequestId{id});
+    manager_.on_client_reconnected(at(now), RequestId{id});
   }
   void streams(Microseconds now, std::uint64_t id, int attempt) {
-    manager_.on_stream_started(Duration(now), RequestId{id}, attempt);
+    manager_.on_stream_started(at(now), RequestId{id}, attempt);
   }
   void progress(Microseconds now, std::uint64_t id, int attempt, double share) {
-    manager_.on_progress(Duration(now), RequestId{id}, attempt, share);
+    manager_.on_progress(at(now), RequestId{id}, attempt, share);
   }
   void spill(Microseconds now, std::uint64_t id, int attempt, double missing_mb) {
-    manager_.on_spill(Duration(now), RequestId{id}, attempt, missing_mb);
+    manager_.on_spill(at(now), RequestId{id}, attempt, missing_mb);
   }
   void waits(Microseconds now, std::uint64_t id, int attempt, bool for_load) {
-    manager_.on_engine_wait(Duration(now), RequestId{id}, attempt,
+    manager_.on_engine_wait(at(now), RequestId{id}, attempt,
                             for_load ? WaitCause::data_load : WaitCause::memory);
   }
   void ended(Microseconds now, std::uint64_t id, int attempt, End end, Microseconds elapsed, bool finished,
              double memory_share) {
     LoadReport report;
     if (memory_share >= 0) report.memory_share = memory_share;
-    manager_.on_attempt_ended(Duration(now), RequestId{id}, attempt, outcome_of(end), Duration(elapsed),
-                              finished, std::nullopt, std::nullopt, report);
+    manager_.on_attempt_ended(at(now), RequestId{id}, attempt, outcome_of(end), Duration(elapsed), finished,
+                              std::nullopt, std::nullopt, report);
   }
   void probed(Microseconds now, int engine, bool well) {
-    manager_.on_probe_ended(Duration(now), EngineId{static_cast<std::uint32_t>(engine)},
+    manager_.on_probe_ended(at(now), EngineId{static_cast<std::uint32_t>(engine)},
                             well ? Outcome::succeeded : Outcome::unreachable, Duration(1000), LoadReport{});
   }
-  void on_wakeup(Microseconds now, std::uint64_t mark) { manager_.on_wakeup(Duration(now), mark); }
-  void closing(Microseconds now) { manager_.closing(Duration(now)); }
+  void on_wakeup(Microseconds now, std::uint64_t mark) { manager_.on_wakeup(at(now), mark); }
+  void closing(Microseconds now) { manager_.closing(at(now)); }
 
   // What it believes, as text.
   std::string beliefs(Microseconds now) const {
     std::string text;
-    manager_.tell_engines(Duration(now), [&](const auto& engine, const auto& belief) {
+    manager_.tell_engines(at(now), [&](const auto& engine, const auto& belief) {
       char line[160];
       std::snprintf(line, sizeof line, "engine %u slots %.17g capacity %.17g cold %d\n",
                     engine.listed.id.value, belief.slots, belief.capacity_mb, belief.is_cold ? 1 : 0);
@@ -207,7 +209,7 @@
     return text + line;
   }
   std::string queued_for(Microseconds now, std::uint64_t id) {
-    switch (manager_.queued_for(Duration(now), RequestId{id})) {
+    switch (manager_.queued_for(at(now), RequestId{id})) {
       case WorkloadManager::QueuedFor::not_queued:
         return "nothing";
       case WorkloadManager::QueuedFor::key_order:
@@ -275,77 +277,76 @@
     guard_.serve(service_);
   }
   void list(Microseconds now, int mode, const std::vector<EngineFacts>& engines) {
-    guard_.on_endpoint_update(Duration(now), news_of(mode), listed(engines));
-    cold_.on_endpoint_update(Duration(now), news_of(mode), listed(engines));
+    guard_.on_endpoint_update(at(now), news_of(mode), listed(engines));
+    cold_.on_endpoint_update(at(now), news_of(mode), listed(engines));
   }
   void taken(Microseconds now, std::uint64_t id, int request_class, std::uint64_t key) {
     TakenRequest request{RequestId{id}, RequestTypeId{request_class}, std::nullopt};
     if (key > 0) request.order_key = OrderKey{key};
-    guard_.taken(Duration(now), request);
+    guard_.taken(at(now), request);
     if (key > 0) order_.taken(RequestId{id}, OrderKey{key});
-    budget_.request_taken(Duration(now));
+    budget_.request_taken(at(now));
   }
   // What forbids the attempt, if anything, by each of the records in turn.
   std::string forbids(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
                       Microseconds end, bool answered, bool client_is_there, int mode, Microseconds told) {
     SendingFacts facts;
-    facts.now = Duration(now);
-    facts.end = Duration(end);
+    facts.now = at(now);
+    facts.end = at(end);
     facts.answered = answered;
     facts.client_is_there = client_is_there;
     facts.engine = listed({{.mode = mode}}).front().state;
     if (told > 0) facts.time_told = Duration(told);
     std::string text = text_of(guard_.forbids_sending(facts));
     text += " " + text_of(guard_.forbids_sending(facts, attempt(id, engine, work_ms, largest_ms)));
-    const auto order = order_.forbids(Duration(now), RequestId{id});
+    const auto order = order_.forbids(at(now), RequestId{id});
     text += !order ? " -" : *order == KeyOrder::Break::out_of_turn ? " out_of_turn" : " no_rest";
     const EngineId where{static_cast<std::uint32_t>(engine)};
-    text += cold_.forbids(Duration(now), where, work_ms, largest_ms) ? " cold" : " -";
-    text += budget_.forbids_further(Duration(now)) ? " budget" : " -";
+    text += cold_.forbids(at(now), where, work_ms, largest_ms) ? " cold" : " -";
+    text += budget_.forbids_further(at(now)) ? " budget" : " -";
     const EngineEndpoint* known = cold_.listed(where);
     text += known ? " zone " + std::to_string(known->zone.value) : std::string(" unlisted");
     return text;
   }
   void left(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
             bool is_further) {
-    guard_.attempt_left(Duration(now), attempt(id, engine, work_ms, largest_ms));
+    guard_.attempt_left(at(now), attempt(id, engine, work_ms, largest_ms));
     order_.attempt_left(RequestId{id});
-    cold_.attempt_left(Duration(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
-    if (is_further) budget_.further_left(Duration(now));
+    cold_.attempt_left(at(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
+    if (is_further) budget_.further_left(at(now));
   }
   void taken_back(std::uint64_t id) {
     guard_.attempt_taken_back(RequestId{id});
     order_.attempt_taken_back(RequestId{id});
   }
   void called_off(Microseconds now, std::uint64_t id) {
-    guard_.attempt_called_off(Duration(now), RequestId{id});
-    order_.attempt_called_off(Duration(now), RequestId{id});
+    guard_.attempt_called_off(at(now), RequestId{id});
+    order_.attempt_called_off(at(now), RequestId{id});
   }
   void ended(Microseconds now, std::uint64_t id, int engine, End end) {
-    guard_.attempt_ended(Duration(now), attempt(id, engine, 0, 0), outcome_of(end));
-    order_.attempt_ended(Duration(now), RequestId{id}, outcome_of(end));
+    guard_.attempt_ended(at(now), attempt(id, engine, 0, 0), outcome_of(end));
+    order_.attempt_ended(at(now), RequestId{id}, outcome_of(end));
   }
   void over(std::uint64_t id) {
     guard_.over(RequestId{id});
     order_.over(RequestId{id});
   }
   void forget_old(Microseconds now) {
-    guard_.forget_old(Duration(now));
-    order_.forget_rested(Duration(now));
+    guard_.forget_old(at(now));
+    order_.forget_rested(at(now));
   }
   std::string repeating(Microseconds now, int request_class, int attempts, int out,
                         Microseconds first_uncertain_attempt_at) {
     RepeatFacts facts;
     const RequestType& type = service_.types[static_cast<std::size_t>(request_class)];
-    facts.now = Duration(now);
+    facts.now = at(now);
     facts.idempotency = type.idempotency;
     facts.deduplication_window = type.deduplication_window;
     facts.attempts = attempts;
     facts.most_attempts = service_.max_attempts;
     facts.out = out;
     facts.allows_hedging = service_.allows_hedging;
-    if (first_uncertain_attempt_at > 0)
-      facts.first_uncertain_attempt_at = Duration(first_uncertain_attempt_at);
+    if (first_uncertain_attempt_at > 0) facts.first_uncertain_attempt_at = at(first_uncertain_attempt_at);
     return text_of(guard_.forbids_repeating(facts));
   }
   std::string taking(bool ends) { return text_of(guard_.forbids_taking(ends)); }
@@ -356,11 +357,11 @@
     return text;
   }
   void answering(Microseconds now, Microseconds end, bool answered) {
-    guard_.answering({Duration(now), Duration(end), answered});
+    guard_.answering({at(now), at(end), answered});
   }
   std::string rests(Microseconds now, std::uint64_t key) const {
-    return std::to_string(guard_.rest_left(Duration(now), OrderKey{key}).count()) + " " +
-           std::to_string(order_.rest_left(Duration(now), OrderKey{key}).count()) + " " +
+    return std::to_string(guard_.rest_left(at(now), OrderKey{key}).count()) + " " +
+           std::to_string(order_.rest_left(at(now), OrderKey{key}).count()) + " " +
            std::to_string(order_.keys());
   }
   std::string counters() const {
@@ -388,15 +389,16 @@
  public:
   void came(std::uint64_t id, std::uint64_t key, Microseconds earliest, Microseconds latest,
             Microseconds read) {
-    order_.came({RequestId{id}, OrderKey{key}, Duration(earliest), Duration(latest), Duration(read)});
+    order_.came({RequestId{id}, OrderKey{key}, at(earliest), at(latest), at(read)});
   }
   void withdrawn(std::uint64_t id) { order_.withdrawn(RequestId{id}); }
   std::string settle(Microseconds now, Microseconds read_up_to) {
     std::string text = "settled";
-    for (const auto& one : order_.settle(Duration(now), Duration(read_up_to))) {
+    for (const auto& one : order_.settle(at(now), at(read_up_to))) {
       text += " " + std::to_string(one.id.value) + (one.arrival_order_known ? "" : "?");
     }
-    if (!order_.empty()) text += " up_to " + std::to_string(order_.needs_read_up_to().count());
+    if (!order_.empty())
+      text += " up_to " + std::to_string(order_.needs_read_up_to().time_since_epoch().count());
     return text;
   }
 
--- a/tests/test_daemon.cpp
+++ b/tests/test_daemon.cpp
@@ -43,7 +43,7 @@
       loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<std::uint16_t>(port)), nothing);
   wire->send(text);
   const std::function<void()> look = [&] {
-    if (wire->waiting() == 0 || loop.now() > std::chrono::seconds(20)) return loop.stop();
+    if (wire->waiting() == 0 || loop.now().time_since_epoch() > std::chrono::seconds(20)) return loop.stop();
     loop.at(loop.now() + std::chrono::milliseconds(5), look);
   };
   loop.at(loop.now(), look);
@@ -212,7 +212,7 @@
   stage.on([&] {
     engines = std::make_unique<Engines>(stage.loop(), limits, 50, listener, counters);
     engines->place(EngineId{1}, "127.0.0.1:" + std::to_string(late.port));
-    const auto want = [&](std::uint64_t job, const char* name, std::optional<pearchute::Duration> leave_by) {
+    const auto want = [&](std::uint64_t job, const char* name, std::optional<pearchute::TimePoint> leave_by) {
       engines->want(EngineId{1}, {RequestId{job}, 1},
                     {.id = name, .kind = "load", .token = "t", .statement = "work=1"}, leave_by);
     };
--- a/tests/test_many.cpp
+++ b/tests/test_many.cpp
@@ -100,7 +100,8 @@
   const double before = slots();
   int id = 0;
   std::map<int, bool> ended;
-  while (bench.now < service.types[0].request_timeout) {  // long ones come back at six times their best
+  while (bench.now.time_since_epoch() <
+         service.types[0].request_timeout) {  // long ones come back at six times their best
     for (int i = 0; i < 4; ++i) bench.take(++id, 1, 900);
     bench.pass(ms(100));
     for (int i = 1; i <= id; ++i)
--- a/tests/test_rule_guard.cpp
+++ b/tests/test_rule_guard.cpp
@@ -16,19 +16,21 @@
 
 namespace {
 
+TimePoint at(Duration since_start) { return TimePoint(since_start); }
+
 void sending() {
   struct Case {
     SendingFacts facts;
     std::optional<Rule> rule;
   };
-  const Duration now = seconds(5);
+  const TimePoint now(seconds(5));
   const Case cases[] = {
-      {{now, seconds(6), false, true, EngineState::up}, std::nullopt},
-      {{now, seconds(6), true, true, EngineState::up}, Rule::one_answer},
-      {{now, seconds(5), false, true, EngineState::up}, Rule::time_is_left},
-      {{now, seconds(6), false, false, EngineState::up}, Rule::client_is_there},
-      {{now, seconds(6), false, true, EngineState::draining}, Rule::engine_takes_work},
-      {{now, seconds(6), false, true, EngineState::removed}, Rule::engine_takes_work},
+      {{now, at(seconds(6)), false, true, EngineState::up}, std::nullopt},
+      {{now, at(seconds(6)), true, true, EngineState::up}, Rule::one_answer},
+      {{now, at(seconds(5)), false, true, EngineState::up}, Rule::time_is_left},
+      {{now, at(seconds(6)), false, false, EngineState::up}, Rule::client_is_there},
+      {{now, at(seconds(6)), false, true, EngineState::draining}, Rule::engine_takes_work},
+      {{now, at(seconds(6)), false, true, EngineState::removed}, Rule::engine_takes_work},
   };
   RuleGuard guard;
   for (const Case& one : cases) assert(guard.forbids_sending(one.facts) == one.rule);
@@ -41,7 +43,8 @@
     RepeatFacts facts;
     std::optional<Rule> rule;
   };
-  const Duration now = seconds(5), window = seconds(2), early = milliseconds(2900), late = milliseconds(3100);
+  const TimePoint now(seconds(5)), early(milliseconds(2900)), late(milliseconds(3100));
+  const Duration window = seconds(2);
   const Case cases[] = {
       {{now, Idempotency::non_idempotent, {}, 0, 3, 0, false, {}}, std::nullopt},
       {{now, Idempotency::non_idempotent, {}, 1, 3, 0, false, {}},
@@ -68,13 +71,14 @@
 void closing_and_answering() {
   RuleGuard guard;
   guard.closing({false, false}), guard.closing({true, true});
-  guard.answering({seconds(1), seconds(1), false}), guard.answering({milliseconds(1500), seconds(1), false});
+  guard.answering({at(seconds(1)), at(seconds(1)), false}),
+      guard.answering({at(milliseconds(1500)), at(seconds(1)), false});
   assert(guard.broken_in_all() == 0);
   guard.closing({true, false});
   assert(guard.broken(Rule::no_silent_close) == 1);
-  guard.answering({milliseconds(1501), seconds(1), false});
+  guard.answering({at(milliseconds(1501)), at(seconds(1)), false});
   assert(guard.broken(Rule::answer_in_time) == 1);
-  guard.answering({seconds(1), seconds(1), true});
+  guard.answering({at(seconds(1)), at(seconds(1)), true});
   assert(guard.broken(Rule::one_answer) == 1 && guard.broken_in_all() == 3);
   // What can wait is held back where a request is open or may lie unread.
   assert(!guard.forbids_closing({false, false, false}) && !guard.forbids_closing({true, true, true}));
@@ -86,14 +90,14 @@
 
 void arrivals() {
   ArrivalTimes times;
-  assert(times.of(10, seconds(9)) == seconds(9));  // nothing is known
-  times.came(100, seconds(1));
-  times.came(150, milliseconds(1005));  // together with the first
-  times.came(300, seconds(2));
-  assert(times.of(120, {}) == seconds(1));
-  assert(times.of(150, {}) == seconds(1));
-  assert(times.of(151, {}) == seconds(2));
-  assert(times.of(300, {}) == seconds(2));
+  assert(times.of(10, at(seconds(9))) == at(seconds(9)));  // nothing is known
+  times.came(100, at(seconds(1)));
+  times.came(150, at(milliseconds(1005)));  // together with the first
+  times.came(300, at(seconds(2)));
+  assert(times.of(120, {}) == at(seconds(1)));
+  assert(times.of(150, {}) == at(seconds(1)));
+  assert(times.of(151, {}) == at(seconds(2)));
+  assert(times.of(300, {}) == at(seconds(2)));
 }
 
 void starts() {
@@ -102,31 +106,32 @@
   };
   const EngineId one{1}, other{2}, third{3};
   StartTimes right(unix_time(seconds(0)));
-  right.heard(seconds(0), true), right.heard(seconds(10), true), right.heard(seconds(11), true);
-  assert(right.start_of(one, unix_time(seconds(9))) == seconds(9));
+  right.heard(TimePoint(seconds(0)), true), right.heard(TimePoint(seconds(10)), true),
+      right.heard(TimePoint(seconds(11)), true);
+  assert(right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
   // Older than the list can have left out: this machine's clock is taken to be ahead.
-  assert(right.start_of(other, unix_time(seconds(-600))) == seconds(11));
+  assert(right.start_of(other, unix_time(seconds(-600))) == TimePoint(seconds(11)));
   right.forget(one);  // and it comes back
-  assert(right.start_of(one, unix_time(seconds(9))) == seconds(9));
+  assert(right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
   // What began while the list could not be heard is as old as it says.
-  right.heard(seconds(40), false), right.heard(seconds(40), false);
-  assert(right.start_of(third, unix_time(seconds(20))) == seconds(20));
+  right.heard(TimePoint(seconds(40)), false), right.heard(TimePoint(seconds(40)), false);
+  assert(right.start_of(third, unix_time(seconds(20))) == TimePoint(seconds(20)));
   // Nor is the first list's word doubted.
   StartTimes without_list(unix_time(seconds(0)));
-  without_list.heard(seconds(0), false), without_list.heard(seconds(30), false);
-  assert(without_list.start_of(one, unix_time(seconds(-600))) == seconds(-600));
+  without_list.heard(TimePoint(seconds(0)), false), without_list.heard(TimePoint(seconds(30)), false);
+  assert(without_list.start_of(one, unix_time(seconds(-600))) == TimePoint(seconds(-600)));
   StartTimes behind(unix_time(seconds(-3600)));
-  behind.heard(seconds(0), false);
-  assert(behind.start_of(one, unix_time(seconds(-60))) == seconds(0));  // none lies ahead
-  assert(behind.start_of(other, unix_time(seconds(-70))) == seconds(-10));
-  assert(behind.start_of(one, unix_time(seconds(-60))) == seconds(0));  // told again, the same
+  behind.heard(TimePoint(seconds(0)), false);
+  assert(behind.start_of(one, unix_time(seconds(-60))) == TimePoint(seconds(0)));  // none lies ahead
+  assert(behind.start_of(other, unix_time(seconds(-70))) == TimePoint(seconds(-10)));
+  assert(behind.start_of(one, unix_time(seconds(-60))) == TimePoint(seconds(0)));  // told again, the same
   StartTimes ahead(unix_time(seconds(3600)));
-  ahead.heard(seconds(0), true), ahead.heard(seconds(10), true);
-  assert(ahead.start_of(third, unix_time(seconds(10))) == seconds(10));
+  ahead.heard(TimePoint(seconds(0)), true), ahead.heard(TimePoint(seconds(10)), true);
+  assert(ahead.start_of(third, unix_time(seconds(10))) == TimePoint(seconds(10)));
   StartTimes skewed(unix_time(milliseconds(-500)));
-  skewed.heard(seconds(0), true), skewed.heard(seconds(1), true);
+  skewed.heard(TimePoint(seconds(0)), true), skewed.heard(TimePoint(seconds(1)), true);
   assert(skewed.start_of(one, unix_time(seconds(1))) ==
-         milliseconds(1500));  // clocks differ a little, and stay
+         TimePoint(milliseconds(1500)));  // clocks differ a little, and stay
 }
 
 // A service with one class that keeps order, one that is bound to a zone, one whose repeats a zone knows.
@@ -158,12 +163,12 @@
   ServedGuard() {
     serve(ordered_service());
     const MachineKindId kind{0};
-    on_endpoint_update(Duration(0), EndpointUpdate::snapshot,
+    on_endpoint_update(at(Duration(0)), EndpointUpdate::snapshot,
                        {{near_engine, EngineState::up, ZoneId{0}, kind, {}, {}},
                         {far_engine, EngineState::up, ZoneId{1}, kind, {}, {}},
-                        {cold_engine, EngineState::up, ZoneId{0}, kind, {}, seconds(0)}});
+                        {cold_engine, EngineState::up, ZoneId{0}, kind, {}, at(seconds(0))}});
   }
-  std::optional<Rule> asks(Duration now, const AttemptFacts& attempt) {
+  std::optional<Rule> asks(TimePoint now, const AttemptFacts& attempt) {
     return forbids_sending({now, now + seconds(5), false, true, EngineState::up, seconds(5)}, attempt);
   }
 };
@@ -189,15 +194,15 @@
   for (const Case& one : cases) {
     ServedGuard guard;
     for (const AttemptFacts& attempt : {first, second, third})
-      guard.taken(Duration(0), {attempt.request, ordered, key});
-    assert(guard.asks(seconds(1), second) == Rule::order_by_key);
-    assert(!guard.asks(seconds(1), first));
-    guard.attempt_left(seconds(1), first);
-    if (one.called_off) guard.attempt_called_off(milliseconds(1010), first.request);
+      guard.taken(at(Duration(0)), {attempt.request, ordered, key});
+    assert(guard.asks(at(seconds(1)), second) == Rule::order_by_key);
+    assert(!guard.asks(at(seconds(1)), first));
+    guard.attempt_left(at(seconds(1)), first);
+    if (one.called_off) guard.attempt_called_off(at(milliseconds(1010)), first.request);
     guard.over(first.request);
-    assert(guard.asks(milliseconds(1015), second) == Rule::order_by_key);  // it is still out
-    guard.attempt_ended(milliseconds(1020), first, one.outcome);
-    const Duration soon = milliseconds(1021), rested = milliseconds(1320);
+    assert(guard.asks(at(milliseconds(1015)), second) == Rule::order_by_key);  // it is still out
+    guard.attempt_ended(at(milliseconds(1020)), first, one.outcome);
+    const TimePoint soon(milliseconds(1021)), rested(milliseconds(1320));
     assert(guard.asks(soon, third) == Rule::order_by_key);
     assert(guard.asks(soon, second) == (one.rests ? std::optional(Rule::key_rests) : std::nullopt));
     assert(!guard.asks(rested, second));
@@ -206,64 +211,65 @@
   // What has the turn is tried again without a rest, and one that was taken back has never been out.
   ServedGuard guard;
   for (const AttemptFacts& attempt : {first, second})
-    guard.taken(Duration(0), {attempt.request, ordered, key});
-  guard.attempt_left(Duration(1), first);
-  guard.attempt_ended(Duration(2), first, Outcome::connection_reset);
-  assert(!guard.asks(Duration(3), first));
+    guard.taken(at(Duration(0)), {attempt.request, ordered, key});
+  guard.attempt_left(at(Duration(1)), first);
+  guard.attempt_ended(at(Duration(2)), first, Outcome::connection_reset);
+  assert(!guard.asks(at(Duration(3)), first));
   guard.over(first.request);
-  assert(guard.asks(Duration(3), second) == Rule::key_rests);
+  assert(guard.asks(at(Duration(3)), second) == Rule::key_rests);
   ServedGuard other;
   for (const AttemptFacts& attempt : {first, second})
-    other.taken(Duration(0), {attempt.request, ordered, key});
-  other.attempt_left(Duration(1), first);
+    other.taken(at(Duration(0)), {attempt.request, ordered, key});
+  other.attempt_left(at(Duration(1)), first);
   other.attempt_taken_back(first.request), other.over(first.request);
-  assert(!other.asks(Duration(2), second));
+  assert(!other.asks(at(Duration(2)), second));
 }
 
 void places_and_budgets() {
   constexpr RequestTypeId bound{1}, zonal{2};
   ServedGuard guard;
-  guard.taken(Duration(0), {RequestId{1}, bound, {}});
-  assert(guard.asks(Duration(1), {RequestId{1}, far_engine}) == Rule::placement);
-  assert(!guard.asks(Duration(1), {RequestId{1}, near_engine}));
+  guard.taken(at(Duration(0)), {RequestId{1}, bound, {}});
+  assert(guard.asks(at(Duration(1)), {RequestId{1}, far_engine}) == Rule::placement);
+  assert(!guard.asks(at(Duration(1)), {RequestId{1}, near_engine}));
   // What may have run is repeated in its zone only.
-  guard.taken(Duration(0), {RequestId{2}, zonal, {}});
-  guard.attempt_left(Duration(1), {RequestId{2}, near_engine});
-  assert(guard.asks(Duration(2), {RequestId{2}, near_engine}) == Rule::one_attempt_out);
-  guard.attempt_ended(Duration(2), {RequestId{2}, near_engine}, Outcome::connection_reset);
-  assert(guard.asks(Duration(3), {RequestId{2}, far_engine}) == Rule::repeat_group);
-  assert(!guard.asks(Duration(3), {RequestId{2}, near_engine}));
-  assert(guard.asks(seconds(10), {RequestId{2}, near_engine}) == Rule::runs_once);
+  guard.taken(at(Duration(0)), {RequestId{2}, zonal, {}});
+  guard.attempt_left(at(Duration(1)), {RequestId{2}, near_engine});
+  assert(guard.asks(at(Duration(2)), {RequestId{2}, near_engine}) == Rule::one_attempt_out);
+  guard.attempt_ended(at(Duration(2)), {RequestId{2}, near_engine}, Outcome::connection_reset);
+  assert(guard.asks(at(Duration(3)), {RequestId{2}, far_engine}) == Rule::repeat_group);
+  assert(!guard.asks(at(Duration(3)), {RequestId{2}, near_engine}));
+  assert(guard.asks(at(seconds(10)), {RequestId{2}, near_engine}) == Rule::runs_once);
   // One further attempt, and one more for each two requests of the last second.
   for (std::uint64_t id = 2; id < 4; ++id) {
-    guard.attempt_left(Duration(3), {RequestId{id}, near_engine});
-    guard.attempt_ended(Duration(4), {RequestId{id}, near_engine}, Outcome::engine_full);
+    guard.attempt_left(at(Duration(3)), {RequestId{id}, near_engine});
+    guard.attempt_ended(at(Duration(4)), {RequestId{id}, near_engine}, Outcome::engine_full);
   }
-  guard.taken(Duration(5), {RequestId{3}, bound, {}});
-  guard.attempt_left(Duration(6), {RequestId{3}, near_engine});
-  guard.attempt_ended(Duration(7), {RequestId{3}, near_engine}, Outcome::engine_full);
-  assert(!guard.asks(Duration(8), {RequestId{3}, near_engine}));
-  guard.attempt_left(Duration(8), {RequestId{3}, near_engine});
-  guard.attempt_ended(Duration(9), {RequestId{3}, near_engine}, Outcome::engine_full);
-  assert(guard.asks(Duration(10), {RequestId{3}, near_engine}) == Rule::attempt_budget);
-  assert(!guard.asks(Duration(10) + seconds(2), {RequestId{3}, near_engine}));
+  guard.taken(at(Duration(5)), {RequestId{3}, bound, {}});
+  guard.attempt_left(at(Duration(6)), {RequestId{3}, near_engine});
+  guard.attempt_ended(at(Duration(7)), {RequestId{3}, near_engine}, Outcome::engine_full);
+  assert(!guard.asks(at(Duration(8)), {RequestId{3}, near_engine}));
+  guard.attempt_left(at(Duration(8)), {RequestId{3}, near_engine});
+  guard.attempt_ended(at(Duration(9)), {RequestId{3}, near_engine}, Outcome::engine_full);
+  assert(guard.asks(at(Duration(10)), {RequestId{3}, near_engine}) == Rule::attempt_budget);
+  assert(!guard.asks(at(Duration(10)) + seconds(2), {RequestId{3}, near_engine}));
   // An even part of 2 x 0.5 x 10 cores x 1 s for two managers: five seconds of work in any second.
   ServedGuard cold;
-  for (std::uint64_t id = 1; id < 7; ++id) cold.taken(Duration(0), {RequestId{id}, bound, {}});
+  for (std::uint64_t id = 1; id < 7; ++id) cold.taken(at(Duration(0)), {RequestId{id}, bound, {}});
   for (std::uint64_t id = 1; id < 6; ++id) {
-    assert(!cold.asks(seconds(2), {RequestId{id}, cold_engine, 1000}));
-    cold.attempt_left(seconds(2), {RequestId{id}, cold_engine, 1000});
+    assert(!cold.asks(at(seconds(2)), {RequestId{id}, cold_engine, 1000}));
+    cold.attempt_left(at(seconds(2)), {RequestId{id}, cold_engine, 1000});
   }
-  assert(cold.asks(milliseconds(2900), {RequestId{6}, cold_engine, 1000}) == Rule::cold_budget);
-  assert(!cold.asks(milliseconds(2900), {RequestId{6}, near_engine, 1000}));
-  assert(!cold.asks(milliseconds(3001), {RequestId{6}, cold_engine, 1000}));
-  assert(!cold.asks(seconds(11), {RequestId{6}, cold_engine, 1000}));  // it is warm by then
+  assert(cold.asks(at(milliseconds(2900)), {RequestId{6}, cold_engine, 1000}) == Rule::cold_budget);
+  assert(!cold.asks(at(milliseconds(2900)), {RequestId{6}, near_engine, 1000}));
+  assert(!cold.asks(at(milliseconds(3001)), {RequestId{6}, cold_engine, 1000}));
+  assert(!cold.asks(at(seconds(11)), {RequestId{6}, cold_engine, 1000}));  // it is warm by then
   // Where a class needs more than an even part, a turn at the engine is half of the whole.
-  assert(cold.asks(milliseconds(2900), {RequestId{6}, cold_engine, 1000, 9000}) == Rule::cold_budget);
+  assert(cold.asks(at(milliseconds(2900)), {RequestId{6}, cold_engine, 1000, 9000}) == Rule::cold_budget);
   // No engine is told more time than is left.
-  assert(guard.forbids_sending({seconds(1), seconds(2), false, true, EngineState::up, milliseconds(1151)}) ==
-         Rule::time_told);
-  assert(!guard.forbids_sending({seconds(1), seconds(2), false, true, EngineState::up, milliseconds(1150)}));
+  assert(guard.forbids_sending({at(seconds(1)), at(seconds(2)), false, true, EngineState::up,
+                                milliseconds(1151)}) == Rule::time_told);
+  assert(!guard.forbids_sending(
+      {at(seconds(1)), at(seconds(2)), false, true, EngineState::up, milliseconds(1150)}));
 }
 
 // Calls of a key that are read in another order than they came, or whose order nobody knows.
@@ -272,10 +278,10 @@
   struct Case {
     const char* what;
     std::vector<ArrivalOrder::Call> calls;
-    Duration now, read_up_to;
+    TimePoint now, read_up_to;
     Settled settled;
   };
-  const auto at = [](int ms) { return Duration(milliseconds(ms)); };
+  const auto at = [](int ms) { return TimePoint(milliseconds(ms)); };
   constexpr OrderKey key{1}, other{2};
   const Case cases[] = {
       {"one that is read", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(2), {{1, true}}},
--- a/tests/test_rules.cpp
+++ b/tests/test_rules.cpp
@@ -169,7 +169,8 @@
     service.slow_start_limit_multiple = 2.5, service.slow_start_window = ms(500);
     Bench bench(service, 0);
     EngineEndpoint latest = Bench::engine(9, EngineState::draining), other = Bench::engine(10);
-    latest.started_at = seconds(-3600), other.started_at = *latest.started_at - c.before_the_latest;
+    latest.started_at = TimePoint(seconds(-3600)),
+    other.started_at = *latest.started_at - c.before_the_latest;
     bench.list(c.news, {latest, other});
     for (int i = 1; i <= 200; ++i) bench.take(i, 0, 150);
     const double work_s = 0.15 * static_cast<double>(bench.host.sent.size());
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -253,7 +253,7 @@
   const auto known =
       list.known(nlohmann::json::parse(R"({"cursor":2,"cmds":[)" + event(1, "true", one) + "]}"));
   assert(known.news == EndpointUpdate::cached && known.members.size() == 1 && list.cursor() == 2);
-  assert(known.members[0].engine.started_at == Duration(2'000'000) &&
+  assert(known.members[0].engine.started_at == TimePoint(Duration(2'000'000)) &&
          known.members[0].engine.zone.value == 0);
   struct Case {
     const char* id;
@@ -350,8 +350,8 @@
   int came = 0;
   loop.soon([] { throw pearchute::SystemError("one of what is put off"); });
   loop.soon([&] { ++came; });
-  loop.at(pearchute::Duration(0), [] { throw pearchute::SystemError("a timer"); });
-  loop.at(pearchute::Duration(1), [&] {
+  loop.at(pearchute::TimePoint(pearchute::Duration(0)), [] { throw pearchute::SystemError("a timer"); });
+  loop.at(pearchute::TimePoint(pearchute::Duration(1)), [&] {
     ++came;
     loop.soon([&] { ++came, loop.stop(); });
   });
