--- /dev/null
+++ b/src/core/attempt_events.cpp
@@ -0,0 +1,234 @@
+// The events of attempts: what engines report while one is outstanding, and how it ends.
+#include <algorithm>
+
+#include "core/units.h"
+#include "core/workload_manager.h"
+
+namespace pearchute {
+
+namespace {
+
+// An idempotent request is started again where its attempt takes so many times the typical (beyond any
+// estimate's scatter: a bad plan, or whatever is drawn anew for each attempt) and a new one would come
+// sooner.
+constexpr double restart_ratio = 6;
+constexpr double restart_gain_ratio = 2;
+constexpr double least_share_done = 0.002;
+
+}  // namespace
+
+// Null where nothing may be reported of it.
+AttemptRecord* WorkloadManager::note_report(TimePoint now, RequestId id, int attempt_index) {
+  AttemptRecord* attempt = requests_.find_outstanding(id, attempt_index);
+  if (!attempt) return nullptr;
+  engines_[attempt->engine].health.last_response_at = now;
+  attempt->last_report_at = now;
+  return attempt;
+}
+
+void WorkloadManager::cancel_attempt(RequestId id, AttemptRecord& attempt, int attempt_index) {
+  attempt.is_cancelling = true;
+  sink_.cancel_attempt(id, attempt_index);
+}
+
+void WorkloadManager::on_stream_started(TimePoint now, RequestId id, int attempt_index) {
+  note_report(now, id, attempt_index);
+  if (RequestState* state = requests_.find(id)) state->is_streaming = true;
+}
+
+void WorkloadManager::on_progress(TimePoint now, RequestId id, int attempt_index, double share_done) {
+  AttemptRecord* attempt = note_report(now, id, attempt_index);
+  if (!attempt || !service_.allows_cancel) return;
+  const RequestState& state = requests_.at(id);
+  const bool is_idempotent = work_.type(state).idempotency == Idempotency::idempotent;
+  if (state.is_finished || attempt->is_cancelling || !is_idempotent) return;
+  if (attempt->waits_for_data_load) {
+    if (share_done <= 0) on_engine_wait(now, id, attempt_index, WaitCause::data_load);
+    return;
+  }
+  const double elapsed_ms = to_ms(now - attempt->sent_at);
+  const double total_ms = elapsed_ms / std::max(share_done, least_share_done);
+  const double typical_ms =
+      work_.ideal_ms(state) * latency_.p10_ratio(state.request.type) * std::max(1.0, latency_.fleet_ratio());
+  const bool is_slow = total_ms > restart_ratio * typical_ms;
+  const bool restart_gains = total_ms - elapsed_ms > restart_gain_ratio * typical_ms;
+  if (is_slow && restart_gains && retries_.may_have_attempt(state)) {
+    cancel_attempt(id, *attempt, attempt_index);
+  }
+}
+
+void WorkloadManager::on_spill(TimePoint now, RequestId id, int attempt_index, double missing_mb) {
+  const AttemptRecord* attempt = note_report(now, id, attempt_index);
+  if (attempt) work_.on_spill(requests_.at(id).request, attempt->grant_mb, missing_mb);
+}
+
+// Only this tells of data loads of other managers: for as long as a load typically takes, the engine comes
+// last for requests on that data set, and an idempotent request that found it loading goes elsewhere.
+void WorkloadManager::on_engine_wait(TimePoint now, RequestId id, int attempt_index, WaitCause cause) {
+  AttemptRecord* attempt = note_report(now, id, attempt_index);
+  if (!attempt || cause != WaitCause::data_load) return;
+  RequestState& state = requests_.at(id);
+  attempt->waits_for_data_load = true;
+  const DataSetId data_set = state.request.data_set;
+  const double load_ms = work_.typical_data_load_ms() * std::max(1.0, latency_.fleet_ratio());
+  engines_[attempt->engine].ledger.note_data_load_by_others(data_set, now + from_ms(load_ms));
+  const bool may_move = service_.allows_cancel && !state.is_finished && !attempt->is_cancelling &&
+                        retries_.may_have_attempt(state) &&
+                        work_.type(state).idempotency == Idempotency::idempotent;
+  const auto is_free = [&](const auto& one) {
+    return !one.second.ledger.is_loading(now, data_set) && is_eligible(now, state, one.second);
+  };
+  if (may_move && std::ranges::any_of(engines_, is_free)) {
+    cancel_attempt(id, *attempt, attempt_index);
+  } else if (is_table_nearly_full()) {
+    reject(now, state, RejectionReason::table_full);
+  }
+}
+
+void WorkloadManager::on_probe_ended(TimePoint now, EngineId id, Outcome outcome, Duration,
+                                     const LoadReport& load) {
+  const auto at = engines_.find(id);
+  if (at != engines_.end() && outcome == Outcome::succeeded) on_load_report(now, at->second, load);
+  queue_.release(now);
+}
+
+void WorkloadManager::on_load_report(TimePoint now, Engine& engine, const LoadReport& load) {
+  if (engine.endpoint.kind.value < 0) return;
+  engine.ledger.on_load_report(now, load, engine.machine, grants_.fleet_share());
+}
+
+void WorkloadManager::on_attempt_ended(TimePoint now, RequestId id, int attempt_index, Outcome outcome,
+                                       Duration elapsed, bool is_finished, std::optional<double> work_ms,
+                                       std::optional<double> memory_mb, const LoadReport& load) {
+  AttemptRecord* attempt = requests_.find_outstanding(id, attempt_index);
+  if (!attempt) return;
+  RequestState& state = requests_.at(id);
+  attempt->is_outstanding = false;
+  state.outstanding -= 1;
+  Engine& engine = engines_[attempt->engine];
+  engine.outstanding.erase({attempt->sent_at, {id, attempt_index}});
+  release_reservation(now, engine, state, *attempt, outcome);
+  on_load_report(now, engine, load);
+  if (outcome == Outcome::succeeded) work_.on_success(state.request, elapsed, work_ms, memory_mb);
+  learn_from_outcome(now, engine, state, *attempt, outcome, elapsed);
+  note_uncertainty(now, engine, state, *attempt, outcome);
+  settle_after_attempt(now, state, outcome, is_finished);
+  erase_if_done(id);
+  queue_.release(now);
+}
+
+// Where nothing can be cancelled, what times out executes on, and keeps its reservation for as long as it
+// would take at the engine's pace: else engines fill up again and again with work that nobody waits for.
+void WorkloadManager::release_reservation(TimePoint now, Engine& engine, const RequestState& state,
+                                          const AttemptRecord& attempt, Outcome outcome) {
+  if (outcome == Outcome::timed_out && !service_.allows_cancel) {
+    const TimePoint until = now + deadlines_.remaining_execution(state, engine.latency.ratio);
+    engine.ledger.release_at(until, attempt.grant_mb, attempt.threads);
+  } else {
+    engine.ledger.release(attempt.grant_mb, attempt.threads);
+  }
+  engine.ledger.grow_starvation_reservation(attempt.grant_mb, grants_.floor_mb(now, engine));
+  if (attempt.is_trial) engine.health.trial_outstanding = false;
+  if (work_.type(state).loads_data_set) engine.ledger.end_data_load(state.request.data_set);
+}
+
+void WorkloadManager::learn_from_outcome(TimePoint now, Engine& engine, RequestState& state,
+                                         AttemptRecord& attempt, Outcome outcome, Duration elapsed) {
+  switch (outcome) {
+    case Outcome::succeeded:
+      outliers_.on_success(now, engine.health);
+      if (work_.type(state).waits_for_data_load) {
+        engine.ledger.forget_data_load_by_others(state.request.data_set);
+      }
+      latency_.on_success(engine, state, attempt, elapsed);
+      break;
+    case Outcome::engine_error:
+    case Outcome::connection_reset:
+      record_error(now, engine, state, attempt, outcome);
+      break;
+    case Outcome::engine_full:  // no sign of life: one that hangs is full, too
+      engine.health.last_full_at = now;
+      latency_.on_engine_full(engine.latency);
+      break;
+    case Outcome::unreachable:  // it has died, with what was executing there
+      engine.ledger.release_all_abandoned();
+      record_failure(now, engine, EjectionReason::unreachable);
+      break;
+    case Outcome::timed_out:
+      if (engine.health.last_response_at < attempt.sent_at) {
+        record_failure(now, engine, EjectionReason::unanswered);
+      }
+      break;
+    case Outcome::cancelled:
+    case Outcome::not_sent:
+    case Outcome::count:
+      break;
+  }
+}
+
+// Where a request fails on a second engine, neither engine is to blame.
+void WorkloadManager::record_error(TimePoint now, Engine& engine, RequestState& state, AttemptRecord& attempt,
+                                   Outcome outcome) {
+  if (outcome == Outcome::engine_error) engine.health.last_response_at = now;
+  attempt.error_share = outliers_.error_share(engine.health, outcome);
+  for (AttemptRecord& earlier : state.attempts) {
+    if (earlier.error_share == 0 || earlier.engine == attempt.engine) continue;
+    const auto at = engines_.find(earlier.engine);
+    if (at != engines_.end()) {
+      double& error_rate = at->second.health.error_rate;
+      error_rate -= std::clamp(earlier.error_share, 0.0, error_rate);
+    }
+    earlier.error_share = -1;
+    attempt.error_share = -1;
+  }
+  engine.health.error_rate += std::max(attempt.error_share, 0.0);
+  if (outliers_.exceeds_error_rate(engine.health, outcome)) {
+    record_failure(now, engine, EjectionReason::errors);
+  }
+}
+
+void WorkloadManager::record_failure(TimePoint now, Engine& engine, EjectionReason reason) {
+  OutlierDetector::FleetHealth fleet;
+  for (const auto& [id, other] : engines_) {
+    if (!other.is_up) continue;
+    fleet.up += 1;
+    if (other.health.is_ejected(now) || other.health.on_probation) fleet.out_of_rotation += 1;
+  }
+  if (!outliers_.record_failure(now, engine.health, reason, fleet)) return;
+  sink_.trace_event("engine " + std::to_string(engine.id().value) + " is left out");
+}
+
+// What may have executed, and where; and the quiet period of its key. A result that crosses a cancellation is
+// one, and yet the attempt was cancelled when it was written, so its end is uncertain.
+void WorkloadManager::note_uncertainty(TimePoint now, const Engine& engine, RequestState& state,
+                                       const AttemptRecord& attempt, Outcome outcome) {
+  if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !state.first_uncertain_attempt_at) {
+    state.first_uncertain_attempt_at = attempt.sent_at;
+    state.uncertain_zone = engine.endpoint.zone;
+    state.uncertain_cell = engine.endpoint.cell;
+  }
+  const bool has_crossed =
+      attempt.is_cancelling && (outcome == Outcome::succeeded || outcome == Outcome::engine_error);
+  const bool is_ordered = state.request.key && work_.type(state).ordered_by_key;
+  if (!is_ordered || (end_is_certain(outcome) && !has_crossed)) return;
+  key_queues_.begin_quiet_period(now, *state.request.key);
+  sink_.schedule_wakeup(service_.key_quiet_period + service_.event_interval, key_token);
+}
+
+// After its last outstanding attempt a request that is not finished is queued again, or rejected.
+void WorkloadManager::settle_after_attempt(TimePoint now, RequestState& state, Outcome outcome,
+                                           bool is_finished) {
+  if (is_finished) return finish(state);
+  if (state.is_finished || state.outstanding > 0) return;
+  queue_.push(state);
+  const bool was_retracted = outcome == Outcome::not_sent && state.client_disconnected_at;
+  if (now >= state.deadline) {
+    reject(now, state, RejectionReason::deadline_exceeded);
+  } else if (outcome == Outcome::not_sent && !was_retracted) {
+    reject(now, state, RejectionReason::attempt_not_sent);
+  } else if (retries_.attempts_exhausted(now, work_.type(state), state)) {
+    reject(now, state, RejectionReason::attempts_exhausted);
+  }
+}
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/data_affinity.cpp
@@ -0,0 +1,58 @@
+#include "core/data_affinity.h"
+
+#include <algorithm>
+#include <functional>
+#include <vector>
+
+#include "core/units.h"
+
+namespace pearchute {
+
+namespace {
+
+constexpr double tick_decay = 0.99;  // over about ten seconds
+constexpr double least_remembered_requests = 0.001;
+// Requests that are added to the sum, lest a few at the start seem to be all.
+constexpr double prior_requests = 20;
+constexpr double largest_load_ratio = 2.0;
+
+}  // namespace
+
+void DataAffinity::on_request(DataSetId data_set) {
+  requests_[data_set] += 1;
+  all_requests_ += 1;
+}
+
+void DataAffinity::decay() {
+  all_requests_ *= tick_decay;
+  for (auto& [data_set, requests] : requests_) requests *= tick_decay;
+  std::erase_if(requests_, [](const auto& one) { return one.second < least_remembered_requests; });
+}
+
+bool DataAffinity::PreferredEngines::contains(EngineId engine) const {
+  const std::uint64_t hash = rendezvous_hash(data_set_, engine);
+  return hash >= least_hash_ || hash == same_zone_hash_;
+}
+
+DataAffinity::PreferredEngines DataAffinity::preferred(DataSetId data_set, const EngineMap& engines) const {
+  PreferredEngines preferred;
+  preferred.data_set_ = data_set;
+  std::vector<std::uint64_t> hashes;
+  for (const auto& [id, engine] : engines) {
+    if (!engine.is_up) continue;
+    hashes.push_back(rendezvous_hash(data_set, id));
+    if (engine.endpoint.zone == own_zone_) {
+      preferred.same_zone_hash_ = std::max(preferred.same_zone_hash_, hashes.back());
+    }
+  }
+  const auto requests = requests_.find(data_set);
+  const double share = requests == requests_.end() ? 0 : requests->second / (all_requests_ + prior_requests);
+  const double wanted = share * largest_load_ratio * static_cast<double>(hashes.size());
+  const std::size_t count =
+      std::min<std::size_t>(static_cast<std::size_t>(std::max(1.0, wanted)), hashes.size());
+  std::ranges::sort(hashes, std::greater());
+  preferred.least_hash_ = hashes.empty() ? 0 : hashes[count - 1];
+  return preferred;
+}
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/data_affinity.h
@@ -0,0 +1,41 @@
+// Data affinity: which engines are preferred for a data set because their caches hold it.
+//
+// Managers agree without a word between them, by rendezvous hashing: the first engine of all by the data
+// set's hash and the first of the own zone, and more where the data set draws so many requests that they
+// would bear over twice what others do.
+#pragma once
+
+#include <cstdint>
+#include <map>
+
+#include "core/engine.h"
+#include "core/types.h"
+
+namespace pearchute {
+
+class DataAffinity {
+ public:
+  explicit DataAffinity(ZoneId own_zone) : own_zone_(own_zone) {}
+
+  void on_request(DataSetId data_set);
+  void decay();
+
+  class PreferredEngines {
+   public:
+    bool contains(EngineId engine) const;
+
+   private:
+    friend class DataAffinity;
+    DataSetId data_set_;
+    std::uint64_t least_hash_ = 0;
+    std::uint64_t same_zone_hash_ = 0;
+  };
+  PreferredEngines preferred(DataSetId data_set, const EngineMap& engines) const;
+
+ private:
+  ZoneId own_zone_;
+  std::map<DataSetId, double> requests_;  // by data set, smoothed
+  double all_requests_ = 0;
+};
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/engine.h
@@ -0,0 +1,33 @@
+// One engine of the endpoint list, as the decisions know it. Each member is the state of one decision, which
+// alone changes it; the others read it through its interface.
+#pragma once
+
+#include <map>
+#include <set>
+#include <utility>
+
+#include "core/engine_ledger.h"
+#include "core/latency_model.h"
+#include "core/outlier_detector.h"
+#include "core/slow_start.h"
+#include "core/types.h"
+
+namespace pearchute {
+
+struct Engine {
+  EngineEndpoint endpoint;
+  MachineKind machine;
+  bool is_up = false;  // listed, and neither draining nor removed
+  EngineLedger ledger;
+  EngineLatency latency;
+  EngineHealth health;
+  EngineSlowStart slow_start;
+  std::set<std::pair<TimePoint, std::pair<RequestId, int>>> outstanding;  // own attempts, oldest first
+
+  EngineId id() const { return endpoint.id; }
+  bool can_be_forgotten() const { return endpoint.state == EngineState::removed && outstanding.empty(); }
+};
+
+using EngineMap = std::map<EngineId, Engine>;
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/engine_ledger.h
@@ -0,0 +1,75 @@
+// The memory ledger of one engine: what this manager has reserved there, what others have, and which data
+// sets are being loaded. It grants nothing by itself (see GrantPolicy).
+#pragma once
+
+#include <deque>
+#include <map>
+#include <optional>
+
+#include "core/types.h"
+
+namespace pearchute {
+
+class EngineLedger {
+ public:
+  // Slots (threads) that are this manager's even share of the engine; set once, when it is first listed.
+  void set_fair_share_slots(double slots) { fair_share_slots_ = slots; }
+  double fair_share_slots() const { return fair_share_slots_; }
+
+  void reserve(double grant_mb, int threads);
+  void release(double grant_mb, int threads);
+  // An attempt has ended, for this manager, but may still execute: its reservation stays until that moment.
+  void release_at(TimePoint when, double grant_mb, int threads);
+  void release_abandoned(TimePoint up_to);
+  void release_all_abandoned() { release_abandoned(TimePoint::max()); }
+
+  double reserved_mb() const { return reserved_mb_; }
+  int reserved_threads() const { return reserved_threads_; }
+  int attempts() const { return attempts_; }
+
+  // Takes in what the engine reports. `share` is this manager's even share of the fleet's capacity, 0 .. 1.
+  void on_load_report(TimePoint now, const LoadReport& report, const MachineKind& machine, double share);
+  void forget_load_reports() { reserved_by_others_mb_.reset(); }
+  std::optional<double> reserved_by_others_mb() const { return reserved_by_others_mb_; }
+  // Slots that the engine reported as free for this manager; none where the report is old.
+  std::optional<double> reported_slots(TimePoint now) const;
+
+  // Data sets: own loads under way, and those that other managers are taken to have under way.
+  void begin_data_load(DataSetId data_set) { own_loads_[data_set] += 1; }
+  void end_data_load(DataSetId data_set);
+  void note_data_load_by_others(DataSetId data_set, TimePoint until) { others_loads_[data_set] = until; }
+  void forget_data_load_by_others(DataSetId data_set) { others_loads_.erase(data_set); }
+  bool is_loading(TimePoint now, DataSetId data_set) const;
+
+  // The reservation for a starved request: memory that is released here is kept for it, up to the floor.
+  struct StarvationReservation {
+    RequestId request;
+    int threads = 0;  // that the request needs
+    double mb = 0;
+  };
+  const std::optional<StarvationReservation>& starvation_reservation() const { return starvation_; }
+  bool is_reserved_for(RequestId request) const { return starvation_ && starvation_->request == request; }
+  void reserve_for_starved(RequestId request, int threads) { starvation_ = {request, threads, 0}; }
+  void cancel_starvation_reservation() { starvation_.reset(); }
+  void grow_starvation_reservation(double mb, double floor_mb);
+
+ private:
+  struct Abandoned {
+    TimePoint until{};
+    double grant_mb = 0;
+    int threads = 0;
+  };
+  double fair_share_slots_ = 0;
+  double reserved_mb_ = 0;
+  int reserved_threads_ = 0;
+  int attempts_ = 0;
+  std::deque<Abandoned> abandoned_;
+  std::optional<double> reserved_by_others_mb_;
+  double reported_slots_ = 0;
+  std::optional<TimePoint> reported_at_;
+  std::map<DataSetId, int> own_loads_;
+  std::map<DataSetId, TimePoint> others_loads_;
+  std::optional<StarvationReservation> starvation_;
+};
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/grant_policy.cpp
@@ -0,0 +1,124 @@
+#include "core/grant_policy.h"
+
+#include <algorithm>
+
+namespace pearchute {
+
+namespace {
+
+constexpr double fair_share_factor = 2.0;  // of an even share; few managers are as busy as the mean
+constexpr double capacity_in_typical_requests = 2;
+constexpr double least_memory_share_beside_others = 0.1;
+constexpr double least_slots = 8.0;  // the floor is never over an eighth of the capacity
+// A latency ratio from which on latency objectives are at risk.
+constexpr double pressure_ratio = 2;
+// The shortest requests of all may overrun the slots by half, so that long ones that fill the ledgers don't
+// shut out what pays most for its engine time.
+constexpr double highest_priority_overcommit = 1.5;
+
+}  // namespace
+
+GrantPolicy::GrantPolicy(const ServiceDefinition& service, const WorkModel& work, const LatencyModel& latency,
+                         const SlowStart& slow_start)
+    : service_(service),
+      work_(work),
+      latency_(latency),
+      slow_start_(slow_start),
+      fleet_share_(std::min(1.0, fair_share_factor / service.managers)) {}
+
+double GrantPolicy::initial_slots(const MachineKind& machine) const {
+  return fair_share_factor * machine.cores * fleet_share_;
+}
+
+// Where engines report the share of memory that is granted, the capacity is what others leave: half of what
+// is free beyond the own share, since others read the same report.
+double GrantPolicy::capacity_mb(const Engine& engine) const {
+  const double memory = engine.machine.memory_mb;
+  const double typical = work_.largest_typical_memory_mb();
+  const double share =
+      std::max(memory * fleet_share_, std::min(memory, capacity_in_typical_requests * typical));
+  const std::optional<double> others = engine.ledger.reserved_by_others_mb();
+  if (!others) return share;
+  const double left = std::max(memory - *others, least_memory_share_beside_others * memory);
+  const double reserved = engine.ledger.reserved_mb();
+  return std::min(left, std::max(share, reserved + (left - reserved) / 2));
+}
+
+double GrantPolicy::slots(TimePoint now, const Engine& engine) const {
+  const double factor =
+      is_pooled(engine) ? latency_.fleet_concurrency_factor() : engine.latency.concurrency_factor;
+  const double learned = engine.ledger.fair_share_slots() * factor;
+  const std::optional<double> reported = engine.ledger.reported_slots(now);
+  return reported ? std::max(learned, *reported) : learned;
+}
+
+double GrantPolicy::floor_mb(TimePoint now, const Engine& engine) const {
+  return capacity_mb(engine) / std::max(least_slots, slots(now, engine));
+}
+
+bool GrantPolicy::is_pooled(const Engine& engine) const {
+  return engine.ledger.fair_share_slots() < work_.largest_threads();
+}
+
+double GrantPolicy::pool_overcommit(const RequestState& state) const {
+  return work_.priority(state) == highest_priority ? highest_priority_overcommit : 1;
+}
+
+// Warming engines with time slots stand outside: a slot is all that a manager may use of them, else their
+// share would go to the warm ones beside.
+double GrantPolicy::free_pool_slots(TimePoint now, const EngineMap& engines, double overcommit) const {
+  double free = 0;
+  int used = 0;
+  const double largest_work_ms = work_.largest_typical_work_ms();
+  for (const auto& [id, engine] : engines) {
+    const double own = slots(now, engine);
+    if (!engine.is_up || engine.health.on_probation || own >= work_.largest_threads()) continue;
+    if (slow_start_.uses_time_slots(now, engine, largest_work_ms)) continue;
+    free += overcommit * own - engine.ledger.reserved_threads();
+    used += engine.ledger.reserved_threads();
+  }
+  return std::max<double>(free, work_.largest_threads() - used);
+}
+
+bool GrantPolicy::has_no_pressure(TimePoint now, const Engine& engine, int threads, double slots) const {
+  return engine.latency.ratio <= pressure_ratio && !engine.health.was_full_recently(now) && threads < slots;
+}
+
+bool GrantPolicy::may_overrun_slots(const Engine& engine, const RequestState& state, double need_mb,
+                                    int threads, double slots) const {
+  if (need_mb <= 0 || work_.priority(state) != highest_priority ||
+      threads > highest_priority_overcommit * slots + 1) {
+    return false;
+  }
+  return need_mb <= engine.machine.memory_mb - engine.ledger.reserved_mb() -
+                        engine.ledger.reserved_by_others_mb().value_or(0);
+}
+
+std::optional<double> GrantPolicy::grant_mb(TimePoint now, const Engine& engine,
+                                            const RequestState& state) const {
+  const EngineLedger& ledger = engine.ledger;
+  const double capacity = capacity_mb(engine);
+  const double open = slots(now, engine);
+  const double cap = service_.max_grant_share * engine.machine.memory_mb;
+  const double need = std::min(work_.needed_mb(state), cap);
+  const int threads = ledger.reserved_threads() + work_.type(state).threads;
+  if (has_no_pressure(now, engine, threads, open)) {
+    return need > 0 ? need : std::min(capacity / least_slots, cap);
+  }
+  if (may_overrun_slots(engine, state, need, threads, open)) return need;
+  const auto& starvation = ledger.starvation_reservation();
+  const bool reserved_for_other = starvation && starvation->request != state.request.id;
+  int slots_left = std::max(static_cast<int>(open), work_.largest_threads()) - threads;
+  if (reserved_for_other) slots_left -= starvation->threads;
+  const double floor = capacity / std::max(least_slots, open);
+  const double free = capacity - ledger.reserved_mb() - (reserved_for_other ? starvation->mb : 0);
+  const double most = std::min(free - floor * std::max(slots_left, 0), cap);
+  if (slots_left < 0 || most < floor) return std::nullopt;
+  if (need <= 0) return most;
+  // Headroom yields to an estimate, since a spill costs more than a slot without memory; where even that is
+  // too little, the request waits, but for one that would not fit an empty ledger either.
+  if (need > std::min(free, cap) && ledger.reserved_mb() > 0) return std::nullopt;
+  return std::clamp(need, floor, std::min(free, cap));
+}
+
+}  // namespace pearchute
--- a/src/core/key_order.cpp
+++ b/src/core/key_order.cpp
@@ -59,9 +59,7 @@
   const Found found = find(id);
   if (!found.entry || found.entry->out == 0) return;
   found.entry->out -= 1;
-  const bool end_is_sure =
-      proves_not_executed(outcome) || outcome == Outcome::succeeded || outcome == Outcome::engine_error;
-  if (!end_is_sure || found.entry->called_off) rest(now, *found.line);
+  if (!end_is_certain(outcome) || found.entry->called_off) rest(now, *found.line);
   drop_if_done(id);
 }
 
--- /dev/null
+++ b/src/core/key_queues.h
@@ -0,0 +1,34 @@
+// Order by key, as the decisions keep it: requests of one key execute one at a time, in order of arrival, and
+// after an attempt with an uncertain outcome the key is quiet for a while before the next one begins.
+// The rule guard keeps records of its own (KeyOrder), by what it sees at the sockets.
+#pragma once
+
+#include <deque>
+#include <map>
+
+#include "core/types.h"
+
+namespace pearchute {
+
+class KeyQueues {
+ public:
+  // `quiet_period`: after an attempt with an uncertain outcome.
+  explicit KeyQueues(Duration quiet_period) : quiet_period_(quiet_period) {}
+
+  void add(OrderKey key, RequestId id) { queues_[key].requests.push_back(id); }
+  void remove(OrderKey key, RequestId id);
+  bool is_first(OrderKey key, RequestId id) const;
+  bool is_quiet(TimePoint now, OrderKey key) const;
+  void begin_quiet_period(TimePoint now, OrderKey key);
+  void forget_idle(TimePoint now);
+
+ private:
+  struct Queue {
+    std::deque<RequestId> requests;  // open, in order of arrival
+    TimePoint quiet_until{};
+  };
+  Duration quiet_period_;
+  std::map<OrderKey, Queue> queues_;
+};
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/load_shedder.cpp
@@ -0,0 +1,93 @@
+#include "core/load_shedder.h"
+
+#include <algorithm>
+
+#include "core/tick_interval.h"
+#include "core/units.h"
+
+namespace pearchute {
+
+namespace {
+
+// Rates are smoothed over about this time, costs over a minute.
+constexpr double rate_window_s = 5;
+constexpr double rate_decay = 0.98;
+constexpr double cost_decay = 0.998;
+// The threshold falls fast while requests wait, and rises slowly; under the mean it would shed what pays best
+// and leave engines idle.
+constexpr double threshold_decrease = 0.9;
+constexpr double threshold_increase = 1.06;
+constexpr int late_ticks_to_shed = 2;
+constexpr int most_late_ticks = 10;
+constexpr double least_sum = 1e-9;
+constexpr double least_work_ms = 1e-3;
+
+}  // namespace
+
+LoadShedder::LoadShedder(const ServiceDefinition& service, const WorkModel& work)
+    : work_(work),
+      over_quota_weight_(service.over_quota_weight),
+      tenant_rates_per_second_(service.tenants.size()),
+      threshold_(infinite) {
+  double sum = least_sum;
+  for (const Tenant& tenant : service.tenants) sum += tenant.quota_per_second;
+  for (const Tenant& tenant : service.tenants) tenant_shares_.push_back(tenant.quota_per_second / sum);
+}
+
+// No manager knows all of a tenant's traffic: its part of this manager's is held against its share.
+double LoadShedder::value_density(const RequestState& state) const {
+  double value = std::max(work_.type(state).priority_weight, least_sum);
+  if (const int tenant = state.request.tenant.value; tenant >= 0) {
+    const auto at = static_cast<std::size_t>(tenant);
+    const double quota = tenant_shares_[at] * requests_per_second_;
+    const double beyond = std::max(0.0, 1 - quota / std::max(tenant_rates_per_second_[at], least_sum));
+    value *= 1 - beyond * (1 - over_quota_weight_);
+  }
+  return value / std::max(work_.corrected_work_ms(state), least_work_ms);
+}
+
+double LoadShedder::on_request(const RequestState& state) {
+  if (const int tenant = state.request.tenant.value; tenant >= 0) {
+    tenant_rates_per_second_[static_cast<std::size_t>(tenant)] += 1.0 / rate_window_s;
+  }
+  requests_per_second_ += 1.0 / rate_window_s;
+  const double cost = 1 / value_density(state);
+  largest_cost_ = std::max(largest_cost_, cost);
+  work_ms_ += state.work_ms;
+  weight_ += state.work_ms / cost;
+  mean_cost_ = work_ms_ / std::max(weight_, least_sum);
+  return cost;
+}
+
+// Where this manager's own core is short, what earns less than the mean is shed, small or not: answers would
+// come late to all.
+bool LoadShedder::sheds(double cost, bool is_small) const {
+  const bool engines_are_overloaded = cost > threshold_ && !is_small;
+  const bool own_core_is_short = late_ticks_ >= late_ticks_to_shed && cost > mean_cost_;
+  return engines_are_overloaded || own_core_is_short;
+}
+
+void LoadShedder::on_tick(TimePoint now, Duration lateness_bound) {
+  const bool is_late = next_tick_at_ > TimePoint{} && now > next_tick_at_ + lateness_bound;
+  late_ticks_ = is_late ? std::min(late_ticks_ + 1, most_late_ticks) : std::max(late_ticks_ - 1, 0);
+  next_tick_at_ = now + tick_interval;
+}
+
+void LoadShedder::decay() {
+  requests_per_second_ *= rate_decay;
+  work_ms_ *= cost_decay;
+  weight_ *= cost_decay;
+  for (double& rate : tenant_rates_per_second_) rate *= rate_decay;
+}
+
+void LoadShedder::adjust_threshold(bool is_crowded) {
+  largest_cost_ = std::max(largest_cost_ * cost_decay, mean_cost_);
+  if (is_crowded) {
+    threshold_ = std::max(std::min(threshold_, largest_cost_) * threshold_decrease, mean_cost_);
+    return;
+  }
+  threshold_ *= threshold_increase;
+  if (threshold_ > largest_cost_) threshold_ = infinite;
+}
+
+}  // namespace pearchute
--- /dev/null
+++ b/src/core/periodic_tick.cpp
@@ -0,0 +1,121 @@
+// What is done regularly: figures decay, overdue attempts are rescued, load shedding follows the queue, and
+// requests that can no longer be served in time are rejected.
+#include <algorithm>
+
+#include "core/tick_interval.h"
+#include "core/workload_manager.h"
+
+namespace pearchute {
+
+namespace {
+
+constexpr Duration least_tick_lateness = std::chrono::milliseconds(20);
+
+}  // namespace
+
+void WorkloadManager::on_tick(TimePoint now) {
+  sink_.schedule_wakeup(tick_interval, tick_token);
+  shedder_.on_tick(now, std::max<Duration>(service_.event_interval, least_tick_lateness));
+  shedder_.decay();
+  affinity_.decay();
+  key_queues_.forget_idle(now);
+  std::erase_if(engines_, [](const auto& one) { return one.second.can_be_forgotten(); });
+  latency_.begin_tick();
+  for (auto& [id, engine] : engines_) tick_engine(now, engine);
+  latency_.end_tick();
+  for (const EngineId id : probes_.due(engines_, shedder_.requests_per_second())) sink_.probe(id);
+  shedder_.adjust_threshold(is_crowded(now));
+  reject_hopeless(now);
+  evict_late(now);
+}
+
+void WorkloadManager::tick_engine(TimePoint now, Engine& engine) {
+  watch_attempts(now, engine);
+  const EngineHealth& health = engine.health;
+  // An ejected engine may stand still, with what executes there.
+  if (!health.is_ejected(now) && !health.on_probation) engine.ledger.release_abandoned(now);
+  for (const auto& [sent_at, attempt] : engine.outstanding) {
+    const RequestState& state = requests_.at(attempt.first);
+    const AttemptRecord& record = state.attempts[static_cast<std::size_t>(attempt.second)];
+    latency_.on_outstanding(now, engine, state, record, health.is_ejected(now));
+  }
+  latency_.tick(engine, engine.is_up && !health.on_probation);
+}
+
+// Rescues attempts that are overdue by themselves, and all of an engine that is ejected.
+void WorkloadManager::watch_attempts(TimePoint now, Engine& engine) {
+  int silence = 0;
+  std::vector<std::pair<RequestId, int>> overdue;
+  for (const auto& [sent_at, attempt] : engine.outstanding) {
+    const RequestState& state = requests_.at(attempt.first);
+    const AttemptRecord& record = state.attempts[static_cast<std::size_t>(attempt.second)];
+    const OutlierDetector::Expectation expected{
+        deadlines_.overdue_after(state, OutlierDetector::least_overdue), service_.progress_interval};
+    if (!outliers_.is_overdue(now, record, expected)) continue;
+    overdue.push_back(attempt);
+    silence += outliers_.silence_weight(now, engine.health, record, expected);
+  }
+  if (silence > OutlierDetector::silence_threshold) record_failure(now, engine, EjectionReason::silent);
+  if (engine.health.is_ejected(now)) {
+    overdue.clear();
+    for (const auto& [sent_at, attempt] : engine.outstanding) overdue.push_back(attempt);
+  }
+  for (const auto& [id, attempt_index] : overdue) rescue(now, engine, id, attempt_index);
+}
+
+// Hedges the attempt where that is allowed, else cancels it, so that the request can be sent elsewhere.
+void WorkloadManager::rescue(TimePoint now, const Engine& engine, RequestId id, int attempt_index) {
+  RequestState& state = requests_.at(id);
+  AttemptRecord& attempt = state.attempts[static_cast<std::size_t>(attempt_index)];
+  const RequestType& type = work_.type(state);
+  if (state.is_finished || state.is_queued || state.is_streaming) return;
+  if (attempt.is_cancelling || attempt.is_overdue) return;
+  if (type.idempotency == Idempotency::non_idempotent || !retries_.may_have_attempt(state)) return;
+  const bool takes_token = !engine.health.is_ejected(now);
+  if (takes_token && !retries_.has_rescue_token()) return;
+  if (retries_.may_hedge(type)) {
+    attempt.is_overdue = true;
+    queue_.push(state);
+  } else if (service_.allows_cancel) {
+    cancel_attempt(id, attempt, attempt_index);
+  } else {
+    return;
+  }
+  if (takes_token) retries_.take_rescue_token();
+}
+
+bool WorkloadManager::is_crowded(TimePoint now) {
+  bool is_crowded = false;
+  queue_.visit([&](const RequestState& state) {
+    if (state.outstanding > 0 || !may_start(now, state)) return;
+    is_crowded |= now > state.arrived_at + LoadShedder::queue_delay_bound;
+  });
+  return is_crowded;
+}
+
+// An answer now is worth more than one at the end.
+void WorkloadManager::reject_hopeless(TimePoint now) {
+  queue_.visit([&](RequestState& state) {
+    if (state.outstanding > 0) return;
+    if (deadlines_.client_is_gone(now, state)) {
+      reject(now, state, RejectionReason::client_disconnected);
+    } else if (deadlines_.is_missed(now, state)) {
+      reject(now, state, RejectionReason::queued_too_long);
+    } else if (retries_.attempts_exhausted(now, work_.type(state), state)) {
+      reject(now, state, RejectionReason::attempts_exhausted);
+    }
+  });
+}
+
+void WorkloadManager::evict_late(TimePoint now) {
+  requests_.visit_by_arrival([&](RequestState& state) {
+    if (!is_table_nearly_full()) return false;
+    const bool is_idempotent = work_.type(state).idempotency == Idempotency::idempotent;
+    if (now >= state.objective_at && is_idempotent && !state.is_streaming) {
+      reject(now, state, RejectionReason::table_full);
+    }
+    return true;
+  });
+}
+
+}  // namespace pearchute
--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <numeric>
 
+#include "core/placement_rules.h"
+
 namespace pearchute {
 
 namespace {
@@ -91,17 +93,12 @@
 
 std::optional<Rule> RuleGuard::broken_by_place(const RequestType& type, const Record& record,
                                                const EngineEndpoint& engine) const {
-  const auto is_named = [](const auto& allowed, auto id) {
-    return !allowed || std::ranges::count(*allowed, id) > 0;
-  };
-  if (!is_named(type.zones, engine.zone) || !is_named(type.kinds, engine.kind)) return Rule::placement;
-  if (!record.first_uncertain_attempt_at || type.idempotency != Idempotency::idempotent_by_key)
+  if (!allows_placement(type, engine)) return Rule::placement;
+  if (!record.first_uncertain_attempt_at || type.idempotency != Idempotency::idempotent_by_key) {
     return std::nullopt;
-  const bool is_known_there =
-      type.deduplication_scope == DeduplicationScope::fleet ||
-      (type.deduplication_scope == DeduplicationScope::zone && engine.zone == record.uncertain_zone) ||
-      (type.deduplication_scope == DeduplicationScope::cell && engine.cell == record.uncertain_cell);
-  return is_known_there ? std::nullopt : std::optional(Rule::repeat_group);
+  }
+  const bool is_recognized = recognizes_repeat(type, engine, record.uncertain_zone, record.uncertain_cell);
+  return is_recognized ? std::nullopt : std::optional(Rule::repeat_group);
 }
 
 std::optional<Rule> RuleGuard::broken_by_attempt(TimePoint now, const AttemptFacts& attempt) const {
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -44,9 +44,9 @@
                                             : EngineState::removed;
 }
 
-std::string_view name_of(Trouble trouble) {
+std::string_view name_of(EjectionReason reason) {
   constexpr std::string_view words[] = {"", "errors", "unreachable", "unanswered", "silent"};
-  return words[static_cast<int>(trouble)];
+  return words[static_cast<int>(reason)];
 }
 
 std::string_view name_of(QueuedFor waits) {
@@ -250,9 +250,9 @@
     std::uint64_t up = 0, draining = 0, left_out = 0;
     const Duration now = now_since_start();
     parts_.front.tell_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
-      up += engine.known_up;
-      draining += engine.listed.state == EngineState::draining;
-      left_out += engine.known_up && TimePoint(now) < engine.closed_until;
+      up += engine.is_up;
+      draining += engine.endpoint.state == EngineState::draining;
+      left_out += engine.is_up && TimePoint(now) < engine.health.ejected_until;
     });
     status.set_engines_up(up), status.set_engines_draining(draining), status.set_engines_left_out(left_out);
     status.set_orders(drains_.in_force().size());
@@ -285,7 +285,7 @@
     std::map<std::string, admin::v1::Engine> by_name;
     parts_.front.tell_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& belief,
                                   const net::Engines::Shown& sockets, Duration oldest) {
-      const auto at = shown.find(engine.listed.id);
+      const auto at = shown.find(engine.endpoint.id);
       if (at == shown.end()) return;
       const Member& member = *at->second;
       admin::v1::Engine& to = by_name[member.name];
@@ -297,13 +297,14 @@
       to.set_kind(name_at(parts_.deployment.kinds, member.engine.kind.value));
       to.set_said(std::string(fleet::name_of(standing_of(member.engine.state))));
       to.set_state(std::string(fleet::name_of(drains_.state_of(member.name))));
-      to.set_cold(belief.is_cold), to.set_live_mb(engine.live_bytes), to.set_capacity_mb(belief.capacity_mb);
-      to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.live_threads, 0)));
-      to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.closed_until - TimePoint(now)));
-      if (TimePoint(now) < engine.closed_until || engine.on_trial)
-        to.set_closed_why(std::string(name_of(engine.trouble)));
-      to.set_on_trial(engine.on_trial), to.set_pace(engine.pace.stretch),
-          to.set_error_rate(engine.error_rate);
+      to.set_cold(belief.is_cold), to.set_live_mb(engine.ledger.reserved_mb()),
+          to.set_capacity_mb(belief.capacity_mb);
+      to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.ledger.reserved_threads(), 0)));
+      to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.health.ejected_until - TimePoint(now)));
+      if (TimePoint(now) < engine.health.ejected_until || engine.health.on_probation)
+        to.set_closed_why(std::string(name_of(engine.health.ejection_reason)));
+      to.set_on_trial(engine.health.on_probation), to.set_pace(engine.latency.ratio),
+          to.set_error_rate(engine.health.error_rate);
       to.set_connections(static_cast<std::uint32_t>(sockets.connections));
       to.set_dispatches(static_cast<std::uint32_t>(sockets.dispatches));
       to.set_kept_back(static_cast<std::uint32_t>(sockets.kept_back));
--- a/src/drill/session.cpp
+++ b/src/drill/session.cpp
@@ -4,7 +4,7 @@
 #include <istream>
 #include <ostream>
 
-#include "core/control.h"
+#include "core/workload_manager.h"
 #include "service/deployment.h"
 
 namespace pearchute::drill {
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "core/arrival_order.h"
-#include "core/control.h"
+#include "core/workload_manager.h"
 #include "engines/engines.h"
 #include "engines/list.h"
 #include "front/request_log.h"
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -224,8 +224,8 @@
     }
   }
   manager_.tell_engines(now, [&](const Engine& engine, const WorkloadManager::EngineEstimate& belief) {
-    const auto at = oldest.find(engine.listed.id);
-    visit(engine, belief, engines_.shown(engine.listed.id), at == oldest.end() ? Duration(0) : at->second);
+    const auto at = oldest.find(engine.id());
+    visit(engine, belief, engines_.shown(engine.id()), at == oldest.end() ? Duration(0) : at->second);
   });
 }
 
--- a/src/lab/simulations/many_managers.cpp
+++ b/src/lab/simulations/many_managers.cpp
@@ -6,7 +6,7 @@
 #include <queue>
 #include <random>
 
-#include "core/control.h"
+#include "core/workload_manager.h"
 
 namespace pearchute::lab {
 
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/control.h"
+#include "core/workload_manager.h"
 
 namespace pearchute {
 
--- a/tests/decision_calls.h
+++ b/tests/decision_calls.h
@@ -11,9 +11,9 @@
 #include "core/arrival_order.h"
 #include "core/attempt_budget.h"
 #include "core/cold_budgets.h"
-#include "core/control.h"
 #include "core/key_order.h"
 #include "core/rule_guard.h"
+#include "core/workload_manager.h"
 #include "service/deployment.h"
 #include "service/named_values.h"
 #include "wire_simulation.h"
@@ -199,8 +199,8 @@
     std::string text;
     manager_.tell_engines(at(now), [&](const auto& engine, const auto& belief) {
       char line[160];
-      std::snprintf(line, sizeof line, "engine %u slots %.17g capacity %.17g cold %d\n",
-                    engine.listed.id.value, belief.slots, belief.capacity_mb, belief.is_cold ? 1 : 0);
+      std::snprintf(line, sizeof line, "engine %u slots %.17g capacity %.17g cold %d\n", engine.id().value,
+                    belief.slots, belief.capacity_mb, belief.is_cold ? 1 : 0);
       text += line;
     });
     char line[120];
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -204,8 +204,8 @@
     Bench bench(service, 1);
     const auto threads = [&] {
       int live = 0;
-      bench.manager.tell_engines(bench.now,
-                                 [&](const Engine& engine, const auto&) { live = engine.live_threads; });
+      bench.manager.tell_engines(
+          bench.now, [&](const Engine& engine, const auto&) { live = engine.ledger.reserved_threads(); });
       return live;
     };
     bench.take(1, 1, 2000);  // a second on each of its two threads
