--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -21,45 +21,45 @@
   types_ = service.types;
   most_attempts_ = service.max_attempts;
   second_copies_ = service.allows_hedging;
-  order_ = KeyOrder(service.key_quiet_period);
-  cold_ = ColdBudgets(service);
-  attempts_ = AttemptBudget(service);
+  order_ = KeyOrderRecords(service.key_quiet_period);
+  slow_start_ = SlowStartRecords(service);
+  retries_ = RetryBudgetRecords(service);
 }
 
 void RuleGuard::on_endpoint_update(TimePoint now, EndpointUpdate news,
                                    const std::vector<EngineEndpoint>& engines) {
-  cold_.on_endpoint_update(now, news, engines);
+  slow_start_.on_endpoint_update(now, news, engines);
 }
 
 void RuleGuard::taken(TimePoint now, const TakenRequest& request) {
   Record record;
   record.type = request.type;
   records_.emplace(request.id, record);
-  attempts_.request_taken(now);
-  if (request.order_key) order_.taken(request.id, *request.order_key);
+  retries_.on_request(now);
+  if (request.order_key) order_.on_request(request.id, *request.order_key);
 }
 
 void RuleGuard::attempt_left(TimePoint now, const AttemptFacts& attempt) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
-  if (record.attempts > 0) attempts_.further_left(now);
+  if (record.attempts > 0) retries_.on_retry_left(now);
   record.attempts += 1, record.out += 1;
   record.last_left = now;
-  order_.attempt_left(attempt.request);
-  cold_.attempt_left(now, attempt.engine, attempt.work_ms);
+  order_.on_attempt_left(attempt.request);
+  slow_start_.on_attempt_left(now, attempt.engine, attempt.work_ms);
 }
 
 void RuleGuard::attempt_taken_back(RequestId request) {
   const auto at = records_.find(request);
   if (at == records_.end()) return;
   at->second.attempts -= 1, at->second.out -= 1;
-  order_.attempt_taken_back(request);
+  order_.on_attempt_retracted(request);
   drop_if_done(request);
 }
 
 void RuleGuard::attempt_called_off(TimePoint now, RequestId request) {
-  order_.attempt_called_off(now, request);
+  order_.on_attempt_cancelled(now, request);
 }
 
 void RuleGuard::attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome) {
@@ -69,10 +69,12 @@
   record.out -= 1;
   if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !record.first_uncertain_attempt_at) {
     record.first_uncertain_attempt_at = record.last_left;
-    if (const EngineEndpoint* listed = cold_.listed(attempt.engine))
-      record.uncertain_zone = listed->zone, record.uncertain_cell = listed->cell;
+    if (const EngineEndpoint* endpoint = slow_start_.endpoint(attempt.engine)) {
+      record.uncertain_zone = endpoint->zone;
+      record.uncertain_cell = endpoint->cell;
+    }
   }
-  order_.attempt_ended(now, attempt.request, outcome);
+  order_.on_attempt_ended(now, attempt.request, outcome);
   drop_if_done(attempt.request);
 }
 
@@ -80,7 +82,7 @@
   const auto at = records_.find(request);
   if (at == records_.end()) return;
   at->second.over = true;
-  order_.over(request);
+  order_.on_finished(request);
   drop_if_done(request);
 }
 
@@ -89,7 +91,7 @@
   if (at->second.over && at->second.out <= 0) records_.erase(at);
 }
 
-void RuleGuard::forget_old(TimePoint now) { order_.forget_rested(now); }
+void RuleGuard::forget_old(TimePoint now) { order_.forget_idle(now); }
 
 std::optional<Rule> RuleGuard::broken_by_place(const RequestType& type, const Record& record,
                                                const EngineEndpoint& engine) const {
@@ -110,13 +112,13 @@
       broken_by(RepeatFacts{now, type.idempotency, type.deduplication_window, record.attempts, most_attempts_,
                             record.out, second_copies_, record.first_uncertain_attempt_at});
   if (repeat) return repeat;
-  if (const EngineEndpoint* listed = cold_.listed(attempt.engine)) {
-    if (const auto rule = broken_by_place(type, record, *listed)) return rule;
+  if (const EngineEndpoint* endpoint = slow_start_.endpoint(attempt.engine)) {
+    if (const auto rule = broken_by_place(type, record, *endpoint)) return rule;
   }
-  if (record.attempts > 0 && attempts_.forbids_further(now)) return Rule::attempt_budget;
+  if (record.attempts > 0 && retries_.forbids_retry(now)) return Rule::attempt_budget;
   if (const auto order = order_.forbids(now, attempt.request))
-    return *order == KeyOrder::Break::out_of_turn ? Rule::order_by_key : Rule::key_rests;
-  if (cold_.forbids(now, attempt.engine, attempt.work_ms, attempt.largest_typical_work_ms))
+    return *order == KeyOrderRecords::Violation::out_of_order ? Rule::order_by_key : Rule::key_rests;
+  if (slow_start_.forbids(now, attempt.engine, attempt.work_ms, attempt.largest_typical_work_ms))
     return Rule::cold_budget;
   return std::nullopt;
 }
--- a/src/core/rule_guard.h
+++ b/src/core/rule_guard.h
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "core/attempt_budget.h"
-#include "core/cold_budgets.h"
-#include "core/key_order.h"
+#include "core/key_order_records.h"
+#include "core/retry_budget_records.h"
+#include "core/slow_start_records.h"
 #include "core/types.h"
 
 namespace pearchute {
@@ -112,7 +112,7 @@
   void attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome);
   void over(RequestId request);  // it has its final answer, or its client has gone
   void forget_old(TimePoint now);
-  Duration rest_left(TimePoint now, OrderKey key) const { return order_.rest_left(now, key); }
+  Duration rest_left(TimePoint now, OrderKey key) const { return order_.quiet_left(now, key); }
 
   // The rule that forbids it; it is counted as held back.
   std::optional<Rule> forbids_sending(const SendingFacts& facts);
@@ -155,9 +155,9 @@
   int most_attempts_ = 1;
   bool second_copies_ = false;
   std::unordered_map<RequestId, Record> records_;
-  KeyOrder order_;
-  ColdBudgets cold_;
-  AttemptBudget attempts_;
+  KeyOrderRecords order_;
+  SlowStartRecords slow_start_;
+  RetryBudgetRecords retries_;
 
   std::uint64_t checked_ = 0;
   std::array<std::uint64_t, rule_count> held_back_{}, broken_{};
--- /dev/null
+++ b/src/core/slow_start_records.cpp
@@ -0,0 +1,72 @@
+#include "core/slow_start_records.h"
+
+#include <algorithm>
+#include <set>
+
+#include "core/slow_start.h"
+
+namespace pearchute {
+
+SlowStartRecords::SlowStartRecords(const ServiceDefinition& service) : service_(service) {
+  service_.managers = std::max(1, service.managers);
+  service_.types.clear();
+  service_.tenants.clear();
+}
+
+void SlowStartRecords::on_endpoint_update(TimePoint now, EndpointUpdate kind,
+                                          const std::vector<EngineEndpoint>& endpoints) {
+  std::set<EngineId> named;
+  for (const EngineEndpoint& endpoint : endpoints) {
+    named.insert(endpoint.id);
+    Record& record = engines_[endpoint.id];
+    const bool is_new =
+        record.endpoint.id != endpoint.id || record.endpoint.started_at != endpoint.started_at;
+    if (is_new) record.listed_at = now;
+    record.endpoint = endpoint;
+  }
+  std::erase_if(engines_, [&](const auto& one) {
+    const bool is_removed = one.second.endpoint.state == EngineState::removed;
+    return is_removed || (kind != EndpointUpdate::delta && !named.contains(one.first));
+  });
+}
+
+const EngineEndpoint* SlowStartRecords::endpoint(EngineId engine) const {
+  const auto at = engines_.find(engine);
+  return at == engines_.end() ? nullptr : &at->second.endpoint;
+}
+
+bool SlowStartRecords::is_warming_up(TimePoint now, const Record& record) const {
+  return pearchute::is_warming_up(service_, now, record.endpoint.started_at, record.listed_at);
+}
+
+// An even share of the limit. Where that is less than a single request, managers use time slots, of which the
+// largest allows half of the limit.
+double SlowStartRecords::own_share_ms(const Record& record, double largest_typical_work_ms) const {
+  const auto kind = static_cast<std::size_t>(std::max(record.endpoint.kind.value, 0));
+  const int cores = kind < service_.kinds.size() ? service_.kinds[kind].cores : 1;
+  const double limit_ms = slow_start_limit_ms(service_, cores);
+  const double even_share_ms = limit_ms / service_.managers;
+  const bool uses_time_slots = largest_typical_work_ms > even_share_ms / 2;
+  return uses_time_slots ? std::max(even_share_ms, limit_ms / 2) : even_share_ms;
+}
+
+bool SlowStartRecords::forbids(TimePoint now, EngineId engine, double work_ms,
+                               double largest_typical_work_ms) const {
+  const auto at = engines_.find(engine);
+  if (at == engines_.end() || !is_warming_up(now, at->second)) return false;
+  double sent_ms = work_ms;
+  for (const SentWork& one : at->second.sent) {
+    if (one.at > now - service_.slow_start_window) sent_ms += one.work_ms;
+  }
+  return sent_ms > own_share_ms(at->second, largest_typical_work_ms);
+}
+
+void SlowStartRecords::on_attempt_left(TimePoint now, EngineId engine, double work_ms) {
+  const auto at = engines_.find(engine);
+  if (at == engines_.end()) return;
+  std::deque<SentWork>& sent = at->second.sent;
+  while (!sent.empty() && sent.front().at <= now - service_.slow_start_window) sent.pop_front();
+  if (is_warming_up(now, at->second)) sent.push_back({now, work_ms});
+}
+
+}  // namespace pearchute
--- a/tests/decision_calls.h
+++ b/tests/decision_calls.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "core/arrival_order.h"
-#include "core/attempt_budget.h"
-#include "core/cold_budgets.h"
-#include "core/key_order.h"
+#include "core/key_order_records.h"
+#include "core/retry_budget_records.h"
 #include "core/rule_guard.h"
+#include "core/slow_start_records.h"
 #include "core/workload_manager.h"
 #include "service/deployment.h"
 #include "service/named_values.h"
@@ -272,20 +272,20 @@
   explicit RulesUnderTest(const Settings& settings)
       : service_(service_of(settings)),
         order_(service_.key_quiet_period),
-        cold_(service_),
+        slow_start_records_(service_),
         budget_(service_) {
     guard_.serve(service_);
   }
   void list(Microseconds now, int mode, const std::vector<EngineFacts>& engines) {
     guard_.on_endpoint_update(at(now), news_of(mode), listed(engines));
-    cold_.on_endpoint_update(at(now), news_of(mode), listed(engines));
+    slow_start_records_.on_endpoint_update(at(now), news_of(mode), listed(engines));
   }
   void taken(Microseconds now, std::uint64_t id, int request_class, std::uint64_t key) {
     TakenRequest request{RequestId{id}, RequestTypeId{request_class}, std::nullopt};
     if (key > 0) request.order_key = OrderKey{key};
     guard_.taken(at(now), request);
-    if (key > 0) order_.taken(RequestId{id}, OrderKey{key});
-    budget_.request_taken(at(now));
+    if (key > 0) order_.on_request(RequestId{id}, OrderKey{key});
+    budget_.on_request(at(now));
   }
   // What forbids the attempt, if anything, by each of the records in turn.
   std::string forbids(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
@@ -300,40 +300,40 @@
     std::string text = text_of(guard_.forbids_sending(facts));
     text += " " + text_of(guard_.forbids_sending(facts, attempt(id, engine, work_ms, largest_ms)));
     const auto order = order_.forbids(at(now), RequestId{id});
-    text += !order ? " -" : *order == KeyOrder::Break::out_of_turn ? " out_of_turn" : " no_rest";
+    text += !order ? " -" : *order == KeyOrderRecords::Violation::out_of_order ? " out_of_turn" : " no_rest";
     const EngineId where{static_cast<std::uint32_t>(engine)};
-    text += cold_.forbids(at(now), where, work_ms, largest_ms) ? " cold" : " -";
-    text += budget_.forbids_further(at(now)) ? " budget" : " -";
-    const EngineEndpoint* known = cold_.listed(where);
+    text += slow_start_records_.forbids(at(now), where, work_ms, largest_ms) ? " cold" : " -";
+    text += budget_.forbids_retry(at(now)) ? " budget" : " -";
+    const EngineEndpoint* known = slow_start_records_.endpoint(where);
     text += known ? " zone " + std::to_string(known->zone.value) : std::string(" unlisted");
     return text;
   }
   void left(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
             bool is_further) {
     guard_.attempt_left(at(now), attempt(id, engine, work_ms, largest_ms));
-    order_.attempt_left(RequestId{id});
-    cold_.attempt_left(at(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
-    if (is_further) budget_.further_left(at(now));
+    order_.on_attempt_left(RequestId{id});
+    slow_start_records_.on_attempt_left(at(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
+    if (is_further) budget_.on_retry_left(at(now));
   }
   void taken_back(std::uint64_t id) {
     guard_.attempt_taken_back(RequestId{id});
-    order_.attempt_taken_back(RequestId{id});
+    order_.on_attempt_retracted(RequestId{id});
   }
   void called_off(Microseconds now, std::uint64_t id) {
     guard_.attempt_called_off(at(now), RequestId{id});
-    order_.attempt_called_off(at(now), RequestId{id});
+    order_.on_attempt_cancelled(at(now), RequestId{id});
   }
   void ended(Microseconds now, std::uint64_t id, int engine, End end) {
     guard_.attempt_ended(at(now), attempt(id, engine, 0, 0), outcome_of(end));
-    order_.attempt_ended(at(now), RequestId{id}, outcome_of(end));
+    order_.on_attempt_ended(at(now), RequestId{id}, outcome_of(end));
   }
   void over(std::uint64_t id) {
     guard_.over(RequestId{id});
-    order_.over(RequestId{id});
+    order_.on_finished(RequestId{id});
   }
   void forget_old(Microseconds now) {
     guard_.forget_old(at(now));
-    order_.forget_rested(at(now));
+    order_.forget_idle(at(now));
   }
   std::string repeating(Microseconds now, int request_class, int attempts, int out,
                         Microseconds first_uncertain_attempt_at) {
@@ -361,7 +361,7 @@
   }
   std::string rests(Microseconds now, std::uint64_t key) const {
     return std::to_string(guard_.rest_left(at(now), OrderKey{key}).count()) + " " +
-           std::to_string(order_.rest_left(at(now), OrderKey{key}).count()) + " " +
+           std::to_string(order_.quiet_left(at(now), OrderKey{key}).count()) + " " +
            std::to_string(order_.keys());
   }
   std::string counters() const {
@@ -380,9 +380,9 @@
   }
   ServiceDefinition service_;
   RuleGuard guard_;
-  KeyOrder order_;
-  ColdBudgets cold_;
-  AttemptBudget budget_;
+  KeyOrderRecords order_;
+  SlowStartRecords slow_start_records_;
+  RetryBudgetRecords budget_;
 };
 
 class ArrivalsUnderTest {
