--- a/src/agent/call_server.h
+++ b/src/agent/call_server.h
@@ -16,6 +16,7 @@
 
 namespace pearchute::agent {
 
+// Serves one gRPC service at the agent's addresses, from its construction to its end.
 class CallServer {
  public:
   // Listens at the control socket and, where one is configured, at the TLS address. `service` outlives this.
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -1,79 +1,40 @@
 #include "agent/config_service.h"
 
-#include <fcntl.h>
-#include <unistd.h>
-
 #include <algorithm>
-#include <fstream>
-#include <nlohmann/json.hpp>
 
+#include "agent/config_candidate.h"
 #include "agent/config_wire.h"
 #include "net/log.h"
-#include "system/files.h"
 
 namespace pearchute::agent {
 
 using admin::CallEnd;
 using fleet::ConfigDocument;
 using fleet::ConfigMark;
-using nlohmann::json;
+using fleet::TimePoint;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
 namespace {
 
-constexpr milliseconds look_every(100), look_again_after(1000);
-constexpr milliseconds manager_answers_within(1000);
+constexpr milliseconds tick_interval(100);
+// Between two calls to a manager in which the current version is in force.
+constexpr milliseconds recheck_interval(1000);
+constexpr milliseconds manager_timeout(1000);
+constexpr milliseconds min_wake_delay(1);
+constexpr milliseconds response_timeout = duration_cast<milliseconds>(fleet::ConfigSpread::answer_timeout);
 
-std::map<std::string, fleet::ConfigLocation> peers_of(const AgentConfig& config) {
-  std::map<std::string, fleet::ConfigLocation> peers;
-  for (const auto& [name, reach] : config.peers) {
+std::map<std::string, fleet::ConfigLocation> peer_locations(const AgentConfig& config) {
+  std::map<std::string, fleet::ConfigLocation> locations;
+  for (const auto& [name, endpoint] : config.peers) {
     const auto zone = config.peer_zones.find(name);
-    peers[name].zone = zone == config.peer_zones.end() ? "" : zone->second;
+    locations[name].zone = zone == config.peer_zones.end() ? "" : zone->second;
   }
-  return peers;
-}
-
-fleet::ConfigReplica::State on_disk(const ProcessSupervisor& supervisor, store::Store& store) {
-  return supervisor.trouble().empty() ? store.config() : fleet::ConfigReplica::State();
-}
-
-// Empty where the content can be merged into an instance's base.
-std::string fault_in(const std::string& content) {
-  const json object = json::parse(content, nullptr, false);
-  if (!object.is_object()) return "the content is not a JSON object";
-  for (const char* name : {"name", "listen", "configuration_version"}) {
-    if (object.contains(name)) return "'" + std::string(name) + "' is each instance's own";
-  }
-  return "";
+  return locations;
 }
 
-// Durable, so that a file which took another's place is whole after the machine's fall.
-bool write_file(const std::string& path, const std::string& text) {
-  const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-  if (file < 0) return false;
-  const bool written = ::write(file, text.data(), text.size()) == static_cast<ssize_t>(text.size());
-  const bool durable = written && ::fsync(file) == 0;
-  return ::close(file) == 0 && durable;
-}
-
-// Empty where the candidate is beside the instance's file.
-std::string write_candidate(const std::string& base, const std::string& file,
-                            const ConfigDocument& document) {
-  json configuration;
-  try {
-    configuration = json::parse(read_file(base), nullptr, false);
-  } catch (const SystemError& error) {
-    return error.what();  // the instance is asked again in a while
-  }
-  if (!configuration.is_object()) return base + " is not a JSON object";
-  const json change = json::parse(document.content, nullptr, false);
-  if (!change.is_object()) return "the content is not a JSON object";
-  configuration.merge_patch(change);
-  configuration["configuration_version"] = {
-      {"epoch", document.mark.epoch}, {"number", document.mark.number}, {"digest", document.mark.digest}};
-  const std::string candidate = file + ".candidate";
-  return write_file(candidate, configuration.dump(1) + "\n") ? "" : candidate + " can't be written";
+fleet::ConfigReplica::State persisted_state(ProcessSupervisor& supervisor) {
+  return supervisor.store_is_usable() ? supervisor.store().config() : fleet::ConfigReplica::State();
 }
 
 ConfigMark mark_in(const admin::v1::ConfigVersion& version) {
@@ -84,158 +45,170 @@
   return mark;
 }
 
+admin::v1::Call configure_call(const std::string& config_file, const ConfigMark& mark) {
+  admin::v1::Call call;
+  admin::v1::Configure& configure = *call.mutable_configure();
+  configure.mutable_version()->set_epoch(mark.epoch);
+  configure.mutable_version()->set_number(mark.number);
+  configure.mutable_version()->set_digest(mark.digest);
+  configure.set_path(config_file);
+  return call;
+}
+
+// Why the manager has not applied the version; empty where it has.
+std::string obstacle_in(const admin::v1::Configured& configured) {
+  if (configured.state() == "next_start") return "in force at the next start: " + configured.what();
+  if (configured.state() == "refused") return "refused: " + configured.what();
+  return "";
+}
+
 }  // namespace
 
-ConfigService::ConfigService(net::EventLoopThread& stage, const AgentConfig& config,
+ConfigService::ConfigService(net::EventLoopThread& loop_thread, const AgentConfig& config,
                              ProcessSupervisor& supervisor, Peers& peers, std::uint64_t seed)
-    : loop_thread_(stage),
+    : loop_thread_(loop_thread),
       supervisor_(supervisor),
       peers_(peers),
-      spread_(*this, config.name, {config.zone}, seed, on_disk(supervisor, supervisor.store())) {
+      spread_(*this, config.name, {config.zone}, seed, persisted_state(supervisor)) {
   change(config);
-  look();
+  tick();
 }
 
 void ConfigService::change(const AgentConfig& next) {
-  spread_.set_peers(loop_thread_.loop().now(), peers_of(next));
-  std::erase_if(instances_, [&](const auto& one) {
-    const auto at = next.instances.find(one.first);
-    return at == next.instances.end() || at->second.config_file != one.second.file ||
-           at->second.config_base_file != one.second.base;
+  spread_.set_peers(loop_thread_.loop().now(), peer_locations(next));
+  std::erase_if(instances_, [&](const auto& entry) {
+    const auto& [name, instance] = entry;
+    const auto at = next.instances.find(name);
+    return at == next.instances.end() || at->second.config_file != instance.config_file ||
+           at->second.config_base_file != instance.base_file;
   });
   for (const auto& [name, owned] : next.instances) {
     if (owned.config_file.empty() || instances_.contains(name)) continue;
     Instance& instance = instances_[name];
-    instance.file = owned.config_file;
-    instance.base = owned.config_base_file;
-    instance.caller = std::make_unique<admin::Caller>(loop_thread_.loop(), owned.admin);
+    instance.config_file = owned.config_file;
+    instance.base_file = owned.config_base_file;
+    instance.manager = std::make_unique<admin::Caller>(loop_thread_.loop(), owned.admin);
   }
 }
 
 bool ConfigService::write_config(const fleet::ConfigReplica::State& state) {
-  if (supervisor_.trouble().empty() && supervisor_.store().write_config(state)) return true;
+  if (supervisor_.store_is_usable() && supervisor_.store().write_config(state)) return true;
   PEARCHUTE_LOG(spdlog::level::err, "the configuration version can't be written: {}",
                 supervisor_.store().last_error());
   return false;
 }
 
-// ---- With peers
+// ---- Peers
 
-void ConfigService::turn() {
+// Begins the exchanges that are due, and wakes for the next ones.
+void ConfigService::exchange_due() {
   net::Loop& loop = loop_thread_.loop();
   for (const std::string& peer : spread_.due(loop.now())) exchange(peer);
-  const Span next = std::max(spread_.next(loop.now()), loop.now() + milliseconds(1));
-  if (wake_ && *wake_ <= next && *wake_ > loop.now()) return;
-  wake_ = next;
+  const TimePoint next = std::max<TimePoint>(spread_.next(loop.now()), loop.now() + min_wake_delay);
+  if (next_wake_at_ && *next_wake_at_ <= next && *next_wake_at_ > loop.now()) return;
+  next_wake_at_ = next;
   loop.at(next, [this, alive = alive_] {
     if (!*alive) return;
-    wake_.reset();
-    turn();
+    next_wake_at_.reset();
+    exchange_due();
   });
 }
 
 void ConfigService::exchange(const std::string& peer) {
-  const v1::ConfigMessage question = to_wire(spread_.question(loop_thread_.loop().now(), peer));
-  peers_.call<v1::ConfigMessage, v1::ConfigMessage>(
-      peer, duration_cast<milliseconds>(fleet::ConfigSpread::answer_timeout),
-      [](auto* to, auto... what) { to->Synchronize(what...); }, question,
-      [this, alive = alive_, peer](bool ok, const v1::ConfigMessage& answer) {
-        if (!*alive) return;
-        const Span now = loop_thread_.loop().now();
-        if (ok) spread_.answered(now, peer, from_wire(answer));
-        else spread_.missed(now, peer);
-        turn();
-      });
-}
-
-void ConfigService::synchronize(const v1::ConfigMessage& question, v1::ConfigMessage& answer) {
-  answer = to_wire(spread_.receive(loop_thread_.loop().now(), from_wire(question)));
-  turn();
-}
-
-void ConfigService::publish(const v1::ConfigPublication& publication, v1::ConfigPublished& published) {
-  published.set_fault(fault_in(publication.content()));
-  if (!published.fault().empty()) {
-    published.set_result("unusable");
+  const v1::ConfigMessage request = to_wire(spread_.question(loop_thread_.loop().now(), peer));
+  const auto on_response = [this, alive = alive_, peer](bool ok, const v1::ConfigMessage& response) {
+    if (!*alive) return;
+    const TimePoint now = loop_thread_.loop().now();
+    if (ok) spread_.answered(now, peer, from_wire(response));
+    else spread_.missed(now, peer);
+    exchange_due();
+  };
+  peers_.call(peer, rpc::synchronize_config, response_timeout, request, on_response);
+}
+
+void ConfigService::synchronize(const v1::ConfigMessage& request, v1::ConfigMessage& response) {
+  response = to_wire(spread_.receive(loop_thread_.loop().now(), from_wire(request)));
+  exchange_due();
+}
+
+void ConfigService::publish(const v1::ConfigPublication& request, v1::ConfigPublished& response) {
+  response.set_fault(content_error(request.content()));
+  if (!response.fault().empty()) {
+    response.set_result("unusable");
     return;
   }
-  const fleet::PublishRequest request = {publication.parent(), publication.content(),
-                                         publication.new_epoch()};
-  const fleet::PublishResult result = spread_.publish(loop_thread_.loop().now(), request);
-  published.set_result(std::string(name_of(result)));
-  *published.mutable_mark() = to_wire(spread_.replica().mark());
-  turn();
+  const fleet::PublishRequest publish = {request.parent(), request.content(), request.new_epoch()};
+  const fleet::PublishResult result = spread_.publish(loop_thread_.loop().now(), publish);
+  response.set_result(std::string(name_of(result)));
+  *response.mutable_mark() = to_wire(spread_.replica().mark());
+  exchange_due();
 }
 
-void ConfigService::show(v1::ConfigShown& shown) const {
-  shown = to_wire(spread_.report());
-  shown.set_confirmed(spread_.confirmed());
-  if (spread_.replica().current()) shown.set_content(spread_.replica().current()->content);
+void ConfigService::show(v1::ConfigShown& status) const {
+  status = to_wire(spread_.report());
+  status.set_confirmed(spread_.confirmed());
+  if (spread_.replica().current()) status.set_content(spread_.replica().current()->content);
 }
 
-// ---- With instances
+// ---- Instances
 
-void ConfigService::look() {
+void ConfigService::tick() {
   net::Loop& loop = loop_thread_.loop();
-  if (const auto document = spread_.to_apply()) {
+  if (const std::optional<ConfigDocument> document = spread_.to_apply()) {
     for (auto& [name, instance] : instances_) {
-      const bool due = instance.in_force != document->mark || loop.now() >= instance.look_at;
-      if (due && !instance.calling) configure(name, instance, *document);
+      const bool is_due = instance.in_force != document->mark || loop.now() >= instance.next_call_at;
+      if (is_due && !instance.call_pending) apply(name, instance, *document);
     }
   }
   report_instances();
-  turn();
-  loop.at(loop.now() + look_every, [this, alive = alive_] {
-    if (*alive) look();
+  exchange_due();
+  loop.at(loop.now() + tick_interval, [this, alive = alive_] {
+    if (*alive) tick();
   });
 }
 
-void ConfigService::configure(const std::string& name, Instance& instance, const ConfigDocument& document) {
-  // One in which it is in force is only asked whether that is still so.
-  if (instance.in_force != document.mark)
-    instance.not_in_force_reason = write_candidate(instance.base, instance.file, document);
-  if (!instance.not_in_force_reason.empty() && instance.in_force != document.mark) return;
-  instance.calling = true;
-  admin::v1::Call call;
-  admin::v1::Configure& to = *call.mutable_configure();
-  to.mutable_version()->set_epoch(document.mark.epoch);
-  to.mutable_version()->set_number(document.mark.number);
-  to.mutable_version()->set_digest(document.mark.digest);
-  to.set_path(instance.file);
-  instance.caller->call(
-      call, manager_answers_within, [this, alive = alive_, name](CallEnd end, const admin::v1::Reply& reply) {
-        if (!*alive) return;
-        const auto at = instances_.find(name);
-        if (at == instances_.end()) return;
-        Instance& asked = at->second;
-        asked.calling = false;
-        asked.look_at = loop_thread_.loop().now() + look_again_after;
-        const admin::v1::Configured& configured = reply.configured();
-        if (end == CallEnd::answered && reply.has_configured()) {
-          asked.in_force = mark_in(configured.in_force());
-          asked.not_in_force_reason = configured.state() == "next_start"
-                                          ? "in force at the next start: " + configured.what()
-                                      : configured.state() == "refused" ? "refused: " + configured.what()
-                                                                        : "";
-        } else if (end == CallEnd::answered) {
-          asked.in_force = {}, asked.not_in_force_reason = "its manager does not know the call";
-        } else {
-          // What was in force stands in its file: a manager that is down starts with it.
-          asked.not_in_force_reason = "its manager is " + std::string(admin::name_of(end));
-        }
-        report_instances();
-        turn();
-      });
+// A manager in which the version is in force is only asked whether that is still so.
+void ConfigService::apply(const std::string& name, Instance& instance, const ConfigDocument& document) {
+  if (instance.in_force != document.mark) {
+    instance.obstacle = write_candidate(instance.base_file, instance.config_file, document);
+    if (!instance.obstacle.empty()) return;  // tried again at the next tick
+  }
+  instance.call_pending = true;
+  const auto on_reply = [this, alive = alive_, name](CallEnd end, const admin::v1::Reply& reply) {
+    if (*alive) on_applied(name, end, reply);
+  };
+  instance.manager->call(configure_call(instance.config_file, document.mark), manager_timeout, on_reply);
+}
+
+void ConfigService::on_applied(const std::string& name, CallEnd end, const admin::v1::Reply& reply) {
+  const auto at = instances_.find(name);
+  if (at == instances_.end()) return;
+  Instance& instance = at->second;
+  instance.call_pending = false;
+  instance.next_call_at = loop_thread_.loop().now() + recheck_interval;
+  if (end == CallEnd::answered && reply.has_configured()) {
+    instance.in_force = mark_in(reply.configured().in_force());
+    instance.obstacle = obstacle_in(reply.configured());
+  } else if (end == CallEnd::answered) {
+    instance.in_force = {};
+    instance.obstacle = "its manager does not know the call";
+  } else {
+    // What was in force stands in its file: a manager that is down starts with it.
+    instance.obstacle = "its manager is " + std::string(admin::name_of(end));
+  }
+  report_instances();
+  exchange_due();
 }
 
 void ConfigService::report_instances() {
-  std::vector<fleet::InstanceConfig> all;
-  for (const auto& [name, instance] : instances_)
-    all.push_back({name, instance.in_force, instance.not_in_force_reason});
   // What no manager has been asked about yet is unknown, not in force.
-  const bool known =
-      std::ranges::all_of(instances_, [](const auto& one) { return one.second.look_at > Span(); });
-  if (known) spread_.set_instances(loop_thread_.loop().now(), all);
+  const bool all_known = std::ranges::all_of(
+      instances_, [](const auto& entry) { return entry.second.next_call_at > TimePoint(); });
+  if (!all_known) return;
+  std::vector<fleet::InstanceConfig> reports;
+  for (const auto& [name, instance] : instances_)
+    reports.push_back({name, instance.in_force, instance.obstacle});
+  spread_.set_instances(loop_thread_.loop().now(), reports);
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/coordinator.h
+++ b/src/agent/coordinator.h
@@ -1,37 +1,51 @@
-// The rollouts that were asked of this agent: carries what fleet::Rollout decides to the agents concerned,
-// itself among them, by remote calls with a deadline each, and keeps each rollout on disk. Asks are sent
-// again until they are answered; each is harmless when it comes twice.
+// The rollouts that this agent was asked to coordinate: starts them, takes operators' commands, restores
+// those that were under way when the agent ended, and reports them.
+//
+// Lives on the event loop.
 #pragma once
 
 #include <map>
 #include <memory>
 #include <string>
+#include <vector>
 
 #include "agent/peers.h"
+#include "agent/rollout_driver.h"
 #include "store/store.h"
 
 namespace pearchute::agent {
 
+// All rollouts of this agent, by their ids.
 class Coordinator {
  public:
-  // Lives on the stage's loop. `trouble` says why the store can't be used, where it can't.
-  Coordinator(net::EventLoopThread& stage, Peers& peers, store::Store& store, const std::string& trouble);
+  // The references outlive it. `store_error` says why the store can't be used; where it is not empty, no
+  // rollout is restored or started.
+  Coordinator(net::EventLoopThread& loop_thread, Peers& peers, store::Store& store,
+              const std::string& store_error);
   ~Coordinator();
-  std::string start(const fleet::RolloutPlan& plan);                // the fault, or nothing
-  std::string say(const std::string& id, const std::string& word);  // the same
-  void tell(const std::string& id, v1::RolloutList& list) const;  // one whole; without an id a summary of all
+
+  // Returns why the rollout can't be started, for operators; empty where it is under way. Idempotent by the
+  // plan's id.
+  std::string start(const fleet::RolloutPlan& plan);
+
+  // Carries out an operator's command: pause, resume, abort or back. Returns why it can't be carried out;
+  // empty where it was.
+  std::string control(const std::string& id, const std::string& command);
+
+  // Adds the rollout of that id, with its targets and stages; without an id, a summary of each.
+  void list(const std::string& id, v1::RolloutList& list) const;
 
  private:
-  struct One;
-  friend struct One;
-  void wake();
+  void restore();
+  void tick();
+  bool make_room();
 
   net::EventLoopThread& loop_thread_;
   Peers& peers_;
   store::Store& store_;
-  const std::string trouble_;
-  std::map<std::string, std::unique_ptr<One>> rollouts_;
-  std::vector<store::RolloutRecord> past_;
+  const std::string store_error_;
+  std::map<std::string, std::unique_ptr<RolloutDriver>> rollouts_;  // by id; also those that ended since
+  std::vector<store::RolloutRecord> finished_before_start_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/agent/peers.cpp
+++ b/src/agent/peers.cpp
@@ -4,36 +4,52 @@
 
 namespace pearchute::agent {
 
-Peers::Peers(net::EventLoopThread& stage, const AgentConfig& charter, ChannelFactory open_channel)
-    : loop_thread_(stage),
-      config_(charter),
-      open_channel_(std::move(open_channel)),
-      calls_(std::make_shared<Calls>()) {
-  stubs_[config_.name] = v1::Agent::NewStub(open_channel_(config_.control, config_.name, config_.tls));
-  for (const auto& [name, reach] : config_.peers)
-    stubs_[name] = v1::Agent::NewStub(open_channel_(reach, name, config_.tls));
+void Peers::OpenCalls::add(grpc::ClientContext* context) {
+  const std::lock_guard lock(mutex_);
+  contexts_.insert(context);
+}
+
+void Peers::OpenCalls::remove(grpc::ClientContext* context) {
+  const std::lock_guard lock(mutex_);
+  contexts_.erase(context);
+  removed_.notify_all();
 }
 
-// No call's end may reach a stage that has gone.
-Peers::~Peers() {
-  std::unique_lock lock(calls_->mutex);
-  for (grpc::ClientContext* context : calls_->open) context->TryCancel();
-  calls_->ended.wait(lock, [this] { return calls_->open.empty(); });
+void Peers::OpenCalls::cancel_and_wait() {
+  std::unique_lock lock(mutex_);
+  for (grpc::ClientContext* context : contexts_) context->TryCancel();
+  removed_.wait(lock, [this] { return contexts_.empty(); });
 }
 
+Peers::Peers(net::EventLoopThread& loop_thread, const AgentConfig& config, ChannelFactory open_channel)
+    : loop_thread_(loop_thread),
+      config_(config),
+      open_channel_(std::move(open_channel)),
+      open_calls_(std::make_shared<OpenCalls>()) {
+  open_stub(config_.name, config_.control);
+  for (const auto& [name, endpoint] : config_.peers) open_stub(name, endpoint);
+}
+
+// No result may be handed over to a loop that has gone.
+Peers::~Peers() { open_calls_->cancel_and_wait(); }
+
 void Peers::change(const AgentConfig& next) {
-  for (const auto& [name, reach] : next.peers) {
+  for (const auto& [name, endpoint] : next.peers) {
     const auto known = config_.peers.find(name);
-    if (known != config_.peers.end() && known->second.text == reach.text) continue;
-    stubs_[name] = v1::Agent::NewStub(open_channel_(reach, name, config_.tls));
-    config_.peers[name] = reach;
+    if (known != config_.peers.end() && known->second.text == endpoint.text) continue;
+    open_stub(name, endpoint);
+    config_.peers[name] = endpoint;
   }
 }
 
 std::vector<std::string> Peers::names() const {
-  std::vector<std::string> all;
-  for (const auto& [name, stub] : stubs_) all.push_back(name);
-  return all;
+  std::vector<std::string> names;
+  for (const auto& [name, stub] : stubs_) names.push_back(name);
+  return names;
+}
+
+void Peers::open_stub(const std::string& name, const keys::Endpoint& endpoint) {
+  stubs_[name] = v1::Agent::NewStub(open_channel_(endpoint, name, config_.tls));
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -3,8 +3,9 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <csignal>
-#include <nlohmann/json.hpp>
+#include <string_view>
 #include <thread>
 
 #include "agent/wire.h"
@@ -13,234 +14,229 @@
 
 namespace pearchute::agent {
 
-using admin::CallEnd;
-using std::chrono::duration_cast;
+using fleet::InstanceLifecycle;
+using fleet::InstanceState;
+using fleet::TimePoint;
 using std::chrono::milliseconds;
 
 namespace {
 
-// Five looks a second: a rollout sees a change within half a second, and one look costs a manager some 50 us.
-constexpr milliseconds look_every(200);
-// A sound manager answers within a millisecond, on a full machine within some tens.
-constexpr milliseconds answers_within(1000);
+// A rollout sees a change within half a second; each poll costs a manager some 50 us.
+constexpr milliseconds poll_interval(200);
+
+// Without a lease owner, by what the manager says of itself.
+InstanceState state_of(const ManagerStatus& status) {
+  if (!status.answered) return InstanceState::unseen;
+  if (status.drain_state == "drained") return InstanceState::drained;
+  if (status.drain_state == "draining") return InstanceState::draining;
+  return status.phase == "serving" ? InstanceState::serving : InstanceState::starting;
+}
 
 }  // namespace
 
-// What was last seen of one instance.
-struct ProcessSupervisor::Eye {
-  std::unique_ptr<admin::Caller> caller;
-  bool looking = false, answers = false, looked = false;
-  std::string phase, rest;
-  std::int64_t pid = 0;
-  int version = 0;  // by which its process was started
-  std::uint64_t done = 0, answered = 0, open = 0, life = 0;
-};
-
-ProcessSupervisor::ProcessSupervisor(net::Loop& loop, const AgentConfig& charter)
-    : loop_(loop), config_(charter), store_(charter.state_file) {
+ProcessSupervisor::ProcessSupervisor(net::Loop& loop, const AgentConfig& config)
+    : loop_(loop), config_(config), store_(config.state_file) {
   const bool usable = open_store();
   if (usable) lease_owner_ = std::make_unique<fleet::LeaseOwner>(*this);
-  else spdlog::error("{}; this agent observes and takes no orders until its state is mended", trouble_);
-  const auto kept =
-      usable ? store_.instances() : std::map<std::string, fleet::LeaseOwner::PersistedInstance>();
-  const auto processes = usable ? store_.processes() : std::map<std::string, store::ProcessRecord>();
-  for (const auto& [name, owned] : config_.instances) own(name, owned, kept, processes);
-  look();
+  else spdlog::error("{}; this agent observes and takes no orders until its state is mended", store_error_);
+  const PersistedInstances persisted = usable ? store_.instances() : PersistedInstances();
+  const ProcessRecords processes = usable ? store_.processes() : ProcessRecords();
+  for (const auto& [name, owned] : config_.instances) supervise(name, owned, persisted, processes);
+  poll_managers();
 }
 
-// Guards against an agent that takes no orders for good because its folder failed for a moment at its start.
+ProcessSupervisor::~ProcessSupervisor() { *alive_ = false; }
+
+// A folder that fails for a moment just at the start must not leave the agent without a store for good.
 bool ProcessSupervisor::open_store() {
-  const auto until = std::chrono::steady_clock::now() + shortages_pass_within;
-  store::OpenStatus opened = store_.open(trouble_);
-  while (opened == store::OpenStatus::temporarily_unavailable && std::chrono::steady_clock::now() < until) {
-    PEARCHUTE_LOG(spdlog::level::warn, "{}; tried again for some seconds", trouble_);
+  const auto deadline = std::chrono::steady_clock::now() + shortages_pass_within;
+  store::OpenStatus status = store_.open(store_error_);
+  while (status == store::OpenStatus::temporarily_unavailable &&
+         std::chrono::steady_clock::now() < deadline) {
+    PEARCHUTE_LOG(spdlog::level::warn, "{}; tried again for some seconds", store_error_);
     std::this_thread::sleep_for(between_attempts);
-    opened = store_.open(trouble_);
+    status = store_.open(store_error_);
   }
-  return opened == store::OpenStatus::usable;
+  return status == store::OpenStatus::usable;
 }
 
-ProcessSupervisor::~ProcessSupervisor() { *alive_ = false; }
+void ProcessSupervisor::supervise(const std::string& name, const OwnedInstance& owned,
+                                  const PersistedInstances& persisted, const ProcessRecords& processes) {
+  std::unique_ptr<Instance>& instance = instances_[name];
+  instance = std::make_unique<Instance>(loop_, owned);
+  if (!lease_owner_) return;
+  fleet::LeaseOwner::PersistedInstance state;
+  state.wanted = owned.starts;
+  state.version = owned.initial_version;
+  if (const auto at = persisted.find(name); at != persisted.end()) state = at->second;
+  // A version that is not configured any more can't be started.
+  if (!owned.commands.contains(state.version)) state.version = owned.initial_version;
+  instance->running_version = state.version;
+  if (const auto at = processes.find(name); at != processes.end()) adopt(name, at->second, *instance);
+  lease_owner_->add_instance(loop_.now(), name, state);
+}
 
-// Guards against a process that is taken for ended, and started a second time, because it could not be looked
-// at for a moment.
-bool ProcessSupervisor::adopt(const std::string& instance, const store::ProcessRecord& process) {
-  return retry_while_short([&] { return processes_.adopt(instance, process); },
-                           [&](const ResourceShortage& shortage) {
-                             PEARCHUTE_LOG(spdlog::level::warn,
-                                           "instance {}: {}; tried again for some seconds", instance,
-                                           shortage.what());
-                           });
+void ProcessSupervisor::adopt(const std::string& name, const store::ProcessRecord& process,
+                              Instance& instance) {
+  const bool runs = try_adopt(name, process);
+  if (runs && process.command_version > 0) instance.running_version = process.command_version;
+  spdlog::info("instance {}: process {} {}", name, process.pid, runs ? "is adopted" : "has ended");
 }
 
-void ProcessSupervisor::own(const std::string& name, const OwnedInstance& owned,
-                            const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
-                            const std::map<std::string, store::ProcessRecord>& processes) {
-  auto& eye = eyes_[name] = std::make_unique<Eye>();
-  eye->caller = std::make_unique<admin::Caller>(loop_, owned.admin);
-  eye->version = owned.initial_version;
-  if (!lease_owner_) return;
-  fleet::LeaseOwner::PersistedInstance one;
-  one.wanted = owned.starts;
-  one.version = owned.initial_version;
-  if (const auto at = kept.find(name); at != kept.end()) one = at->second;
-  // A version that the charter names no more can't be started: the charter's own is.
-  if (!owned.commands.contains(one.version)) one.version = owned.initial_version;
-  eye->version = one.version;
-  if (const auto at = processes.find(name); at != processes.end()) {
-    const bool ours = adopt(name, at->second);
-    if (ours && at->second.command_version > 0) eye->version = at->second.command_version;
-    spdlog::info("instance {}: process {} {}", name, at->second.pid, ours ? "is adopted" : "has ended");
-  }
-  lease_owner_->add_instance(loop_.now(), name, one);
+// A process that can't be looked at for a moment must not be taken for one that has ended, and be started a
+// second time.
+bool ProcessSupervisor::try_adopt(const std::string& name, const store::ProcessRecord& process) {
+  const auto log_shortage = [&](const ResourceShortage& shortage) {
+    PEARCHUTE_LOG(spdlog::level::warn, "instance {}: {}; tried again for some seconds", name,
+                  shortage.what());
+  };
+  return retry_while_short([&] { return processes_.adopt(name, process); }, log_shortage);
 }
 
 std::vector<std::string> ProcessSupervisor::change(const AgentConfig& next) {
-  std::vector<std::string> told;
-  const AgentConfig before = config_;
+  std::vector<std::string> changes;
+  const AgentConfig previous = config_;
   config_.instances = next.instances;
-  for (const auto& [name, owned] : before.instances) {
+  for (const auto& [name, owned] : previous.instances) {
     const auto at = next.instances.find(name);
-    // Where it is reached is what makes it this instance: another place is another one.
+    // The admin address identifies an instance: with another one it is another instance.
     const bool same = at != next.instances.end() && at->second.admin.text == owned.admin.text;
     if (same) continue;
     if (lease_owner_ && !lease_owner_->remove_instance(loop_.now(), name)) {
       config_.instances[name] = owned;
-      told.push_back("instance " + name + " stays as it was: it is claimed");
+      changes.push_back("instance " + name + " stays as it was: it is claimed");
       continue;
     }
     processes_.release(name);
-    eyes_.erase(name);
+    instances_.erase(name);
     if (lease_owner_) store_.erase_instance(name);
-    told.push_back("instance " + name + " is not looked after any more; it runs on");
+    changes.push_back("instance " + name + " is not looked after any more; it runs on");
   }
   for (const auto& [name, owned] : config_.instances) {
-    if (eyes_.contains(name)) continue;
-    own(name, owned, {}, {});
-    told.push_back("instance " + name + " is looked after from now on");
+    if (instances_.contains(name)) continue;
+    supervise(name, owned, {}, {});
+    changes.push_back("instance " + name + " is looked after from now on");
   }
-  return told;
+  return changes;
 }
 
-// ---- What operators ask
+// ---- Requests of operators and coordinators
 
-fleet::LeaseTable::Answer ProcessSupervisor::ask(const fleet::LeaseRequest& ask) {
-  if (lease_owner_) return lease_owner_->acquire(loop_.now(), ask);
-  fleet::LeaseTable::Answer answer;
-  answer.fault = trouble_;
-  return answer;
+fleet::LeaseTable::Answer ProcessSupervisor::acquire(const fleet::LeaseRequest& request) {
+  if (lease_owner_) return lease_owner_->acquire(loop_.now(), request);
+  fleet::LeaseTable::Answer refusal;
+  refusal.fault = store_error_;
+  return refusal;
 }
 
 bool ProcessSupervisor::renew(const std::string& operation, const std::vector<std::string>& instances,
-                              Span lease) {
-  return lease_owner_ && lease_owner_->renew(loop_.now(), operation, instances, lease);
+                              fleet::Duration lease_duration) {
+  return lease_owner_ && lease_owner_->renew(loop_.now(), operation, instances, lease_duration);
 }
 
 void ProcessSupervisor::release(const std::string& operation) {
   if (lease_owner_) lease_owner_->release(loop_.now(), operation);
 }
 
-bool ProcessSupervisor::step(const std::string& instance, const fleet::Step& step, std::string& fault) {
-  if (!lease_owner_) return fault = trouble_, false;
-  const auto at = config_.instances.find(instance);
-  if (at != config_.instances.end() && step.kind == fleet::StepKind::change &&
-      !at->second.commands.contains(step.version))
-    return fault = "no command of version " + std::to_string(step.version), false;
-  return lease_owner_->step(loop_.now(), instance, step, fault);
+bool ProcessSupervisor::step(const std::string& name, const fleet::Step& step, std::string& error) {
+  if (!lease_owner_) {
+    error = store_error_;
+    return false;
+  }
+  const auto at = config_.instances.find(name);
+  const bool known = at != config_.instances.end();
+  if (known && step.kind == fleet::StepKind::change && !at->second.commands.contains(step.version)) {
+    error = "no command of version " + std::to_string(step.version);
+    return false;
+  }
+  return lease_owner_->step(loop_.now(), name, step, error);
+}
+
+std::vector<ProcessSupervisor::InstanceStatus> ProcessSupervisor::instances() const {
+  std::vector<InstanceStatus> statuses;
+  for (const auto& [name, owned] : config_.instances) statuses.push_back(status_of(name, owned));
+  return statuses;
 }
 
-std::vector<ProcessSupervisor::Seen> ProcessSupervisor::seen() const {
-  std::vector<Seen> all;
-  for (const auto& [name, owned] : config_.instances) {
-    Seen& one = all.emplace_back();
-    one.instance = name, one.zone = owned.zone;
-    const Eye& eye = *eyes_.at(name);
-    one.pid = eye.pid, one.done = eye.done, one.answered = eye.answered;
-    one.open = eye.open, one.life = eye.life;
-    if (!lease_owner_) {
-      one.condition = !eye.answers             ? fleet::InstanceState::unseen
-                      : eye.rest == "drained"  ? fleet::InstanceState::drained
-                      : eye.rest == "draining" ? fleet::InstanceState::draining
-                      : eye.phase == "serving" ? fleet::InstanceState::serving
-                                               : fleet::InstanceState::starting;
-      continue;
-    }
-    const fleet::InstanceLifecycle& life = *lease_owner_->lifecycle(name);
-    one.condition = life.condition(), one.version = life.version(), one.falls = life.crash_count();
-    one.claim = lease_owner_->leases().lease_on(loop_.now(), name);
-    one.under_way = life.current_step(), one.last = life.last_step();
-    if (const auto process = processes_.process_of(name)) one.pid = process->pid;
+ProcessSupervisor::InstanceStatus ProcessSupervisor::status_of(const std::string& name,
+                                                               const OwnedInstance& owned) const {
+  const ManagerStatus& manager = instances_.at(name)->manager.status();
+  InstanceStatus status;
+  status.name = name;
+  status.zone = owned.zone;
+  status.pid = manager.pid;
+  status.process_id = manager.started_unix_ms;
+  status.done = manager.done;
+  status.answered = manager.answered_requests;
+  status.open = manager.open_requests;
+  if (!lease_owner_) {
+    status.state = state_of(manager);
+    return status;
   }
-  return all;
+  const InstanceLifecycle& lifecycle = *lease_owner_->lifecycle(name);
+  status.state = lifecycle.condition();
+  status.version = lifecycle.version();
+  status.crashes = lifecycle.crash_count();
+  status.lease = lease_owner_->leases().lease_on(loop_.now(), name);
+  status.current_step = lifecycle.current_step();
+  status.last_step = lifecycle.last_step();
+  if (const auto process = processes_.process_of(name)) status.pid = process->pid;
+  return status;
 }
 
-// ---- Eyes
-
-void ProcessSupervisor::look() {
-  for (auto& [name, eye] : eyes_) {
-    if (eye->looking) continue;
-    eye->looking = true;
-    admin::v1::Call call;
-    call.mutable_status();
-    eye->caller->call(call, answers_within, [this, name = name](CallEnd end, const admin::v1::Reply& reply) {
-      Eye& seen = *eyes_.at(name);
-      seen.looking = false, seen.looked = true;
-      seen.answers = end == CallEnd::answered && reply.outcome() == admin::v1::ok;
-      const admin::v1::Identity& identity = reply.status().identity();
-      seen.phase = identity.phase(), seen.rest = identity.rest();
-      seen.pid = static_cast<std::int64_t>(identity.pid());
-      seen.life = identity.started_unix_ms(), seen.open = reply.status().open_jobs();
-      const auto counters = nlohmann::json::parse(reply.status().counters(), nullptr, false);
-      if (counters.is_object() && counters.contains("answered")) {
-        const auto& answers = counters["answered"];
-        seen.done = answers.value("done", std::uint64_t{0});
-        seen.answered = seen.done + answers.value("throttled", std::uint64_t{0}) +
-                        answers.value("cancelled", std::uint64_t{0});
-      }
-      looked(name);
-    });
-  }
-  loop_.at(loop_.now() + look_every, [this, alive = alive_] {
-    if (*alive) look();
+// ---- Observation
+
+void ProcessSupervisor::poll_managers() {
+  for (auto& [name, instance] : instances_) instance->manager.poll([this, name = name] { on_status(name); });
+  loop_.at(loop_.now() + poll_interval, [this, alive = alive_] {
+    if (*alive) poll_managers();
   });
 }
 
-bool ProcessSupervisor::looked_at_all() const {
-  return std::ranges::all_of(eyes_, [](const auto& one) { return one.second->looked; });
+bool ProcessSupervisor::has_observed_all() const {
+  return std::ranges::all_of(instances_,
+                             [](const auto& entry) { return entry.second->manager.has_polled(); });
 }
 
-void ProcessSupervisor::looked(const std::string& name) {
+void ProcessSupervisor::on_status(const std::string& name) {
   if (!lease_owner_) return;
-  const Eye& eye = *eyes_.at(name);
-  fleet::InstanceLifecycle::Observation look;
-  look.ours = processes_.alive(name);
-  look.answers = eye.answers;
-  // The shell that was started may have become the manager or be its parent: a session of ours holds both.
-  const auto process = processes_.process_of(name);
-  look.is_ours = look.ours && process &&
-                 (eye.pid == process->pid || ::getsid(static_cast<pid_t>(eye.pid)) == process->pid);
-  look.serves = eye.phase == "serving";
-  look.drains = eye.rest == "draining", look.drained = eye.rest == "drained";
-  look.version = eye.version;
-  lease_owner_->observe(loop_.now(), name, look);
+  const InstanceLifecycle::Observation observation = observe(name);
+  lease_owner_->observe(loop_.now(), name, observation);
+}
+
+InstanceLifecycle::Observation ProcessSupervisor::observe(const std::string& name) {
+  const Instance& instance = *instances_.at(name);
+  const ManagerStatus& status = instance.manager.status();
+  InstanceLifecycle::Observation observation;
+  observation.ours = processes_.alive(name);
+  observation.answers = status.answered;
+  // The shell that was started may have become the manager, or be its parent: both are in a session of ours.
+  const std::optional<store::ProcessRecord> process = processes_.process_of(name);
+  observation.is_ours =
+      observation.ours && process &&
+      (status.pid == process->pid || ::getsid(static_cast<pid_t>(status.pid)) == process->pid);
+  observation.serves = status.phase == "serving";
+  observation.drains = status.drain_state == "draining";
+  observation.drained = status.drain_state == "drained";
+  observation.version = instance.running_version;
+  return observation;
 }
 
-void ProcessSupervisor::wake_at(Span when) {
-  if (wake_ && *wake_ <= when && *wake_ > loop_.now()) return;
-  wake_ = when;
+// ---- What the lease owner decides
+
+void ProcessSupervisor::wake_at(TimePoint when) {
+  if (wake_at_ && *wake_at_ <= when && *wake_at_ > loop_.now()) return;
+  wake_at_ = when;
   loop_.at(when, [this, alive = alive_] {
     if (!*alive) return;
-    wake_.reset();
+    wake_at_.reset();
     lease_owner_->on_timer(loop_.now());
   });
 }
 
-// ---- Hands
-
-bool ProcessSupervisor::write(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
-                              const std::string& why) {
-  if (store_.write_instances(kept)) return true;
-  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.last_error(), why);
+bool ProcessSupervisor::write(const PersistedInstances& instances, const std::string& intent) {
+  if (store_.write_instances(instances)) return true;
+  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.last_error(), intent);
   return false;
 }
 
@@ -251,48 +247,27 @@
     PEARCHUTE_LOG(spdlog::level::err, "instance {}: no command of version {}", name, version);
     return;
   }
-  std::string fault;
-  const bool started = processes_.start(
-      name, command->second, owned.log,
-      [&](store::ProcessRecord process) {
-        process.command_version = version;
-        return store_.write_process(name, process);
-      },
-      fault);
-  if (started) eyes_.at(name)->version = version;
+  const auto persist = [&](store::ProcessRecord process) {
+    process.command_version = version;
+    return store_.write_process(name, process);
+  };
+  std::string error;
+  const bool started = processes_.start(name, command->second, owned.log, persist, error);
+  if (started) instances_.at(name)->running_version = version;
   PEARCHUTE_LOG(started ? spdlog::level::info : spdlog::level::err, "instance {}: {}", name,
-                started ? "started, version " + std::to_string(version) : "can't be started: " + fault);
+                started ? "started, version " + std::to_string(version) : "can't be started: " + error);
 }
 
-void ProcessSupervisor::request_shutdown(const std::string& name, Span within) {
-  admin::v1::Call call;
-  call.mutable_end()->set_within_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(within).count()));
-  eyes_.at(name)->caller->call(call, answers_within, {});
+void ProcessSupervisor::request_shutdown(const std::string& name, fleet::Duration within) {
+  instances_.at(name)->manager.request_shutdown(within);
 }
 
 void ProcessSupervisor::cancel_shutdown(const std::string& name) {
-  admin::v1::Call call;
-  call.mutable_end()->set_called_off(true);
-  eyes_.at(name)->caller->call(call, answers_within, {});
+  instances_.at(name)->manager.cancel_shutdown();
 }
 
-// Under the operation's name, and with a generation over all that the manager knows.
 void ProcessSupervisor::set_drain(const std::string& name, bool drains, const fleet::Step& step) {
-  admin::v1::Call known;
-  known.mutable_orders();
-  eyes_.at(name)->caller->call(
-      known, answers_within,
-      [this, alive = alive_, name, drains, step](CallEnd end, const admin::v1::Reply& reply) {
-        if (!*alive || end != CallEnd::answered) return;
-        admin::v1::Call call;
-        admin::v1::Order& order = *call.mutable_order();
-        order.set_id(step.operation + "-" + std::to_string(step.fence) + (drains ? "-drain" : "-restore"));
-        order.set_holder("agent:" + config_.name), order.set_drains(drains);
-        order.set_generation(reply.orders().newest_generation() + 1);
-        // A drained instance stays so until somebody resumes it, a day at most.
-        order.set_lease_ms(24 * 3600 * 1000), order.set_reason("operation " + step.operation);
-        eyes_.at(name)->caller->call(call, answers_within, {});
-      });
+  instances_.at(name)->manager.order_drain("agent:" + config_.name, drains, step);
 }
 
 void ProcessSupervisor::terminate(const std::string& name) {
@@ -306,16 +281,16 @@
 }
 
 void ProcessSupervisor::step_ended(const std::string& name, const fleet::Step& step, fleet::StepEnd end,
-                                   const std::string& word) {
+                                   const std::string& reason) {
   spdlog::info("instance {}: step of {} under fence {}: {}, {}", name, step.operation, step.fence,
-               name_of(end), word);
+               name_of(end), reason);
 }
 
-void ProcessSupervisor::lease_ended(const std::string& name, const fleet::Lease& claim,
-                                    fleet::LeaseTable::EndReason why) {
-  constexpr std::string_view words[] = {"has run out", "is given back", "is taken over"};
-  spdlog::info("instance {}: the claim of {} for {} {}", name, claim.who, claim.operation,
-               words[static_cast<int>(why)]);
+void ProcessSupervisor::lease_ended(const std::string& name, const fleet::Lease& lease,
+                                    fleet::LeaseTable::EndReason reason) {
+  constexpr std::array<std::string_view, 3> descriptions = {"has run out", "is released", "is taken over"};
+  spdlog::info("instance {}: the lease of {} for {} {}", name, lease.who, lease.operation,
+               descriptions[static_cast<std::size_t>(reason)]);
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -45,6 +45,7 @@
   std::optional<store::ProcessRecord> process_of(const std::string& instance) const;
 
  private:
+  // A process that can't be confused with another one.
   struct Handle {
     FileDescriptor pidfd;
     store::ProcessRecord process;
--- a/src/agent/wire.h
+++ b/src/agent/wire.h
@@ -1,10 +1,11 @@
-// Between the agents' messages and the decisions' terms, both ways. A word that is not known throws
-// MessageError.
+// The agents' messages on leases, steps and rollouts, to and from the fleet's types. The only place, with
+// gossip_wire.h and config_wire.h, that knows the messages' fields.
+//
+// Every from_wire throws MessageError where a value is unknown or out of its bounds.
 #pragma once
 
 #include "agent.pb.h"
 #include "errors/error.h"
-#include "fleet/gossip_state.h"
 #include "fleet/lease_owner.h"
 #include "fleet/rollout.h"
 
@@ -12,15 +13,25 @@
 
 std::string_view name_of(fleet::StepKind kind);
 std::string_view name_of(fleet::StepEnd end);
-fleet::InstanceState parse_instance_state(const std::string& word);
+// `unseen` where the name is unknown: a newer agent may have states that this one lacks.
+fleet::InstanceState parse_instance_state(const std::string& name);
+
+// Rounded down. REQUIRES: not negative.
+std::uint64_t whole_milliseconds(fleet::Duration duration);
+
 v1::Step to_wire(const fleet::Step& step);
 fleet::Step from_wire(const v1::Step& step);
-v1::InstanceWord to_wire(const fleet::StatusReport& word);
-v1::News to_wire(const fleet::ReportDelta& news);
-std::optional<fleet::ReportDelta> from_wire(const v1::News& news);  // none where it holds what can't be
-v1::Ended to_wire(const fleet::InstanceLifecycle::CompletedStep& past);
-fleet::InstanceLifecycle::CompletedStep from_wire(const v1::Ended& ended);
+v1::Ended to_wire(const fleet::InstanceLifecycle::CompletedStep& completed);
+fleet::InstanceLifecycle::CompletedStep from_wire(const v1::Ended& completed);
+
+v1::ClaimAsk to_wire(const fleet::LeaseRequest& request);
+fleet::LeaseRequest from_wire(const v1::ClaimAsk& request);
+std::chrono::milliseconds lease_duration_from_wire(std::uint64_t lease_ms);
+// `now` is by the clock of the leases.
+v1::Claim to_wire(const fleet::Lease& lease, fleet::TimePoint now);
+v1::ClaimAnswer to_wire(const fleet::LeaseTable::Answer& response, fleet::TimePoint now);
+
 v1::Plan to_wire(const fleet::RolloutPlan& plan);
-fleet::RolloutPlan from_wire(const v1::Plan& plan);  // out of bounds throws as well
+fleet::RolloutPlan from_wire(const v1::Plan& plan);
 
 }  // namespace pearchute::agent
--- a/src/lab/scale/hollow_agent.cpp
+++ b/src/lab/scale/hollow_agent.cpp
@@ -103,7 +103,7 @@
 
 agent::v1::Shown HollowAgent::known() const {
   agent::v1::Shown shown;
-  gossip_->tell(shown);
+  gossip_->show(shown);
   return shown;
 }
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -130,11 +130,11 @@
 Store::WriteResult Store::try_transaction(const std::function<void()>& statements) {
   try {
     SQLite::Transaction transaction(*database_);
-    reach_stage(TransactionStage::begun);
+    notify_stage(TransactionStage::begun);
     statements();
-    reach_stage(TransactionStage::executed);
+    notify_stage(TransactionStage::executed);
     transaction.commit();
-    reach_stage(TransactionStage::committed);
+    notify_stage(TransactionStage::committed);
     last_error_.clear();
     return WriteResult::written;
   } catch (const SQLite::Exception& failure) {
@@ -143,7 +143,7 @@
   }
 }
 
-void Store::reach_stage(TransactionStage stage) const {
+void Store::notify_stage(TransactionStage stage) const {
   if (observe_stage_) observe_stage_(stage);
 }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -84,11 +84,12 @@
   fleet::ConfigReplica::State config() const;
 
  private:
+  // `retryable`: nothing was done, and the cause may be over at once.
   enum class WriteResult { written, retryable, failed };
 
   bool in_transaction(const std::function<void()>& statements);
   WriteResult try_transaction(const std::function<void()>& statements);
-  void reach_stage(TransactionStage stage) const;
+  void notify_stage(TransactionStage stage) const;
   OpenStatus open_database(std::string& error);
   OpenStatus check_and_migrate(std::string& error);
   void check_records() const;
