--- a/src/ctl/batch_executor.cpp
+++ b/src/ctl/batch_executor.cpp
@@ -1,5 +1,9 @@
 #include "ctl/batch_executor.h"
 
+#include <algorithm>
+#include <future>
+#include <memory>
+#include <numeric>
 #include <thread>
 
 namespace pearchute::ctl {
@@ -7,7 +11,19 @@
 using admin::CallEnd;
 using admin::Caller;
 
-std::string CallResult::trouble() const {
+namespace {
+
+constexpr std::chrono::milliseconds watch_check_interval(50);
+
+// An empty page has no next one, whatever it says.
+bool has_next_page(const admin::v1::Reply& reply) {
+  return (reply.engines().more() && reply.engines().engines_size() > 0) ||
+         (reply.orders().more() && reply.orders().orders_size() > 0);
+}
+
+}  // namespace
+
+std::string CallResult::error() const {
   if (!answered()) return std::string(name_of(end));
   switch (reply.outcome()) {
     case admin::v1::ok:
@@ -19,98 +35,119 @@
   }
 }
 
-std::vector<CallResult> BatchExecutor::ask(const Instances& instances,
-                                           const std::function<admin::v1::Call(std::size_t)>& call_for) {
-  struct Round {
-    std::vector<CallResult> heard;
-    std::vector<std::unique_ptr<Caller>> callers;
-    std::size_t next = 0, left = 0;
-    std::promise<void> done;
-    std::function<void()> go_on;
-  };
-  const auto round = std::make_shared<Round>();
-  round->heard.resize(instances.size());
-  round->callers.resize(instances.size());
-  round->left = instances.size();
+// One call to each instance. Lives on the loop, but for its construction and results().
+class BatchExecutor::Round {
+ public:
+  Round(BatchExecutor& executor, const Instances& instances,
+        const std::function<admin::v1::Call(std::size_t)>& call_for)
+      : executor_(executor),
+        instances_(instances),
+        call_for_(call_for),
+        results_(instances.size()),
+        callers_(instances.size()),
+        pending_(instances.size()) {}
+
+  void begin() {
+    for (std::size_t i = 0; i < std::min(executor_.parallel_, instances_.size()); ++i) call_next();
+  }
+
+  // Blocks until all calls are over.
+  std::vector<CallResult> results() {
+    all_over_.get_future().get();
+    return std::move(results_);
+  }
+
+ private:
+  void call_next() {
+    if (next_ == instances_.size()) return;
+    const std::size_t index = next_++;
+    callers_[index] = std::make_unique<Caller>(loop(), instances_[index]->place);
+    callers_[index]->call(call_for_(index), executor_.timeout_,
+                          [this, index](CallEnd end, const admin::v1::Reply& reply) {
+                            results_[index].end = end;
+                            results_[index].reply = reply;
+                            // The connection can't go within its own event.
+                            loop().soon([this, index] { finish(index); });
+                          });
+  }
+
+  void finish(std::size_t index) {
+    callers_[index].reset();
+    if (--pending_ == 0) all_over_.set_value();
+    else call_next();
+  }
+
+  net::Loop& loop() { return executor_.loop_thread_.loop(); }
+
+  BatchExecutor& executor_;
+  const Instances& instances_;
+  const std::function<admin::v1::Call(std::size_t)>& call_for_;
+  std::vector<CallResult> results_;
+  std::vector<std::unique_ptr<Caller>> callers_;
+  std::size_t next_ = 0;
+  std::size_t pending_;
+  std::promise<void> all_over_;
+};
+
+std::vector<CallResult> BatchExecutor::call(const Instances& instances,
+                                            const std::function<admin::v1::Call(std::size_t)>& call_for) {
   if (instances.empty()) return {};
-  auto done = round->done.get_future();
-  loop_thread_.on([&] {
-    round->go_on = [&, round = round.get()] {
-      if (round->next == instances.size()) return;
-      const std::size_t number = round->next++;
-      round->callers[number] = std::make_unique<Caller>(loop_thread_.loop(), instances[number]->place);
-      round->callers[number]->call(call_for(number), within_,
-                                   [&, round, number](CallEnd end, const admin::v1::Reply& reply) {
-                                     round->heard[number].end = end, round->heard[number].reply = reply;
-                                     // Its connection goes once this event is over, and the next instance has
-                                     // its turn.
-                                     loop_thread_.loop().soon([&, round, number] {
-                                       round->callers[number].reset();
-                                       if (--round->left == 0) round->done.set_value();
-                                       else round->go_on();
-                                     });
-                                   });
-    };
-    for (std::size_t i = 0; i < std::min(at_once_, instances.size()); ++i) round->go_on();
-  });
-  done.get();
-  loop_thread_.on([] {});  // the event that said so is over
-  return std::move(round->heard);
+  Round round(*this, instances, call_for);
+  loop_thread_.on([&] { round.begin(); });
+  std::vector<CallResult> results = round.results();
+  loop_thread_.on([] {});  // the event that ended the round is over, too
+  return results;
 }
 
-std::vector<CallResult> BatchExecutor::ask(const Instances& instances, const admin::v1::Call& call) {
-  return ask(instances, [&](std::size_t) { return call; });
+std::vector<CallResult> BatchExecutor::call(const Instances& instances, const admin::v1::Call& call) {
+  return this->call(instances, [&](std::size_t) { return call; });
 }
 
-CallResult BatchExecutor::ask_one(const Instance& instance, const admin::v1::Call& call) {
-  return ask({&instance}, call).front();
+CallResult BatchExecutor::call_one(const Instance& instance, const admin::v1::Call& call) {
+  return this->call({&instance}, call).front();
 }
 
-std::vector<BatchExecutor::Pages> BatchExecutor::ask_pages(
+std::vector<BatchExecutor::Pages> BatchExecutor::call_pages(
     const Instances& instances, const std::function<admin::v1::Call(const Pages&)>& call_for) {
   std::vector<Pages> pages(instances.size());
-  std::vector<std::size_t> open(instances.size());
-  for (std::size_t i = 0; i < open.size(); ++i) open[i] = i;
-  while (!open.empty()) {
-    Instances asked;
-    for (const std::size_t i : open) asked.push_back(instances[i]);
-    const std::vector<CallResult> heard =
-        ask(asked, [&](std::size_t at) { return call_for(pages[open[at]]); });
-    std::vector<std::size_t> more;
-    for (std::size_t at = 0; at < heard.size(); ++at) {
-      const admin::v1::Reply& reply = heard[at].reply;
-      pages[open[at]].push_back(heard[at]);
-      // An empty page has no next one, whatever it says.
-      const bool next = (reply.engines().more() && reply.engines().engines_size() > 0) ||
-                        (reply.orders().more() && reply.orders().orders_size() > 0);
-      if (heard[at].ok() && next) more.push_back(open[at]);
+  std::vector<std::size_t> incomplete(instances.size());  // indices
+  std::iota(incomplete.begin(), incomplete.end(), std::size_t{0});
+  while (!incomplete.empty()) {
+    Instances called;
+    for (const std::size_t index : incomplete) called.push_back(instances[index]);
+    const std::vector<CallResult> results =
+        call(called, [&](std::size_t i) { return call_for(pages[incomplete[i]]); });
+    std::vector<std::size_t> still_incomplete;
+    for (std::size_t i = 0; i < results.size(); ++i) {
+      pages[incomplete[i]].push_back(results[i]);
+      if (results[i].ok() && has_next_page(results[i].reply)) still_incomplete.push_back(incomplete[i]);
     }
-    open = more;
+    incomplete = still_incomplete;
   }
   return pages;
 }
 
 void BatchExecutor::watch(const Instances& instances, std::chrono::milliseconds time,
-                          const std::function<void(const Instance&, const admin::v1::Event&)>& event,
-                          const std::function<void(const Instance&, const std::string&)>& ended,
+                          const std::function<void(const Instance&, const admin::v1::Event&)>& on_event,
+                          const std::function<void(const Instance&, const std::string&)>& on_end,
                           const std::function<bool()>& done) {
   std::vector<std::unique_ptr<Caller>> callers;
-  std::size_t left = instances.size();
+  std::size_t watching = instances.size();
   loop_thread_.on([&] {
     for (const Instance* instance : instances) {
       callers.push_back(std::make_unique<Caller>(loop_thread_.loop(), instance->place));
       callers.back()->watch(
-          0, within_, [&, instance](const admin::v1::Event& what) { event(*instance, what); },
+          0, timeout_, [&, instance](const admin::v1::Event& event) { on_event(*instance, event); },
           [&, instance](CallEnd end, const admin::v1::Reply& reply) {
-            --left;
-            ended(*instance, CallResult{end, reply}.trouble());
+            --watching;
+            on_end(*instance, CallResult{end, reply}.error());
           });
     }
   });
-  const auto until = std::chrono::steady_clock::now() + time;
-  while (!done() && (time.count() == 0 || std::chrono::steady_clock::now() < until)) {
-    if (loop_thread_.on([&] { return left; }) == 0) break;
-    std::this_thread::sleep_for(std::chrono::milliseconds(50));
+  const auto deadline = std::chrono::steady_clock::now() + time;
+  while (!done() && (time.count() == 0 || std::chrono::steady_clock::now() < deadline)) {
+    if (loop_thread_.on([&] { return watching; }) == 0) break;
+    std::this_thread::sleep_for(watch_check_interval);
   }
   loop_thread_.on([&] { callers.clear(); });
 }
--- a/src/ctl/fleet_file.cpp
+++ b/src/ctl/fleet_file.cpp
@@ -1,79 +1,131 @@
 #include "ctl/fleet_file.h"
 
 #include <algorithm>
-#include <map>
+#include <cctype>
+#include <set>
+#include <string_view>
 
 #include "ini/reader.h"
 
 namespace pearchute::ctl {
 
-Fleet read_fleet(const std::string& file) {
-  constexpr std::size_t most_instances = 5000;  // far over the fleets that one person oversees
-  Fleet fleet;
-  std::map<std::string, std::size_t> places;
-  ini::read(file, [&](const std::string& section, const std::string& name, const std::string& text) {
-    if (section == "fleet") {
-      if (name == "timeout_ms")
-        fleet.answers_within = std::chrono::milliseconds(ini::whole(name, text, 10, 60'000));
-      // Each takes a descriptor.
-      else if (name == "parallel") fleet.at_once = static_cast<std::size_t>(ini::whole(name, text, 1, 500));
-      else throw ini::Error("'" + name + "' is not known in [fleet]");
-      return;
-    }
-    if (section.starts_with("agent ") && section.size() > 6 && section.find(' ', 6) == std::string::npos) {
-      if (name != "control") throw ini::Error("'" + name + "' is not known in [agent NAME]");
-      fleet.agents.push_back({section.substr(6), keys::parse_endpoint(text)});
-      return;
-    }
+namespace {
+
+constexpr std::size_t max_instances = 5000;  // far over the fleets that one person oversees
+constexpr std::int64_t min_timeout_ms = 10;
+constexpr std::int64_t max_timeout_ms = 60'000;
+constexpr std::int64_t max_parallel = 500;  // each takes a descriptor
+constexpr std::string_view agent_prefix = "agent ";
+constexpr std::string_view instance_prefix = "instance ";
+
+[[noreturn]] void throw_unknown(const std::string& name, const std::string& section) {
+  throw ini::Error("'" + name + "' is not known in [" + section + "]");
+}
+
+bool is_label_name(const std::string& name) {
+  const auto is_valid = [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_'; };
+  return !name.empty() && std::ranges::all_of(name, is_valid);
+}
+
+// `text`: NAME or NAME=VALUE, several set apart by commas.
+void add_labels(const std::string& text, std::map<std::string, std::string>& labels) {
+  for (const std::string& item : ini::list(text)) {
+    const std::size_t equal = item.find('=');
+    const std::string name = item.substr(0, equal);
+    if (!is_label_name(name)) throw ini::Error("'" + item + "' is no label: NAME=VALUE, set apart by commas");
+    labels[name] = equal == std::string::npos ? "" : item.substr(equal + 1);
+  }
+}
+
+// Takes the file's lines one by one, and checks the whole at the end.
+class Parser {
+ public:
+  void take_line(const std::string& section, const std::string& name, const std::string& text) {
+    if (section == "fleet") return take_fleet_line(name, text);
+    const bool is_agent = section.starts_with(agent_prefix) && section.size() > agent_prefix.size() &&
+                          section.find(' ', agent_prefix.size()) == std::string::npos;
+    if (is_agent) return take_agent_line(section.substr(agent_prefix.size()), name, text);
     if (section == "tls") {
-      if (!keys::set_tls_file(fleet.tls, name, text))
-        throw ini::Error("'" + name + "' is not known in [tls]");
+      if (!keys::set_tls_file(fleet_.tls, name, text)) throw_unknown(name, "tls");
       return;
     }
-    if (!section.starts_with("instance "))
+    if (!section.starts_with(instance_prefix))
       throw ini::Error("[" + section +
                        "] is not known; [fleet], [tls], [agent NAME] and [instance NAME] are");
-    const std::string who = section.substr(9);
-    if (who.empty() || who.find_first_of(" \t") != std::string::npos)
-      throw ini::Error("'" + who + "' is no name for an instance");
-    const auto known =
-        std::ranges::find(fleet.instances, who, [](const Instance& one) { return one.facts.name; });
-    if (known == fleet.instances.end() && fleet.instances.size() == most_instances)
-      throw ini::Error("more than " + std::to_string(most_instances) + " instances");
-    Instance& instance = known != fleet.instances.end() ? *known : fleet.instances.emplace_back();
-    instance.facts.name = who;
-    if (name == "admin") {
-      instance.place = admin::place_in(text);
-      instance.facts.admin = text;
-      const auto [at, first] = places.emplace(text, fleet.instances.size());
-      if (!first) throw ini::Error("another instance has the admin address " + text);
-    } else if (name == "zone") {
-      instance.facts.zone = text;
-    } else if (name == "start") {
-      instance.start = text;
-    } else if (name == "labels") {
-      for (const std::string& item : ini::list(text)) {
-        const std::size_t equal = item.find('=');
-        const std::string label = item.substr(0, equal);
-        const bool fits = !label.empty() && std::ranges::all_of(label, [](unsigned char c) {
-          return std::isalnum(c) || c == '-' || c == '_';
-        });
-        if (!fits) throw ini::Error("'" + item + "' is no label: NAME=VALUE, set apart by commas");
-        instance.facts.labels[label] = equal == std::string::npos ? "" : item.substr(equal + 1);
-      }
-    } else {
-      throw ini::Error("'" + name + "' is not known in [instance NAME]");
+    take_instance_line(instance_named(section.substr(instance_prefix.size())), name, text);
+  }
+
+  // Throws ini::Error where something is missing.
+  Fleet finish(const std::string& file) const {
+    for (const Instance& instance : fleet_.instances) {
+      if (instance.place.text.empty())
+        throw ini::Error("instance " + instance.facts.name + " has no 'admin'", file);
     }
-  });
-  for (const Instance& one : fleet.instances) {
-    if (one.place.text.empty()) throw ini::Error("instance " + one.facts.name + " has no 'admin'", file);
+    const std::string missing = keys::missing_tls_file(fleet_.tls);
+    for (const AgentAddress& agent : fleet_.agents) {
+      if (agent.control.tls && !missing.empty())
+        throw ini::Error("agent " + agent.name + " needs '" + missing + "' in [tls]", file);
+    }
+    if (fleet_.instances.empty()) throw ini::Error("no instance is named", file);
+    return fleet_;
   }
-  for (const AgentPlace& one : fleet.agents) {
-    if (const std::string lacks = keys::missing_tls_file(fleet.tls); one.control.tls && !lacks.empty())
-      throw ini::Error("agent " + one.name + " needs '" + lacks + "' in [tls]", file);
+
+ private:
+  void take_fleet_line(const std::string& name, const std::string& text) {
+    if (name == "timeout_ms")
+      fleet_.answers_within =
+          std::chrono::milliseconds(ini::whole(name, text, min_timeout_ms, max_timeout_ms));
+    else if (name == "parallel")
+      fleet_.at_once = static_cast<std::size_t>(ini::whole(name, text, 1, max_parallel));
+    else throw_unknown(name, "fleet");
+  }
+
+  void take_agent_line(const std::string& agent, const std::string& name, const std::string& text) {
+    if (name != "control") throw_unknown(name, "agent NAME");
+    fleet_.agents.push_back({agent, keys::parse_endpoint(text)});
+  }
+
+  // The instance of that name, which may be new.
+  Instance& instance_named(const std::string& name) {
+    if (name.empty() || name.find_first_of(" \t") != std::string::npos)
+      throw ini::Error("'" + name + "' is no name for an instance");
+    const auto known = std::ranges::find(fleet_.instances, name,
+                                         [](const Instance& instance) { return instance.facts.name; });
+    if (known != fleet_.instances.end()) return *known;
+    if (fleet_.instances.size() == max_instances)
+      throw ini::Error("more than " + std::to_string(max_instances) + " instances");
+    Instance& instance = fleet_.instances.emplace_back();
+    instance.facts.name = name;
+    return instance;
+  }
+
+  void take_instance_line(Instance& instance, const std::string& name, const std::string& text) {
+    if (name == "admin") set_admin(instance, text);
+    else if (name == "zone") instance.facts.zone = text;
+    else if (name == "start") instance.start_command = text;
+    else if (name == "labels") add_labels(text, instance.facts.labels);
+    else throw_unknown(name, "instance NAME");
   }
-  if (fleet.instances.empty()) throw ini::Error("no instance is named", file);
-  return fleet;
+
+  void set_admin(Instance& instance, const std::string& text) {
+    instance.place = admin::place_in(text);
+    instance.facts.admin = text;
+    if (!admin_addresses_.insert(text).second)
+      throw ini::Error("another instance has the admin address " + text);
+  }
+
+  Fleet fleet_;
+  std::set<std::string> admin_addresses_;
+};
+
+}  // namespace
+
+Fleet read_fleet(const std::string& file) {
+  Parser parser;
+  ini::read(file, [&](const std::string& section, const std::string& name, const std::string& text) {
+    parser.take_line(section, name, text);
+  });
+  return parser.finish(file);
 }
 
 }  // namespace pearchute::ctl
--- a/src/ctl/keys.cpp
+++ b/src/ctl/keys.cpp
@@ -1,6 +1,10 @@
 #include "ctl/keys.h"
 
 #include <algorithm>
+#include <array>
+#include <chrono>
+#include <ctime>
+#include <vector>
 
 #include "fleet/command_outcome.h"
 #include "keys/authority.h"
@@ -9,65 +13,73 @@
 
 namespace {
 
-std::string day_of(std::chrono::system_clock::time_point time) {
+constexpr int hours_per_day = 24;
+// Ten years: another authority means new certificates for everybody.
+constexpr std::chrono::hours authority_lifetime(hours_per_day * 3650);
+
+// In UTC.
+std::string time_text(std::chrono::system_clock::time_point time) {
   const std::time_t seconds = std::chrono::system_clock::to_time_t(time);
   std::tm parts{};
   ::gmtime_r(&seconds, &parts);
-  char text[32];
-  std::strftime(text, sizeof text, "%Y-%m-%d %H:%M", &parts);
-  return text;
+  std::array<char, 32> text{};
+  std::strftime(text.data(), text.size(), "%Y-%m-%d %H:%M", &parts);
+  return text.data();
 }
 
-void tell(const std::vector<keys::Certificate>& all, const std::vector<std::string>& revoked,
-          Output& output) {
-  Rows rows;
+const char* state_of(const keys::Certificate& certificate, const std::vector<std::string>& revoked_serials) {
   const auto now = std::chrono::system_clock::now();
-  for (const keys::Certificate& one : all) {
-    const bool gone = std::ranges::find(revoked, one.serial) != revoked.end();
-    const char* state = gone                    ? "revoked"
-                        : now > one.valid_until ? "expired"
-                        : now < one.valid_from  ? "not yet"
-                                                : "holds";
-    rows.push_back({{"name", one.name},
-                    {"role", one.role ? std::string(fleet::name_of(*one.role)) : "none"},
-                    {"until", day_of(one.valid_until)},
-                    {"state", state},
-                    {"serial", one.serial}});
+  if (std::ranges::find(revoked_serials, certificate.serial) != revoked_serials.end()) return "revoked";
+  if (now > certificate.valid_until) return "expired";
+  return now < certificate.valid_from ? "not yet" : "holds";
+}
+
+void print_certificates(const std::vector<keys::Certificate>& certificates,
+                        const std::vector<std::string>& revoked_serials, Output& output) {
+  Rows rows;
+  for (const keys::Certificate& certificate : certificates) {
+    rows.push_back({{"name", certificate.name},
+                    {"role", certificate.role ? std::string(fleet::name_of(*certificate.role)) : "none"},
+                    {"until", time_text(certificate.valid_until)},
+                    {"state", state_of(certificate, revoked_serials)},
+                    {"serial", certificate.serial}});
   }
   output.rows(rows, {"name", "role", "until", "state", "serial"});
 }
 
 }  // namespace
 
-int keys_init(const KeyAsk& ask, Output& output) {
-  keys::Authority authority(ask.folder);
-  authority.init(ask.name, std::chrono::hours(24 * 3650));  // ten years: its change means new keys for all
-  output.line("authority of " + ask.name + " in " + ask.folder + "; keep ca.key away from the hosts");
+int keys_init(const KeyOptions& options, Output& output) {
+  keys::Authority authority(options.folder);
+  authority.init(options.name, authority_lifetime);
+  output.line("authority of " + options.name + " in " + options.folder + "; keep ca.key away from the hosts");
   return fleet::all_done;
 }
 
-int keys_issue(const KeyAsk& ask, Output& output) {
-  keys::Authority authority(ask.folder);
-  tell({authority.issue(ask.name, fleet::parse_role(ask.role), std::chrono::hours(24 * ask.days))}, {},
-       output);
+int keys_issue(const KeyOptions& options, Output& output) {
+  keys::Authority authority(options.folder);
+  const std::chrono::hours lifetime(hours_per_day * options.days);
+  print_certificates({authority.issue(options.name, fleet::parse_role(options.role), lifetime)}, {}, output);
   return fleet::all_done;
 }
 
-int keys_revoke(const KeyAsk& ask, Output& output) {
-  keys::Authority authority(ask.folder);
-  const keys::Certificate one = keys::read_certificate(authority.path(ask.name + ".pem"));
-  authority.revoke(one);
-  output.line(one.name + " is revoked; give " + authority.path("ca.crl") + " to the agents");
+int keys_revoke(const KeyOptions& options, Output& output) {
+  keys::Authority authority(options.folder);
+  const keys::Certificate certificate = keys::read_certificate(authority.path(options.name + ".pem"));
+  authority.revoke(certificate);
+  output.line(certificate.name + " is revoked; give " + authority.path("ca.crl") + " to the agents");
   return fleet::all_done;
 }
 
-int keys_show(const KeyAsk& ask, Output& output) {
-  keys::Authority authority(ask.folder);
-  if (!ask.file.empty()) {
-    tell({keys::read_certificate(ask.file)}, {}, output);
+int keys_show(const KeyOptions& options, Output& output) {
+  if (!options.file.empty()) {
+    print_certificates({keys::read_certificate(options.file)}, {}, output);
     return fleet::all_done;
   }
-  tell(authority.issued(), keys::revoked_serials(authority.path("ca.crl"), authority.path("ca.pem")), output);
+  const keys::Authority authority(options.folder);
+  const std::vector<keys::Certificate> issued = authority.issued();
+  print_certificates(issued, keys::revoked_serials(authority.path("ca.crl"), authority.path("ca.pem")),
+                     output);
   return fleet::all_done;
 }
 
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -3,54 +3,62 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
+#include <cstdio>
 #include <iostream>
+#include <utility>
 
 namespace pearchute::ctl {
 
 namespace {
 
-std::string text_of(const nlohmann::ordered_json& value) {
+using json = nlohmann::ordered_json;
+
+constexpr std::size_t column_gap = 2;
+constexpr const char* erase_line = "\r\033[K";
+
+std::string cell_text(const json& value) {
   if (value.is_string()) return value.get<std::string>();
   if (value.is_null()) return "";
   if (value.is_boolean()) return value.get<bool>() ? "yes" : "";
-  if (value.is_number_float()) {
-    char text[32];
-    std::snprintf(text, sizeof text, "%.2f", value.get<double>());
-    return text;
+  if (!value.is_number_float()) return value.dump();
+  std::array<char, 32> text{};
+  std::snprintf(text.data(), text.size(), "%.2f", value.get<double>());
+  return text.data();
+}
+
+std::string header_of(std::string column) {
+  std::ranges::replace(column, '_', ' ');
+  return column;
+}
+
+std::string line_of(const std::vector<std::string>& cells, const std::vector<std::size_t>& widths) {
+  std::string line;
+  for (std::size_t i = 0; i < cells.size(); ++i) {
+    const std::size_t width = widths[i] + column_gap;
+    line += cells[i] + std::string(width - std::min(width, cells[i].size()), ' ');
   }
-  return value.dump();
+  line.erase(line.find_last_not_of(' ') + 1);
+  return line + "\n";
 }
 
 }  // namespace
 
 std::string table(const Rows& rows, const std::vector<std::string>& columns) {
-  std::vector<std::size_t> widths;
-  for (const std::string& column : columns) {
-    std::size_t width = column.size();
-    for (const auto& row : rows) {
-      if (row.contains(column)) width = std::max(width, text_of(row[column]).size());
-    }
-    widths.push_back(width);
+  std::vector<std::vector<std::string>> lines(1);
+  for (const std::string& column : columns) lines[0].push_back(header_of(column));
+  for (const json& row : rows) {
+    std::vector<std::string> cells;
+    for (const std::string& column : columns)
+      cells.push_back(row.contains(column) ? cell_text(row[column]) : "");
+    lines.push_back(std::move(cells));
+  }
+  std::vector<std::size_t> widths(columns.size(), 0);
+  for (const std::vector<std::string>& cells : lines) {
+    for (std::size_t i = 0; i < cells.size(); ++i) widths[i] = std::max(widths[i], cells[i].size());
   }
   std::string text;
-  const auto put = [&](const auto& cell) {
-    std::string line;
-    for (std::size_t i = 0; i < columns.size(); ++i) {
-      const std::string what = cell(columns[i]);
-      line += what + std::string(widths[i] + 2 - std::min(widths[i] + 2, what.size()), ' ');
-    }
-    line.erase(line.find_last_not_of(' ') + 1);
-    text += line + "\n";
-  };
-  put([](const std::string& column) {
-    std::string head = column;
-    std::ranges::replace(head, '_', ' ');
-    return head;
-  });
-  for (const auto& row : rows)
-    put([&](const std::string& column) {
-      return row.contains(column) ? text_of(row[column]) : std::string();
-    });
+  for (const std::vector<std::string>& cells : lines) text += line_of(cells, widths);
   return text;
 }
 
@@ -64,10 +72,10 @@
 }
 
 void Output::progress(const std::string& text) {
-  if (text == last_) return;
-  last_ = text;
+  if (text == last_progress_) return;
+  last_progress_ = text;
   if (::isatty(STDERR_FILENO)) {
-    std::cerr << "\r\033[K" << text << std::flush;
+    std::cerr << erase_line << text << std::flush;
     in_place_ = true;
   } else {
     std::cerr << text << std::endl;
@@ -75,7 +83,7 @@
 }
 
 void Output::progress_over() {
-  if (in_place_) std::cerr << "\r\033[K" << std::flush;
+  if (in_place_) std::cerr << erase_line << std::flush;
   in_place_ = false;
 }
 
--- a/src/ctl/rows.h
+++ b/src/ctl/rows.h
@@ -16,6 +16,8 @@
 
 // A span for people: "4.2s", "75s", "3h07m".
 std::string age_text(std::uint64_t milliseconds);
+// In whole seconds: "75s".
+std::string seconds_text(std::uint64_t milliseconds);
 std::uint64_t unix_milliseconds();  // of the system's clock
 
 }  // namespace pearchute::ctl
--- a/src/ctl/selector.cpp
+++ b/src/ctl/selector.cpp
@@ -16,9 +16,9 @@
 
 using Field = std::function<const std::string*(const Facts&)>;  // nothing where a label is not there
 
-const auto word_char = x3::alnum | char_("-_.:/*?@");
-// A word of the language, and not the beginning of a longer one.
-const auto word = [](const char* text) { return lexeme[lit(text) >> !word_char]; };
+const auto name_char = x3::alnum | char_("-_.:/*?@");
+// A keyword, and not the beginning of a longer name.
+const auto keyword = [](const char* text) { return lexeme[lit(text) >> !name_char]; };
 
 const auto keep = [](auto& context) { x3::_val(context) = x3::_attr(context); };
 
@@ -42,14 +42,14 @@
   };
 };
 
-const auto plain = lexeme[+word_char];
+const auto plain = lexeme[+name_char];
 const auto quoted = lexeme['"' >> *(char_ - '"') >> '"'];
 const auto label_def = lexeme["label." >> +(x3::alnum | char_("-_"))];
 const auto value_def = quoted | plain;
 const auto values_def = '{' >> (value % ',') > '}';
-const auto field_def = word("name")[([](auto& c) { fact<&Facts::name>(c); })] |
-                       word("zone")[([](auto& c) { fact<&Facts::zone>(c); })] |
-                       word("admin")[([](auto& c) { fact<&Facts::admin>(c); })] | label[label_of];
+const auto field_def = keyword("name")[([](auto& c) { fact<&Facts::name>(c); })] |
+                       keyword("zone")[([](auto& c) { fact<&Facts::zone>(c); })] |
+                       keyword("admin")[([](auto& c) { fact<&Facts::admin>(c); })] | label[label_of];
 
 // The comparison of the test's field, which `test` holds as "it is there", with what follows.
 enum class By { equal, unequal, like, unlike };
@@ -89,15 +89,16 @@
 
 using Position = std::string::const_iterator;
 // What has to come next, in the words of the message where it does not.
-const auto or_say = [](const char* what) {
+const auto or_expect = [](const char* what) {
   return x3::eps[(
       [what](auto& context) { throw x3::expectation_failure<Position>(x3::_where(context).begin(), what); })];
 };
-constexpr const char* factor_words = "not, ( or a field: name, zone, admin or label.NAME";
+constexpr const char* factor_description = "not, ( or a field: name, zone, admin or label.NAME";
 
-const auto test_def = field[set_field] >> ((word("in") >> (values[among] | or_say("values in braces"))) |
-                                           (operators[set_operator] >> (value[compare] | or_say("a value"))) |
-                                           x3::eps[no_comparison]);
+const auto test_def = field[set_field] >>
+                      ((keyword("in") >> (values[among] | or_expect("values in braces"))) |
+                       (operators[set_operator] >> (value[compare] | or_expect("a value"))) |
+                       x3::eps[no_comparison]);
 
 const auto negate = [](auto& context) {
   x3::_val(context) = [inner = x3::_attr(context)](const Facts& facts) { return !inner(facts); };
@@ -113,10 +114,10 @@
   };
 };
 
-const auto factor_def = (word("not") >> (factor[negate] | or_say(factor_words))) |
-                        ('(' >> (expression[keep] | or_say(factor_words)) > ')') | test[keep];
-const auto term_def = factor[keep] >> *(word("and") >> (factor[both] | or_say(factor_words)));
-const auto expression_def = term[keep] >> *(word("or") >> (term[either] | or_say(factor_words)));
+const auto factor_def = (keyword("not") >> (factor[negate] | or_expect(factor_description))) |
+                        ('(' >> (expression[keep] | or_expect(factor_description)) > ')') | test[keep];
+const auto term_def = factor[keep] >> *(keyword("and") >> (factor[both] | or_expect(factor_description)));
+const auto expression_def = term[keep] >> *(keyword("or") >> (term[either] | or_expect(factor_description)));
 
 BOOST_SPIRIT_DEFINE(field, label, value, values, test, factor, term, expression)
 
@@ -124,8 +125,8 @@
 
 Selector selector_in(const std::string& text) {
   // The depth of what it holds is bounded by its length.
-  constexpr std::size_t longest = 512;
-  if (text.size() > longest) throw SelectorError(longest, "longer than 512 characters");
+  constexpr std::size_t max_length = 512;
+  if (text.size() > max_length) throw SelectorError(max_length, "longer than 512 characters");
   if (text.find_first_not_of(" \t") == std::string::npos) return [](const Facts&) { return true; };
   Selector selector;
   Field field_now;
@@ -139,7 +140,7 @@
   };
   try {
     if (!x3::phrase_parse(at, text.end(), parser, x3::space, selector))
-      throw SelectorError(column(at), std::string("expected ") + factor_words);
+      throw SelectorError(column(at), std::string("expected ") + factor_description);
   } catch (const x3::expectation_failure<Position>& failure) {
     throw SelectorError(column(failure.where()), "expected " + failure.which());
   }
--- a/src/ctl/selector.h
+++ b/src/ctl/selector.h
@@ -18,11 +18,13 @@
 
 namespace pearchute::ctl {
 
+// What a selector can ask of an instance.
 struct Facts {
   std::string name, zone, admin;
   std::map<std::string, std::string> labels;
 };
 
+// A selector that can't be parsed.
 struct SelectorError : ErrorOf<ErrorKind::selector> {
   SelectorError(std::size_t at, const std::string& what)
       : ErrorOf(what, "column " + std::to_string(at)), column(at) {}
