--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -77,7 +77,7 @@
     owner.peers_.call<v1::Renewal, v1::Renewed>(
         agent, answers_within, [](auto* to, auto... what) { to->Renew(what...); }, ask,
         while_here([this, agent, sent](bool ok, const v1::Renewed& answer) {
-          if (ok) rollout.renewed(now(), sent, agent, answer.live());
+          if (ok) rollout.on_renewal_response(now(), sent, agent, answer.live());
         }));
   }
   void release(const std::string& agent) override {
@@ -116,7 +116,7 @@
       rollout.on_instance_state(now(), one.name(), one.zone(), parse_instance_state(one.condition()));
       if (one.has_last() && one.last().step().operation() == rollout.plan().id) {
         const fleet::InstanceLifecycle::CompletedStep past = from_wire(one.last());
-        rollout.step_ended(now(), one.name(), past.step, past.end, past.detail);
+        rollout.on_step_ended(now(), one.name(), past.step, past.end, past.detail);
       }
       // What was answered since the last look; one that started anew counts from nothing.
       Counted& before = counted[one.name()];
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -165,7 +165,7 @@
       continue;
     }
     const fleet::InstanceLifecycle& life = *lease_owner_->lifecycle(name);
-    one.condition = life.condition(), one.version = life.version(), one.falls = life.crash_count();
+    one.condition = life.state(), one.version = life.version(), one.falls = life.crash_count();
     one.claim = lease_owner_->leases().lease_on(loop_.now(), name);
     one.under_way = life.current_step(), one.last = life.last_step();
     if (const auto process = processes_.process_of(name)) one.pid = process->pid;
--- a/src/agent/wire.cpp
+++ b/src/agent/wire.cpp
@@ -79,7 +79,7 @@
   to.set_agent(news.agent), to.set_incarnation(news.upto.incarnation), to.set_upto(news.upto.through);
   to.set_age_us(static_cast<std::uint64_t>(std::max<fleet::Duration::rep>(news.age.count(), 0)));
   to.set_age_known(news.age_known), to.set_since(news.since), to.set_through(news.through);
-  for (const fleet::Entry& entry : news.entries) {
+  for (const fleet::ReportEntry& entry : news.entries) {
     v1::Entry& one = *to.add_entries();
     one.set_number(entry.number), one.set_instance(entry.instance);
     if (entry.report) *one.mutable_word() = to_wire(*entry.report);
@@ -96,7 +96,7 @@
   to.age = fleet::Duration(static_cast<fleet::Duration::rep>(news.age_us())), to.age_known = news.age_known();
   to.since = news.since(), to.through = news.through();
   for (const v1::Entry& entry : news.entries()) {
-    fleet::Entry& one = to.entries.emplace_back();
+    fleet::ReportEntry& one = to.entries.emplace_back();
     one.number = entry.number(), one.instance = entry.instance();
     if (!entry.has_word()) continue;
     const v1::InstanceWord& word = entry.word();
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -10,6 +10,7 @@
 #include "ctl/fleet_file.h"
 #include "ctl/output.h"
 #include "fleet/command_outcome.h"
+#include "fleet/zone_disruption.h"
 
 namespace pearchute::ctl {
 
--- a/src/fleet/budget_leases.cpp
+++ b/src/fleet/budget_leases.cpp
@@ -6,11 +6,16 @@
 
 namespace {
 
-// For an answer's way there and back, and for a manager that answers its agent late; an order that is heard
-// later than that is given again.
+// For a response's way there and back, and for a manager that is slow to acknowledge; an order that is
+// acknowledged later than that is given again.
 constexpr Duration message_allowance = std::chrono::seconds(2);
-// A borrower asks again while a third of its lease is left: two lost answers cost it nothing.
-Duration renews_at(TimePoint on_request, Duration lease) { return on_request + lease * 2 / 3; }
+// The least time between two requests for one lease.
+constexpr Duration request_interval = message_allowance / 2;
+// The incarnation is the upper half of a fence, a counter the lower one.
+constexpr int fence_counter_bits = 32;
+
+// A borrower renews while a third of its lease is left, so that it survives two lost responses.
+TimePoint renewal_time(TimePoint requested_at, Duration lease) { return requested_at + lease * 2 / 3; }
 
 }  // namespace
 
@@ -21,269 +26,325 @@
       window_(window),
       lease_(lease),
       incarnation_(incarnation),
-      last_fence_(incarnation << 32) {}
+      last_fence_(incarnation << fence_counter_bits) {}
 
 Duration BudgetLeases::startup_quiet_period(Duration window, Duration lease) {
   return message_allowance + lease + 2 * window;
 }
 
 bool BudgetLeases::persist() {
-  std::map<std::string, BudgetLease> loans;
-  for (const auto& [id, lent] : granted_leases_) loans[id] = lent.loan;
-  return host_.persist(loans);
+  std::map<std::string, BudgetLease> leases;
+  for (const auto& [id, granted] : granted_leases_) leases[id] = granted.lease;
+  return host_.persist(leases);
 }
 
-void BudgetLeases::restore(TimePoint now, const std::map<std::string, BudgetLease>& loans, bool lost) {
+void BudgetLeases::restore(TimePoint now, const std::map<std::string, BudgetLease>& leases, bool lost) {
   if (lost) quiet_until_ = now + startup_quiet_period(window_, lease_);
-  for (const auto& [id, loan] : loans) {
-    // Whether it was granted is not known: it is taken to have been, just now. Nor whether its manager has
-    // heard: it is taken not to have, and a renewal waits for that, and a window.
-    Granted& lent = granted_leases_[id];
-    lent.loan = loan, lent.granted = now, lent.last.id = id;
+  for (const auto& [id, lease] : leases) {
+    // Whether it was granted is not known, nor whether its lender had acknowledged: the safe assumption is
+    // that it was granted just now, and that a renewal has to wait for the acknowledgement and a window.
+    GrantedLease& granted = granted_leases_[id];
+    granted.lease = lease;
+    granted.granted_at = now;
+    granted.last_request.id = id;
   }
 }
 
 void BudgetLeases::set_managers(const std::map<std::string, int>& managers) {
   managers_ = managers;
-  std::erase_if(ordered_keys_, [&](const ShareKey& at) { return !managers.contains(at.first); });
+  std::erase_if(ordered_keys_, [&](const ShareKey& key) { return !managers.contains(key.first); });
 }
 
 void BudgetLeases::on_manager_restarted(TimePoint now, const std::string& manager) {
-  std::erase_if(ordered_keys_, [&](const ShareKey& at) { return at.first == manager; });
-  std::set<ShareKey> again;
-  for (const auto& [id, lent] : granted_leases_) {
-    if (lent.loan.lender == manager) again.insert({manager, lent.loan.engine});
+  std::erase_if(ordered_keys_, [&](const ShareKey& key) { return key.first == manager; });
+  std::set<ShareKey> to_order;
+  for (const auto& [id, granted] : granted_leases_) {
+    if (granted.lease.lender == manager) to_order.insert(key_of(granted));
   }
-  for (const auto& [at, eighths] : demand_) {
-    if (at.first == manager) again.insert(at);
+  for (const auto& [key, eighths] : demand_) {
+    if (key.first == manager) to_order.insert(key);
   }
-  for (const ShareKey& at : again) send_order(now, at);
+  for (const ShareKey& key : to_order) send_order(now, key);
+}
+
+// ---- Shares
+
+BudgetLeases::ShareKey BudgetLeases::key_of(const GrantedLease& granted) {
+  return {granted.lease.lender, granted.lease.engine};
+}
+
+BudgetLeases::ShareKey BudgetLeases::key_of(const BorrowedLease& borrowed) {
+  return {borrowed.request.borrower, borrowed.request.engine};
 }
 
 int BudgetLeases::own_share_of(const std::string& manager) const {
-  const auto at = managers_.find(manager);
-  return at == managers_.end() ? 0 : at->second;
+  const auto found = managers_.find(manager);
+  return found == managers_.end() ? 0 : found->second;
 }
 
-int BudgetLeases::demand_of(const ShareKey& at) const {
-  const auto wanted = demand_.find(at);
-  return wanted == demand_.end() ? 0 : wanted->second;
+int BudgetLeases::demand_of(const ShareKey& key) const {
+  const auto found = demand_.find(key);
+  return found == demand_.end() ? 0 : found->second;
 }
 
-int BudgetLeases::lent_from(const ShareKey& at) const {
+int BudgetLeases::lent_from(const ShareKey& key) const {
   int sum = 0;
-  for (const auto& [id, lent] : granted_leases_) {
-    if (lent.loan.lender == at.first && lent.loan.engine == at.second) sum += lent.loan.eighths;
+  for (const auto& [id, granted] : granted_leases_) {
+    if (key_of(granted) == key) sum += granted.lease.eighths;
   }
   return sum;
 }
 
-int BudgetLeases::borrowed_by(TimePoint now, const ShareKey& at) const {
+int BudgetLeases::borrowed_for(TimePoint now, const ShareKey& key) const {
   int sum = 0;
-  for (const auto& [id, one] : borrowed_leases_) {
-    if (one.send_request.borrower == at.first && one.send_request.engine == at.second && now < one.until)
-      sum += one.eighths;
+  for (const auto& [id, borrowed] : borrowed_leases_) {
+    if (key_of(borrowed) == key && now < borrowed.until) sum += borrowed.eighths;
   }
   return sum;
 }
 
 int BudgetLeases::share(TimePoint now, const std::string& manager, const WarmingEngine& engine) const {
-  const ShareKey at{manager, engine};
-  return own_share_of(manager) - lent_from(at) + borrowed_by(now, at);
+  const ShareKey key{manager, engine};
+  return own_share_of(manager) - lent_from(key) + borrowed_for(now, key);
 }
 
-// What a manager has no use for. One that borrows there lends nothing.
-int BudgetLeases::lendable(TimePoint now, const ShareKey& at) const {
-  if (!managers_.contains(at.first) || borrowed_by(now, at) > 0) return 0;
-  return own_share_of(at.first) - lent_from(at) - std::clamp(demand_of(at), min_retained_share, full_share);
+// What a manager has no use for. One that borrows at the engine lends nothing there.
+int BudgetLeases::lendable(TimePoint now, const ShareKey& key) const {
+  if (!managers_.contains(key.first) || borrowed_for(now, key) > 0) return 0;
+  return own_share_of(key.first) - lent_from(key) -
+         std::clamp(demand_of(key), min_retained_share, full_share);
 }
 
-// Each order has a fence of its own, so that one that comes late is known for what it is.
-void BudgetLeases::send_order(TimePoint now, const ShareKey& at) {
-  // Who does not know what it has lent orders nothing.
-  if (!managers_.contains(at.first) || (quiet_until_ && now < *quiet_until_)) return;
-  ordered_keys_.insert(at);
-  TimePoint until = now;
-  for (const auto& [id, lent] : granted_leases_) {
-    // Over every way the loan may still take: the order heard late, a window, the answer, the lease, a
-    // window.
-    if (lent.loan.lender == at.first && lent.loan.engine == at.second)
-      until = now + startup_quiet_period(window_, lease_);
-  }
-  const bool lends = until > now;
-  if (!lends) {
-    until = now + lease_;
-    for (const auto& [id, one] : borrowed_leases_) {
-      // The least of them: what is left of the others is told again then.
-      if (one.send_request.borrower == at.first && one.send_request.engine == at.second && now < one.until)
-        until = std::min(until, one.until);
-    }
+// Whether the leases granted by the previous incarnation are unknown and may still hold.
+bool BudgetLeases::is_quiet(TimePoint now) const { return quiet_until_ && now < *quiet_until_; }
+
+// Until when an order that is given now holds.
+TimePoint BudgetLeases::order_expiry(TimePoint now, const ShareKey& key) const {
+  const bool lends = std::ranges::any_of(granted_leases_,
+                                         [&](const auto& granted) { return key_of(granted.second) == key; });
+  // For the longest way that the lease may take: a late acknowledgement, a window, the response, the lease,
+  // and a window more.
+  if (lends) return now + startup_quiet_period(window_, lease_);
+  TimePoint until = now + lease_;
+  for (const auto& [id, borrowed] : borrowed_leases_) {
+    // The first that ends: what is left of the others is ordered again then.
+    if (key_of(borrowed) == key && now < borrowed.until) until = std::min(until, borrowed.until);
   }
+  return until;
+}
+
+// Each order has a fence of its own, so that a delayed older one is recognized.
+void BudgetLeases::send_order(TimePoint now, const ShareKey& key) {
+  // While it is not known what was lent, no share is known.
+  if (!managers_.contains(key.first) || is_quiet(now)) return;
+  ordered_keys_.insert(key);
+  const TimePoint until = order_expiry(now, key);
   ++last_fence_;
-  for (auto& [id, lent] : granted_leases_) {
-    if (lent.loan.lender == at.first && lent.loan.engine == at.second)
-      lent.sent_until = until, lent.sent_fence = last_fence_;
+  for (auto& [id, granted] : granted_leases_) {
+    if (key_of(granted) != key) continue;
+    granted.ordered_until = until;
+    granted.unacknowledged_fence = last_fence_;
   }
-  host_.send_share(at.first, at.second, share(now, at.first, at.second), until, last_fence_);
+  host_.send_share(key.first, key.second, share(now, key.first, key.second), until, last_fence_);
 }
 
 // ---- Lending
 
-void BudgetLeases::on_request(TimePoint now, const std::string& agent,
-                              const BudgetLeaseRequest& send_request) {
-  const auto known = granted_leases_.find(send_request.id);
-  if (known != granted_leases_.end()) {
-    Granted& lent = known->second;
-    if (lent.loan.to != agent) return;                 // an id that somebody else made up
-    if (send_request.round < lent.last.round) return;  // a copy that comes late
-    lent.last = send_request;
-    if (!lent.granted) return lent.answers = true, void();  // still being stopped
-    const ShareKey at{lent.loan.lender, lent.loan.engine};
-    // Renewed while it is used, and its owner could not use it itself. At its end it is not: it may be over
-    // there.
-    const bool of_use = 2 * send_request.used >= lent.loan.eighths;
-    const bool owner_needs = demand_of(at) > own_share_of(at.first) - lent_from(at);
-    if (!of_use || owner_needs || !managers_.contains(at.first) || now >= *lent.granted + lease_)
-      return host_.send_response(agent, {send_request.id, 0, send_request.round});
-    lent.answers = true;
-    send_order(now, at);  // its manager has to hear that this lasts longer, before the answer goes
+void BudgetLeases::on_request(TimePoint now, const std::string& agent, const BudgetLeaseRequest& request) {
+  const auto found = granted_leases_.find(request.id);
+  if (found == granted_leases_.end()) return grant_new(now, agent, request);
+  renew_granted(now, agent, request, found->second);
+}
+
+void BudgetLeases::renew_granted(TimePoint now, const std::string& agent, const BudgetLeaseRequest& request,
+                                 GrantedLease& granted) {
+  if (granted.lease.to != agent) return;                   // not the agent that the id was granted to
+  if (request.round < granted.last_request.round) return;  // a delayed copy
+  granted.last_request = request;
+  if (!granted.granted_at) {  // its lender still has to reduce its share
+    granted.response_due = true;
     return;
   }
-  const bool mute = quiet_until_ && now < *quiet_until_;
-  ShareKey best;
+  const ShareKey key = key_of(granted);
+  const bool is_used = 2 * request.used >= granted.lease.eighths;
+  const bool lender_needs_it = demand_of(key) > own_share_of(key.first) - lent_from(key);
+  // At its end it may already be over for the borrower, so it is not renewed then.
+  const bool has_ended = now >= *granted.granted_at + lease_;
+  if (!is_used || lender_needs_it || !managers_.contains(key.first) || has_ended)
+    return host_.send_response(agent, {request.id, 0, request.round});
+  granted.response_due = true;
+  send_order(now, key);  // its lender has to acknowledge the longer time before the response goes out
+}
+
+void BudgetLeases::grant_new(TimePoint now, const std::string& agent, const BudgetLeaseRequest& request) {
+  std::string lender;
   int most = 0;
-  for (const auto& [manager, even] : managers_) {
-    const ShareKey at{manager, send_request.engine};
-    if (const int has = lendable(now, at); !mute && manager != send_request.borrower && has > most)
-      best = at, most = has;
+  for (const auto& [manager, own_share] : managers_) {
+    const int has = lendable(now, {manager, request.engine});
+    if (is_quiet(now) || manager == request.borrower || has <= most) continue;
+    lender = manager;
+    most = has;
   }
-  most = std::min(most, send_request.eighths);
-  if (most <= 0) return host_.send_response(agent, {send_request.id, 0, send_request.round});
-  Granted& lent = granted_leases_[send_request.id];
-  lent.loan = {send_request.engine, best.first, send_request.borrower, agent, most};
-  lent.last = send_request, lent.answers = true;
-  // Intent before act. Where it can't be written nothing has happened yet.
+  const int eighths = std::min(most, request.eighths);
+  const BudgetLeaseResponse refusal{request.id, 0, request.round};
+  if (eighths <= 0) return host_.send_response(agent, refusal);
+  GrantedLease& granted = granted_leases_[request.id];
+  granted.lease = {request.engine, lender, request.borrower, agent, eighths};
+  granted.last_request = request;
+  granted.response_due = true;
+  // Durable before it takes effect. Where it can't be written nothing has happened yet.
   if (!persist()) {
-    granted_leases_.erase(send_request.id);
-    return host_.send_response(agent, {send_request.id, 0, send_request.round});
+    granted_leases_.erase(request.id);
+    return host_.send_response(agent, refusal);
   }
-  send_order(now, best);
+  send_order(now, {lender, request.engine});
 }
 
 void BudgetLeases::on_share_acknowledged(TimePoint now, const std::string& manager,
                                          const WarmingEngine& engine, std::uint64_t fence) {
-  for (auto& [id, lent] : granted_leases_) {
-    if (lent.loan.lender != manager || lent.loan.engine != engine || lent.sent_fence != fence) continue;
-    // Held back all along only where the order before lasted until this one was heard, at the latest by now;
-    // else it may have sent by its whole part in between, and a window has to pass again.
-    if (!lent.stopped || now >= lent.acknowledged_until) lent.stopped = now;
-    lent.acknowledged_until = lent.sent_until, lent.sent_fence = 0;
+  for (auto& [id, granted] : granted_leases_) {
+    if (key_of(granted) != ShareKey{manager, engine} || granted.unacknowledged_fence != fence) continue;
+    // The share was reduced without a gap only if the order before lasted until now, by when this one was
+    // taken at the latest. Otherwise the lender may have used its whole share in between, and a window has to
+    // pass again.
+    if (!granted.reduced_since || now >= granted.acknowledged_until) granted.reduced_since = now;
+    granted.acknowledged_until = granted.ordered_until;
+    granted.unacknowledged_fence = 0;
   }
-  send_due_grants(now);
+  send_due_responses(now);
 }
 
-void BudgetLeases::send_due_grants(TimePoint now) {
-  for (auto& [id, lent] : granted_leases_) {
-    if (!lent.answers || !lent.stopped || lent.sent_fence != 0) continue;
-    // What was sent before it stopped still counts for a window.
-    if (now < *lent.stopped + window_) continue;
-    // Its manager must be held back until all of the loan, and a window, is over.
-    if (lent.sent_until < now + lease_ + window_) {
-      send_order(now, {lent.loan.lender, lent.loan.engine});
+void BudgetLeases::send_due_responses(TimePoint now) {
+  for (auto& [id, granted] : granted_leases_) {
+    if (!granted.response_due || !granted.reduced_since || granted.unacknowledged_fence != 0) continue;
+    // What was sent by the whole share still counts for a window.
+    if (now < *granted.reduced_since + window_) continue;
+    // The share has to stay reduced until the lease, and a window, is over.
+    if (granted.ordered_until < now + lease_ + window_) {
+      send_order(now, key_of(granted));
       continue;
     }
-    lent.answers = false, lent.granted = now;
-    host_.send_response(lent.loan.to, {id, lent.loan.eighths, lent.last.round});
+    granted.response_due = false;
+    granted.granted_at = now;
+    host_.send_response(granted.lease.to, {id, granted.lease.eighths, granted.last_request.round});
   }
 }
 
+void BudgetLeases::expire_granted(TimePoint now, std::set<ShareKey>& changed) {
+  const std::size_t before = granted_leases_.size();
+  std::erase_if(granted_leases_, [&](const auto& entry) {
+    const GrantedLease& granted = entry.second;
+    const bool ran_out = granted.granted_at && now >= *granted.granted_at + lease_ + window_;
+    // One whose lender has not acknowledged in time was never granted, and is not answered any more.
+    const bool never_granted = !granted.granted_at && now >= granted.ordered_until;
+    if (!ran_out && !never_granted) return false;
+    changed.insert(key_of(granted));
+    return true;
+  });
+  if (granted_leases_.size() < before) persist();
+}
+
 // ---- Borrowing
 
 void BudgetLeases::set_demand(TimePoint now, const std::string& manager, const WarmingEngine& engine,
                               int eighths) {
-  const ShareKey at{manager, engine};
-  demand_[at] = eighths;
-  if (eighths > 0 && !ordered_keys_.contains(at)) send_order(now, at);
+  const ShareKey key{manager, engine};
+  demand_[key] = eighths;
+  if (eighths > 0 && !ordered_keys_.contains(key)) send_order(now, key);
 }
 
-void BudgetLeases::on_response(TimePoint now, const std::string& agent,
-                               const BudgetLeaseResponse& send_response) {
-  const auto at = borrowed_leases_.find(send_response.id);
-  if (at == borrowed_leases_.end() || at->second.from != agent) return;
-  Borrowed& one = at->second;
-  if (send_response.eighths <= 0) return one.over = true, void();
-  const auto round = one.on_request.find(send_response.round);
-  if (round == one.on_request.end()) return;
-  // Counted from when it asked what this answers: whatever way the answer took, the lender counts longer.
-  const TimePoint until = round->second + lease_;
-  if (one.over || until <= now || until <= one.until) return;
-  one.eighths = send_response.eighths, one.until = until;
-  send_order(now, {one.send_request.borrower, one.send_request.engine});
+void BudgetLeases::on_response(TimePoint now, const std::string& agent, const BudgetLeaseResponse& response) {
+  const auto found = borrowed_leases_.find(response.id);
+  if (found == borrowed_leases_.end() || found->second.lender_agent != agent) return;
+  BorrowedLease& borrowed = found->second;
+  if (response.eighths <= 0) {
+    borrowed.ended = true;
+    return;
+  }
+  const auto requested = borrowed.requested_at.find(response.round);
+  if (requested == borrowed.requested_at.end()) return;
+  // Counted from the request that is answered: however long the response took, the lender counts longer.
+  const TimePoint until = requested->second + lease_;
+  if (borrowed.ended || until <= now || until <= borrowed.until) return;
+  borrowed.eighths = response.eighths;
+  borrowed.until = until;
+  send_order(now, key_of(borrowed));
 }
 
-void BudgetLeases::on_timer(TimePoint now, const std::vector<std::string>& lenders) {
-  if (quiet_until_ && now >= *quiet_until_) quiet_until_.reset();
-  // Loans that are over: the lender has its part back.
-  std::set<ShareKey> changed;
-  bool fewer = false;
-  for (auto it = granted_leases_.begin(); it != granted_leases_.end();) {
-    const Granted& lent = it->second;
-    const bool ran_out = lent.granted && now >= *lent.granted + lease_ + window_;
-    // One whose manager never heard was never granted, and is not answered any more.
-    const bool in_vain = !lent.granted && now >= lent.sent_until;
-    if (!ran_out && !in_vain) {
-      ++it;
-      continue;
-    }
-    changed.insert({lent.loan.lender, lent.loan.engine});
-    it = granted_leases_.erase(it), fewer = true;
-  }
-  if (fewer) persist();
+void BudgetLeases::renew_or_expire_borrowed(TimePoint now, std::set<ShareKey>& changed) {
   for (auto it = borrowed_leases_.begin(); it != borrowed_leases_.end();) {
-    Borrowed& one = it->second;
-    const ShareKey at{one.send_request.borrower, one.send_request.engine};
-    const bool held = now < one.until;
-    if (!held && (one.over || one.eighths > 0 || now >= one.first_requested_at + lease_)) {
-      if (one.eighths > 0) changed.insert(at);
+    BorrowedLease& borrowed = it->second;
+    const bool in_force = now < borrowed.until;
+    const bool unanswered = now >= borrowed.first_requested_at + lease_;
+    if (!in_force && (borrowed.ended || borrowed.eighths > 0 || unanswered)) {
+      if (borrowed.eighths > 0) changed.insert(key_of(borrowed));
       it = borrowed_leases_.erase(it);
       continue;
     }
-    const TimePoint last = one.on_request.rbegin()->second;
-    if (!one.over && now >= last + message_allowance / 2 &&
-        (!held || now >= renews_at(one.until - lease_, lease_))) {
-      // The first ask is said again as it was: it is counted from when it was first said.
-      if (held) one.on_request[++one.send_request.round] = now;
-      one.send_request.used = std::clamp(demand_of(at) - own_share_of(at.first), 0, one.eighths);
-      host_.send_request(one.from, one.send_request);
-    }
-    // An answer to what was asked a lease ago is of no use.
-    while (one.on_request.size() > 1 && one.on_request.begin()->second + lease_ <= now)
-      one.on_request.erase(one.on_request.begin());
+    renew_borrowed(now, borrowed);
+    // The response to a request that is older than a lease is of no use.
+    auto& requested_at = borrowed.requested_at;
+    while (requested_at.size() > 1 && requested_at.begin()->second + lease_ <= now)
+      requested_at.erase(requested_at.begin());
     ++it;
   }
-  for (const ShareKey& at : changed) send_order(now, at);
-  send_due_grants(now);
-  if (lenders.empty() || (quiet_until_ && now < *quiet_until_)) return;
-  // Who lacks most for its need asks first, one lender at a time, each time another one.
-  for (const auto& [at, wanted] : demand_) {
-    if (!managers_.contains(at.first) || lent_from(at) > 0) continue;
-    int coming = 0, open = 0;
-    for (const auto& [id, one] : borrowed_leases_) {
-      if (one.send_request.borrower != at.first || one.send_request.engine != at.second) continue;
-      coming += one.eighths, open += one.eighths == 0 && !one.over;
+}
+
+void BudgetLeases::renew_borrowed(TimePoint now, BorrowedLease& borrowed) {
+  const TimePoint last_requested_at = borrowed.requested_at.rbegin()->second;
+  if (borrowed.ended || now < last_requested_at + request_interval) return;
+  const bool in_force = now < borrowed.until;
+  if (in_force && now < renewal_time(borrowed.until - lease_, lease_)) return;
+  // The first request is repeated as it was: the lease is counted from when it was first sent.
+  if (in_force) borrowed.requested_at[++borrowed.request.round] = now;
+  const ShareKey key = key_of(borrowed);
+  borrowed.request.used = std::clamp(demand_of(key) - own_share_of(key.first), 0, borrowed.eighths);
+  host_.send_request(borrowed.lender_agent, borrowed.request);
+}
+
+// Requests what each manager lacks, from one lender at a time, another one each time.
+void BudgetLeases::request_leases(TimePoint now, const std::vector<std::string>& lenders) {
+  for (const auto& [key, wanted] : demand_) {
+    if (!managers_.contains(key.first) || lent_from(key) > 0) continue;
+    int borrowed_eighths = 0;
+    bool response_pending = false;
+    for (const auto& [id, borrowed] : borrowed_leases_) {
+      if (key_of(borrowed) != key) continue;
+      borrowed_eighths += borrowed.eighths;
+      response_pending = response_pending || (borrowed.eighths == 0 && !borrowed.ended);
     }
-    const int lacks = wanted - own_share_of(at.first) - coming;
-    if (lacks <= 0 || open > 0) continue;
-    const std::string& lender = lenders[next_lender_++ % lenders.size()];
-    BudgetLeaseRequest send_request;
-    send_request.id = self_ + "-" + std::to_string(incarnation_) + "-" + std::to_string(next_ask_++);
-    send_request.engine = at.second, send_request.borrower = at.first, send_request.eighths = lacks;
-    Borrowed& one = borrowed_leases_[send_request.id];
-    one.send_request = send_request, one.from = lender, one.first_requested_at = now, one.on_request[1] = now;
-    host_.send_request(lender, send_request);
+    const int lacking = wanted - own_share_of(key.first) - borrowed_eighths;
+    if (lacking <= 0 || response_pending) continue;
+    request_lease(now, key, lacking, lenders[next_lender_++ % lenders.size()]);
   }
-  std::erase_if(demand_,
-                [&](const auto& one) { return one.second <= 0 || !managers_.contains(one.first.first); });
+}
+
+void BudgetLeases::request_lease(TimePoint now, const ShareKey& key, int eighths, const std::string& lender) {
+  BudgetLeaseRequest request;
+  request.id = self_ + "-" + std::to_string(incarnation_) + "-" + std::to_string(next_request_number_++);
+  request.engine = key.second;
+  request.borrower = key.first;
+  request.eighths = eighths;
+  BorrowedLease& borrowed = borrowed_leases_[request.id];
+  borrowed.request = request;
+  borrowed.lender_agent = lender;
+  borrowed.first_requested_at = now;
+  borrowed.requested_at[request.round] = now;
+  host_.send_request(lender, request);
+}
+
+void BudgetLeases::on_timer(TimePoint now, const std::vector<std::string>& lenders) {
+  if (quiet_until_ && now >= *quiet_until_) quiet_until_.reset();
+  std::set<ShareKey> changed;
+  expire_granted(now, changed);
+  renew_or_expire_borrowed(now, changed);
+  for (const ShareKey& key : changed) send_order(now, key);
+  send_due_responses(now);
+  if (lenders.empty() || is_quiet(now)) return;
+  request_leases(now, lenders);
+  std::erase_if(demand_, [&](const auto& demand) {
+    return demand.second <= 0 || !managers_.contains(demand.first.first);
+  });
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/config_spread.cpp
+++ b/src/fleet/config_spread.cpp
@@ -1,94 +1,108 @@
 #include "fleet/config_spread.h"
 
 #include <algorithm>
+#include <iterator>
+
+#include "fleet/hash.h"
 
 namespace pearchute::fleet {
 
 namespace {
 
+// A peer that can't be reached, or can't write, is not pushed to any more after so many attempts.
 constexpr int max_failed_pushes = 3;
+// Bytes of an obstacle's reason that are spread.
 constexpr std::size_t max_reason_length = 200;
 
-// FNV-1a: the same on every machine and at every start.
-class Hash {
- public:
-  void add(std::string_view text) {
-    for (const char byte : text) add_byte(static_cast<unsigned char>(byte));
-    add_byte(0);
-  }
-  void add_byte(unsigned char byte) { value_ = (value_ ^ byte) * 1099511628211ULL; }
-  std::uint64_t value() const { return value_; }
+// Sizes in an encoded message, approximately.
+constexpr std::size_t digest_size = 34, hash_size = 9, number_size = 6;
+constexpr std::size_t name_overhead = 2, obstacle_overhead = 8, document_overhead = 16;
+constexpr std::uint32_t short_revision_limit = 64;  // below it a revision takes less
+constexpr std::size_t short_revision_size = 1, long_revision_size = 3;
+
+void add_number(Fnv1a& hash, std::uint32_t number) {
+  constexpr int bits = 32, byte_bits = 8;
+  constexpr std::uint32_t byte_mask = 255;
+  for (int shift = 0; shift < bits; shift += byte_bits)
+    hash.add_byte(static_cast<unsigned char>(number >> shift & byte_mask));
+}
 
- private:
-  std::uint64_t value_ = 14695981039346656037ULL;
-};
+// Texts are separated, so that "ab", "c" and "a", "bc" differ.
+void add_text(Fnv1a& hash, std::string_view text) {
+  hash.add(text);
+  hash.add_byte(0);
+}
 
 std::uint64_t hash_of(const ConfigAcknowledgements& acknowledgements) {
-  Hash hash;
-  for (const AgentAcknowledgement& one : acknowledgements) {
-    for (int shift = 0; shift < 32; shift += 8)
-      hash.add_byte(static_cast<unsigned char>(one.revision >> shift & 255));
-    hash.add_byte(one.in_force ? 1 : 0);
+  Fnv1a hash;
+  for (const AgentAcknowledgement& acknowledgement : acknowledgements) {
+    add_number(hash, acknowledgement.revision);
+    hash.add_byte(acknowledgement.in_force ? 1 : 0);
   }
   return hash.value();
 }
 
 std::uint64_t hash_of(const std::vector<SupersededConfig>& records) {
-  Hash hash;
-  for (const SupersededConfig& one : records) {
-    hash.add(one.mark.digest);
-    hash.add(one.by.digest);
+  Fnv1a hash;
+  for (const SupersededConfig& record : records) {
+    add_text(hash, record.mark.digest);
+    add_text(hash, record.by.digest);
   }
   return hash.value();
 }
 
+std::uint64_t hash_of(const std::vector<std::string>& names) {
+  Fnv1a hash;
+  for (const std::string& name : names) add_text(hash, name);
+  return hash.value();
+}
+
 }  // namespace
 
-// As protobuf would encode it, about.
 std::size_t bytes_of(const ConfigMessage& message) {
-  constexpr std::size_t digest = 34, hash = 9, number = 6;
-  std::size_t sum = message.from.size() + 2 + 2 * number + digest + 3 * hash;
+  std::size_t sum = message.from.size() + name_overhead + 2 * number_size + digest_size + 3 * hash_size;
   if (message.document) {
     const ConfigDocument& document = *message.document;
-    sum += document.content.size() + document.author.size() + 16 + digest * (document.ancestors.size() + 1);
+    sum += document.content.size() + document.author.size() + document_overhead +
+           digest_size * (document.ancestors.size() + 1);
   }
   if (message.acknowledgements) {
-    for (const AgentAcknowledgement& one : *message.acknowledgements) {
-      sum += one.revision < 64 ? 1 : 3;
-      for (const ConfigObstacle& obstacle : one.obstacles)
-        sum += obstacle.instance.size() + obstacle.reason.size() + 8;
+    for (const AgentAcknowledgement& acknowledgement : *message.acknowledgements) {
+      sum += acknowledgement.revision < short_revision_limit ? short_revision_size : long_revision_size;
+      for (const ConfigObstacle& obstacle : acknowledgement.obstacles)
+        sum += obstacle.instance.size() + obstacle.reason.size() + obstacle_overhead;
     }
   }
-  for (const SupersededConfig& one : message.superseded)
-    sum += one.author.size() + 2 * (digest + 2 * number) + digest * one.ancestors.size();
+  for (const SupersededConfig& record : message.superseded) {
+    sum += record.author.size() + 2 * (digest_size + 2 * number_size);
+    sum += digest_size * record.ancestors.size();
+  }
   return sum;
 }
 
-ConfigSpread::ConfigSpread(ConfigReplica::Host& host, std::string self, ConfigLocation place,
+ConfigSpread::ConfigSpread(ConfigReplica::Host& host, std::string self, ConfigLocation location,
                            std::uint64_t seed, ConfigReplica::State on_disk)
     : replica_(host, self, std::move(on_disk)),
       self_(std::move(self)),
-      place_(std::move(place)),
+      location_(std::move(location)),
       random_(static_cast<std::knuth_b::result_type>(seed)) {
-  if (replica_.current()) shared_ = std::make_shared<const ConfigDocument>(*replica_.current());
+  if (replica_.current()) current_ = std::make_shared<const ConfigDocument>(*replica_.current());
   set_peers({}, {});
 }
 
 void ConfigSpread::set_peers(TimePoint now, const std::map<std::string, ConfigLocation>& peers) {
   std::erase_if(peers_, [&](const auto& one) {
     if (peers.contains(one.first)) return false;
-    open_ -= one.second.open;
-    pushes_.erase(one.first);
+    exchanges_in_flight_ -= one.second.in_flight;
+    pending_pushes_.erase(one.first);
     return true;
   });
-  for (const auto& [name, place] : peers) peers_[name].place = place;
+  for (const auto& [name, location] : peers) peers_[name].location = location;
   const std::vector<std::string> before = std::move(members_);
   members_.assign(1, self_);
-  for (const auto& [name, place] : peers) members_.push_back(name);
+  for (const auto& [name, location] : peers) members_.push_back(name);
   std::ranges::sort(members_);
-  Hash hash;
-  for (const std::string& name : members_) hash.add(name);
-  members_hash_ = hash.value();
+  members_hash_ = hash_of(members_);
   if (members_ == before) return;
   acknowledgements_.assign(members_.size(), {});
   acknowledgements_hash_ = hash_of(acknowledgements_);
@@ -114,28 +128,31 @@
 std::vector<std::string> ConfigSpread::due(TimePoint now) {
   std::vector<std::string> begun;
   const auto begin = [&](const std::string& name, Peer& peer) {
-    peer.open = true;
-    ++open_;
+    peer.in_flight = true;
+    ++exchanges_in_flight_;
     begun.push_back(name);
   };
-  for (const std::string& name : pushes_) {
+  for (const std::string& name : pending_pushes_) {
     Peer& peer = peers_.at(name);
-    if (!peer.open && open_ < max_open_exchanges) begin(name, peer);
+    if (!peer.in_flight && exchanges_in_flight_ < max_open_exchanges) begin(name, peer);
   }
   if (now < next_exchange_ || peers_.empty()) return begun;
   const Duration interval = active(now) || !verified() ? active_interval : idle_interval;
-  // Three quarters to five quarters of it: agents that start together drift apart.
-  const auto quarter = interval.count() / 4;
-  next_exchange_ = now + Duration(3 * quarter + static_cast<Duration::rep>(random_()) % (2 * quarter));
+  // Three quarters to five quarters of it, so that agents that start together drift apart.
+  const Duration quarter = interval / 4;
+  const Duration range = 2 * quarter;
+  next_exchange_ = now + 3 * quarter + Duration(static_cast<Duration::rep>(random_()) % range.count());
   const auto chosen = std::next(peers_.begin(), static_cast<std::ptrdiff_t>(random_() % peers_.size()));
-  if (!chosen->second.open && open_ < max_open_exchanges) begin(chosen->first, chosen->second);
+  if (!chosen->second.in_flight && exchanges_in_flight_ < max_open_exchanges)
+    begin(chosen->first, chosen->second);
   return begun;
 }
 
 TimePoint ConfigSpread::next(TimePoint now) const {
-  const bool pushes =
-      open_ < max_open_exchanges &&
-      std::ranges::any_of(pushes_, [this](const std::string& name) { return !peers_.at(name).open; });
+  const bool pushes = exchanges_in_flight_ < max_open_exchanges &&
+                      std::ranges::any_of(pending_pushes_, [this](const std::string& name) {
+                        return !peers_.at(name).in_flight;
+                      });
   return pushes ? now : std::max(now, next_exchange_);
 }
 
@@ -160,54 +177,54 @@
 
 ConfigMessage ConfigSpread::question(TimePoint now, const std::string& peer) const {
   ConfigMessage message = marks();
-  if (pushes_.contains(peer)) message.document = shared_;
-  if (active(now) && shared_) message.acknowledgements = acknowledgements_to_send();
+  if (pending_pushes_.contains(peer)) message.document = current_;
+  if (active(now) && current_) message.acknowledgements = acknowledgements_to_send();
   return message;
 }
 
 ConfigMessage ConfigSpread::receive(TimePoint now, const ConfigMessage& question) {
   merge(now, question);
   ConfigMessage answer = marks();
-  if (answer.mark > question.mark) answer.document = shared_;
+  if (answer.mark > question.mark) answer.document = current_;
   const bool same_version = answer.mark == question.mark && answer.members == question.members;
-  if (same_version && shared_ && answer.acknowledged != question.acknowledged)
+  if (same_version && current_ && answer.acknowledged != question.acknowledged)
     answer.acknowledgements = acknowledgements_to_send();
   if (answer.superseded_hash != question.superseded_hash) answer.superseded = replica_.state().superseded;
   return answer;
 }
 
 void ConfigSpread::answered(TimePoint now, const std::string& peer, const ConfigMessage& answer) {
-  const auto at = peers_.find(peer);
-  if (at == peers_.end() || !at->second.open) return;
-  at->second.open = false;
-  --open_;
+  const auto found = peers_.find(peer);
+  if (found == peers_.end() || !found->second.in_flight) return;
+  found->second.in_flight = false;
+  --exchanges_in_flight_;
   merge(now, answer);
   verified_peers_.insert(peer);
-  const bool behind = shared_ && answer.mark < replica_.mark();
-  // An answer that carries an older mark than was pushed comes from a peer that could not write it.
-  const bool refused = behind && pushes_.contains(peer);
-  if (refused) ++at->second.failed_pushes;
-  else at->second.failed_pushes = 0;
-  if (behind && at->second.failed_pushes < max_failed_pushes) pushes_.insert(peer);
-  else pushes_.erase(peer);
-  if (shared_ && answer.mark == replica_.mark()) copies_.insert(peer);
+  const bool behind = current_ && answer.mark < replica_.mark();
+  // An answer with an older mark than was pushed comes from a peer that could not write it.
+  const bool push_failed = behind && pending_pushes_.contains(peer);
+  int& failed_pushes = found->second.failed_pushes;
+  failed_pushes = push_failed ? failed_pushes + 1 : 0;
+  if (behind && failed_pushes < max_failed_pushes) pending_pushes_.insert(peer);
+  else pending_pushes_.erase(peer);
+  if (current_ && answer.mark == replica_.mark()) peers_with_copy_.insert(peer);
   const ConfigMessage own = marks();
-  const bool lacks =
+  const bool peer_lacks_records =
       answer.mark == own.mark && answer.members == own.members &&
       (answer.acknowledged != own.acknowledged || answer.superseded_hash != own.superseded_hash);
-  if (lacks) changed(now);
+  if (peer_lacks_records) changed(now);
 }
 
 void ConfigSpread::missed(TimePoint now, const std::string& peer) {
   const auto at = peers_.find(peer);
-  if (at == peers_.end() || !at->second.open) return;
-  at->second.open = false;
-  --open_;
-  if (!pushes_.contains(peer) || ++at->second.failed_pushes < max_failed_pushes) return;
-  pushes_.erase(peer);
-  // Somebody else in that zone may be reached.
+  if (at == peers_.end() || !at->second.in_flight) return;
+  at->second.in_flight = false;
+  --exchanges_in_flight_;
+  if (!pending_pushes_.contains(peer) || ++at->second.failed_pushes < max_failed_pushes) return;
+  pending_pushes_.erase(peer);
+  // Another peer of that zone may be reachable.
   at->second.failed_pushes = 0;
-  if (active(now)) push_to_some(peers_in(at->second.place.zone, true), 1);
+  if (active(now)) push_to_some(peers_in(at->second.location.zone, true), 1);
 }
 
 void ConfigSpread::merge(TimePoint now, const ConfigMessage& message) {
@@ -226,12 +243,12 @@
     AgentAcknowledgement& ours = acknowledgements_[i];
     if (theirs.obstacles.size() > AgentAcknowledgement::max_obstacles) continue;
     if (members_[i] == self_) {
-      const bool from_before = theirs.revision > ours.revision ||
-                               (theirs.revision == ours.revision && theirs.in_force != ours.in_force);
-      if (from_before) own_revision_received_ = std::max(own_revision_received_, theirs.revision);
+      const bool from_before_restart = theirs.revision > ours.revision ||
+                                       (theirs.revision == ours.revision && theirs.in_force != ours.in_force);
+      if (from_before_restart) own_revision_received_ = std::max(own_revision_received_, theirs.revision);
       continue;
     }
-    // Of two under one revision, from before and after a restart, the one that promises less.
+    // Of two with one revision, from before and after a restart, the one that promises less stands.
     const bool newer = theirs.revision > ours.revision ||
                        (theirs.revision == ours.revision && ours.in_force && !theirs.in_force);
     if (!newer) continue;
@@ -252,38 +269,38 @@
 }
 
 void ConfigSpread::version_changed(TimePoint now, bool author) {
-  shared_ = std::make_shared<const ConfigDocument>(*replica_.current());
-  copies_.clear();
+  current_ = std::make_shared<const ConfigDocument>(*replica_.current());
+  peers_with_copy_.clear();
   acknowledgements_.assign(members_.size(), {});
   acknowledgements_hash_ = hash_of(acknowledgements_);
   own_revision_received_ = 0;
   acknowledge(now);
   changed(now);
-  pushes_.clear();
+  pending_pushes_.clear();
   for (auto& [name, peer] : peers_) peer.failed_pushes = 0;
-  push_to_some(peers_in(place_.zone, true), pushes_in_zone);
-  if (!author) return push_to_some(peers_in(place_.zone, false), pushes_elsewhere);
+  push_to_some(peers_in(location_.zone, true), pushes_in_zone);
+  if (!author) return push_to_some(peers_in(location_.zone, false), pushes_elsewhere);
   std::set<std::string> zones;
-  for (const auto& [name, peer] : peers_) zones.insert(peer.place.zone);
-  zones.erase(place_.zone);
+  for (const auto& [name, peer] : peers_) zones.insert(peer.location.zone);
+  zones.erase(location_.zone);
   for (const std::string& zone : zones) push_to_some(peers_in(zone, true), 1);
 }
 
 std::vector<std::string> ConfigSpread::peers_in(const std::string& zone, bool inside) const {
   std::vector<std::string> names;
   for (const auto& [name, peer] : peers_) {
-    if ((peer.place.zone == zone) == inside) names.push_back(name);
+    if ((peer.location.zone == zone) == inside) names.push_back(name);
   }
   return names;
 }
 
 void ConfigSpread::push_to_some(const std::vector<std::string>& candidates, std::size_t number) {
   for (std::size_t i = 0; i < number && !candidates.empty(); ++i)
-    pushes_.insert(candidates[random_() % candidates.size()]);
+    pending_pushes_.insert(candidates[random_() % candidates.size()]);
 }
 
 void ConfigSpread::acknowledge(TimePoint now) {
-  if (!shared_ || !instances_known_) return;
+  if (!current_ || !instances_known_) return;
   AgentAcknowledgement next;
   next.in_force = true;
   for (const InstanceConfig& one : instances_) {
@@ -293,10 +310,9 @@
       next.obstacles.push_back({one.instance, one.not_in_force_reason.substr(0, max_reason_length)});
   }
   AgentAcknowledgement& own = acknowledgements_[index_of(self_)];
-  const bool nothing_to_say =
-      own.revision == 0 && own_revision_received_ == 0 && next == AgentAcknowledgement();
+  const bool is_unknown = own.revision == 0 && own_revision_received_ == 0 && next == AgentAcknowledgement();
   next.revision = own.revision;
-  if (nothing_to_say || (next == own && own_revision_received_ < own.revision)) return;
+  if (is_unknown || (next == own && own_revision_received_ < own.revision)) return;
   next.revision = std::max(own.revision, own_revision_received_) + 1;
   own_revision_received_ = 0;
   own = next;
@@ -317,7 +333,7 @@
 }
 
 bool ConfigSpread::confirmed() const {
-  return shared_ && copies_.size() + 1 >= std::min(confirming_copies, members_.size());
+  return current_ && peers_with_copy_.size() + 1 >= std::min(confirming_copies, members_.size());
 }
 
 std::optional<ConfigDocument> ConfigSpread::to_apply() const {
@@ -327,32 +343,36 @@
 
 bool ConfigSpread::reported_in_force(const std::string& agent) const {
   const std::size_t index = index_of(agent);
-  return shared_ && index < members_.size() && acknowledgements_[index].in_force;
+  return current_ && index < members_.size() && acknowledgements_[index].in_force;
 }
 
 ConfigReport ConfigSpread::report() const {
   ConfigReport report;
   report.mark = replica_.mark();
   report.verified = verified();
-  report.copies = shared_ ? copies_.size() + 1 : 0;
+  report.copies = current_ ? peers_with_copy_.size() + 1 : 0;
   report.superseded = replica_.state().superseded;
   for (std::size_t i = 0; i < members_.size(); ++i) {
     const std::string& name = members_[i];
-    ConfigReport::Zone& zone = report.zones[name == self_ ? place_.zone : peers_.at(name).place.zone];
+    ConfigReport::Zone& zone = report.zones[name == self_ ? location_.zone : peers_.at(name).location.zone];
     ++zone.agents;
-    const AgentAcknowledgement& known = acknowledgements_[i];
-    if (shared_ && known.in_force) {
+    if (current_ && acknowledgements_[i].in_force) {
       ++zone.in_force;
       continue;
     }
     ++report.not_in_force;
-    if (report.names.size() >= ConfigReport::max_listed_names) continue;
-    if (known.obstacles.empty())
-      report.names.push_back(name + (known.revision == 0 ? ": unknown" : ": not in force"));
-    for (const ConfigObstacle& one : known.obstacles)
-      report.names.push_back(name + "/" + one.instance + ": " + one.reason);
+    if (report.names.size() < ConfigReport::max_listed_names)
+      list_obstacles(name, acknowledgements_[i], report.names);
   }
   return report;
 }
 
+void ConfigSpread::list_obstacles(const std::string& agent, const AgentAcknowledgement& acknowledgement,
+                                  std::vector<std::string>& lines) {
+  if (acknowledgement.obstacles.empty())
+    lines.push_back(agent + (acknowledgement.revision == 0 ? ": unknown" : ": not in force"));
+  for (const ConfigObstacle& obstacle : acknowledgement.obstacles)
+    lines.push_back(agent + "/" + obstacle.instance + ": " + obstacle.reason);
+}
+
 }  // namespace pearchute::fleet
--- a/src/fleet/config_version.cpp
+++ b/src/fleet/config_version.cpp
@@ -9,7 +9,9 @@
 
 namespace {
 
-constexpr std::size_t digest_bytes = 16;
+constexpr std::size_t digest_bytes = 16;  // of SHA-256's 32
+constexpr int bits_per_digit = 4;
+constexpr unsigned char digit_mask = 15;
 constexpr std::size_t max_name_bytes = 128;
 
 bool is_hex_digest(const std::string& text) {
@@ -30,9 +32,9 @@
 }  // namespace
 
 std::string_view name_of(PublishResult result) {
-  constexpr std::string_view words[] = {"accepted",     "unverified", "unknown",
+  constexpr std::string_view names[] = {"accepted",     "unverified", "unknown",
                                         "stale parent", "too large",  "not written"};
-  return words[static_cast<std::size_t>(result)];
+  return names[static_cast<std::size_t>(result)];
 }
 
 bool ConfigDocument::descends_from(const ConfigMark& other) const {
@@ -52,8 +54,8 @@
   constexpr std::string_view digits = "0123456789abcdef";
   std::string text;
   for (std::size_t i = 0; i < digest_bytes; ++i) {
-    text += digits[hash[i] >> 4];
-    text += digits[hash[i] & 15];
+    text += digits[hash[i] >> bits_per_digit];
+    text += digits[hash[i] & digit_mask];
   }
   return text;
 }
@@ -126,15 +128,15 @@
   return true;
 }
 
-// Of two records of one document the greater winner stands: the union is the same in any order.
+// Of two records of one document the greater winner stands, so that the union is the same in any order.
 void ConfigReplica::add(State& state, const SupersededConfig& record) {
   auto& all = state.superseded;
-  const auto at = std::ranges::lower_bound(all, record.mark, {}, &SupersededConfig::mark);
-  if (at != all.end() && at->mark == record.mark) {
-    at->by = std::max(at->by, record.by);
+  const auto place = std::ranges::lower_bound(all, record.mark, {}, &SupersededConfig::mark);
+  if (place != all.end() && place->mark == record.mark) {
+    place->by = std::max(place->by, record.by);
     return;
   }
-  all.insert(at, record);
+  all.insert(place, record);
   if (all.size() > max_superseded) all.erase(all.begin());
 }
 
--- a/src/fleet/config_version.h
+++ b/src/fleet/config_version.h
@@ -1,9 +1,11 @@
 // Versions of the fleet's configuration: what a document is, which of two replaces the other, and what a
-// replica does with one that is published or received. It knows no network, file, thread or clock.
+// replica does with one that is published or received.
 //
 // Documents are totally ordered by (epoch, number, digest), so all replicas that have seen the same documents
 // hold the same one. The digest covers the content and its ancestry. A document that loses against one which
 // does not descend from it is superseded by conflict: it is recorded as such and never dropped silently.
+//
+// Not thread-safe. It does no I/O, except that the Host persists versions.
 #pragma once
 
 #include <compare>
@@ -22,6 +24,7 @@
   auto operator<=>(const ConfigMark&) const = default;
 };
 
+// One version of the configuration. Invariant of a valid one: is_intact().
 struct ConfigDocument {
   static constexpr std::size_t max_content_bytes = 64 * 1024;
   static constexpr std::size_t max_ancestors = 32;
@@ -32,11 +35,13 @@
   std::string content;
   bool operator==(const ConfigDocument&) const = default;
 
+  // Whether that version is among its recorded ancestors.
   bool descends_from(const ConfigMark& other) const;
 };
 
+// The digest that a document's mark has to carry.
 std::string digest_of(const ConfigDocument& document);
-// Whether its bounds hold and its digest is that of what it holds.
+// Whether a document is within bounds and carries the digest of its content.
 bool is_intact(const ConfigDocument& document);
 
 // A document that lost against one which does not descend from it.
@@ -47,35 +52,41 @@
   bool operator==(const SupersededConfig&) const = default;
 };
 
+// What became of a publication.
 enum class PublishResult {
   accepted,
-  unverified,    // not enough peers have been heard since the start
+  unverified,    // not enough peers have answered since the start
   unknown,       // no version is known here; only a new epoch can begin
-  stale_parent,  // another version is in force here than the author had seen
+  stale_parent,  // the current version is not the one that the author had seen
   too_large,
-  not_written,  // the disk took nothing, and nothing is published
+  not_written,  // it could not be persisted, and is not published
 };
+// Name in messages.
 std::string_view name_of(PublishResult result);
 
+// Publishes a version.
 struct PublishRequest {
   std::string parent;  // the digest of the version that the author had seen
   std::string content;
   bool new_epoch = false;  // for the first version of a fleet, or after the loss of all replicas
 };
 
-// The versions that one agent holds. Each change is durable before it can be seen.
+// The version that one agent has, and what it knows of superseded ones. Each change is durable before it can
+// be seen.
 class ConfigReplica {
  public:
   static constexpr std::size_t max_superseded = 16;
+  // What is persisted.
   struct State {
     std::optional<ConfigDocument> current;     // none: unknown
-    std::vector<SupersededConfig> superseded;  // the greatest marks, in their order
+    std::vector<SupersededConfig> superseded;  // those with the greatest marks, in their order
     bool operator==(const State&) const = default;
   };
+  // Must outlive the ConfigReplica.
   class Host {
    public:
     virtual ~Host() = default;
-    // Durable when it returns true; nothing is changed when it returns false.
+    // Returns true once the state is durable; on false nothing has changed.
     virtual bool write_config(const State& state) = 0;
   };
 
@@ -86,9 +97,9 @@
   ConfigMark mark() const { return state_.current ? state_.current->mark : ConfigMark(); }
 
   PublishResult publish(const PublishRequest& request);
-  // True where it is now the version held here.
+  // Returns true where it is now the current version here.
   bool receive(const ConfigDocument& document);
-  // True where something was new.
+  // Returns true where something was new.
   bool receive_superseded(const std::vector<SupersededConfig>& records);
 
  private:
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -6,46 +6,46 @@
 
 namespace {
 
-// How long it is remembered that a holder has restored a subject, so that a drain which that one overtook is
-// known to be older. Calls end within seconds; a command line that was stopped and goes on may take minutes.
+// How long a restore is remembered, so that a delayed drain which it overtook is recognized as older. Calls
+// end within seconds; a command line that was suspended and goes on may take minutes.
 constexpr Duration restore_retention = std::chrono::hours(1);
+// The holder under which a restore for all holders is kept.
+const std::string all_holders_key;
 
-constexpr std::string_view all_holders = "";
+constexpr unsigned char space = 0x20;
+constexpr unsigned char delete_character = 0x7f;
+
+bool is_name(const std::string& text) {
+  return text.size() <= Drains::max_name_bytes &&
+         std::ranges::all_of(text, [](unsigned char c) { return c > space && c != delete_character; });
+}
+
+bool is_printable(const std::string& text) {
+  return std::ranges::none_of(text, [](unsigned char c) { return c < space || c == delete_character; });
+}
+
+bool is_valid(const DrainDirective& directive) {
+  if (directive.id.empty() || !is_name(directive.id)) return false;
+  if (directive.holder.empty() || !is_name(directive.holder)) return false;
+  if (!is_name(directive.subject) || directive.subject == "@") return false;
+  if (directive.generation == 0) return false;
+  if (!is_printable(directive.reason) || directive.reason.size() > Drains::max_reason_bytes) return false;
+  if (!directive.drains) return true;
+  return directive.lease > Duration(0) && directive.lease <= Drains::max_lease && !directive.all_holders;
+}
+
+std::string subject_text(const std::string& subject) { return subject.empty() ? "this manager" : subject; }
 
 }  // namespace
 
-std::string_view name_of(AdminState state_of) {
-  return state_of == AdminState::up ? "up" : state_of == AdminState::draining ? "draining" : "gone";
-}
-
-std::string_view name_of(DirectiveResult verdict) {
-  switch (verdict) {
-    case DirectiveResult::done:
-      return "done";
-    case DirectiveResult::repeated:
-      return "repeated";
-    case DirectiveResult::stale:
-      return "stale";
-    case DirectiveResult::conflict:
-      return "conflict";
-    case DirectiveResult::full:
-      return "full";
-    case DirectiveResult::unusable:
-      return "unusable";
-  }
-  return "unusable";
+std::string_view name_of(AdminState state) {
+  constexpr std::string_view names[] = {"up", "draining", "gone"};
+  return names[static_cast<int>(state)];
 }
 
-bool Drains::is_valid(const DrainDirective& order) const {
-  const auto name = [](const std::string& text, bool may_be_empty) {
-    return (may_be_empty || !text.empty()) && text.size() <= max_name_bytes &&
-           std::ranges::all_of(text, [](unsigned char c) { return c > 0x20 && c != 0x7f; });
-  };
-  if (!name(order.id, false) || !name(order.holder, false) || !name(order.subject, true)) return false;
-  if (order.subject == "@" || order.generation == 0) return false;
-  const bool text = std::ranges::none_of(order.reason, [](unsigned char c) { return c < 0x20 || c == 0x7f; });
-  if (!text || order.reason.size() > max_reason_bytes) return false;
-  return order.drains ? order.lease > Duration(0) && order.lease <= max_lease && !order.all_holders : true;
+std::string_view name_of(DirectiveResult result) {
+  constexpr std::string_view names[] = {"done", "repeated", "stale", "conflict", "full", "unusable"};
+  return names[static_cast<int>(result)];
 }
 
 std::size_t Drains::directive_count() const {
@@ -54,23 +54,25 @@
   return count;
 }
 
+// ---- States
+
 bool Drains::has_drain(const std::string& subject) const {
-  const auto at = subjects_.find(subject);
-  return at != subjects_.end() &&
-         std::ranges::any_of(at->second, [](const auto& entry) { return entry.second.order.drains; });
+  const auto holders = subjects_.find(subject);
+  return holders != subjects_.end() &&
+         std::ranges::any_of(holders->second, [](const auto& holder) { return holder.second.order.drains; });
 }
 
 bool Drains::manager_drains() const { return has_drain(""); }
 
 AdminState Drains::merged(const std::string& engine, const ListedEngine& listed) const {
   if (listed.discovered != AdminState::up) return listed.discovered;
-  const bool apply = has_drain(engine) || (!listed.address.empty() && has_drain("@" + listed.address));
-  return apply ? AdminState::draining : AdminState::up;
+  const bool drains = has_drain(engine) || (!listed.address.empty() && has_drain("@" + listed.address));
+  return drains ? AdminState::draining : AdminState::up;
 }
 
 AdminState Drains::state_of(const std::string& engine) const {
-  const auto at = engines_.find(engine);
-  return at == engines_.end() ? AdminState::gone : merged(engine, at->second);
+  const auto listed = engines_.find(engine);
+  return listed == engines_.end() ? AdminState::gone : merged(engine, listed->second);
 }
 
 AdminState Drains::on_discovery_update(TimePoint, const std::string& engine, const std::string& address,
@@ -82,127 +84,144 @@
   ListedEngine& listed = engines_[engine];
   if (!address.empty()) listed.address = address;
   listed.discovered = discovered;
-  return listed.announced = merged(engine, listed);
+  listed.announced = merged(engine, listed);
+  return listed.announced;
 }
 
 void Drains::on_discovery_snapshot(TimePoint, const std::set<std::string>& engines) {
-  std::erase_if(engines_, [&](const auto& entry) { return !engines.contains(entry.first); });
-}
-
-DirectiveResult Drains::apply(TimePoint now, const DrainDirective& order) {
-  if (!is_valid(order)) return DirectiveResult::unusable;
-  Subject& holders = subjects_[order.subject];
-  const auto own = holders.find(order.holder);
-  const auto all = holders.find(std::string(all_holders));
-  DirectiveResult verdict = DirectiveResult::done;
-  for (const auto& [name, entry] : holders) {
-    if (entry.order.id == order.id && entry.order.generation == order.generation)
-      verdict = DirectiveResult::repeated;
+  std::erase_if(engines_, [&](const auto& listed) { return !engines.contains(listed.first); });
+}
+
+// ---- Directives
+
+DirectiveResult Drains::apply(TimePoint now, const DrainDirective& directive) {
+  if (!is_valid(directive)) return DirectiveResult::unusable;
+  Holders& holders = subjects_[directive.subject];
+  const DirectiveResult result = check(directive, holders);
+  if (result == DirectiveResult::done) put(now, directive, holders);
+  if (holders.empty()) subjects_.erase(directive.subject);
+  if (result != DirectiveResult::done) return result;
+  host_.directives_changed();
+  announce_changes();
+  return result;
+}
+
+DirectiveResult Drains::check(const DrainDirective& directive, const Holders& holders) const {
+  for (const auto& [name, active] : holders) {
+    if (active.order.id == directive.id && active.order.generation == directive.generation)
+      return DirectiveResult::repeated;
   }
-  // What it is held against: its holder's last word, and the last that was said for everyone. One that itself
-  // speaks for everyone ends what is older whatever its holder has said since.
-  for (const auto& at : {own, all}) {
-    if (verdict != DirectiveResult::done || at == holders.end() || (order.all_holders && at == own)) continue;
-    const DrainDirective& other = at->second.order;
-    if (order.generation < other.generation) verdict = DirectiveResult::stale;
+  // Compared with the holder's last directive and the last one for all holders. A restore for all holders
+  // ends what is older, whatever its own holder has sent since.
+  const auto own = holders.find(directive.holder);
+  const auto common = holders.find(all_holders_key);
+  for (const auto& other : {own, common}) {
+    if (other == holders.end() || (directive.all_holders && other == own)) continue;
+    const DrainDirective& standing = other->second.order;
+    if (directive.generation < standing.generation) return DirectiveResult::stale;
     // Of the same generation the one that drains stands, whichever comes first.
-    else if (order.generation == other.generation && (other.drains || !order.drains))
-      verdict = DirectiveResult::conflict;
+    if (directive.generation == standing.generation && (standing.drains || !directive.drains))
+      return DirectiveResult::conflict;
   }
-  if (verdict == DirectiveResult::done && own == holders.end() && directive_count() >= max_directives)
-    verdict = DirectiveResult::full;
-  if (verdict == DirectiveResult::done) {
-    const TimePoint until = now + (order.drains ? order.lease : restore_retention);
-    if (!order.drains && order.all_holders) {
-      std::erase_if(holders,
-                    [&](const auto& entry) { return entry.second.order.generation < order.generation; });
-      holders[std::string(all_holders)] = {order, now, until};
-    } else {
-      holders[order.holder] = {order, now, until};
-    }
-    newest_generation_ = std::max(newest_generation_, order.generation);
-    host_.log(std::string(order.drains ? "drain" : "restore") + " of " +
-              (order.subject.empty() ? "this manager" : order.subject) + " by " + order.holder);
+  if (own == holders.end() && directive_count() >= max_directives) return DirectiveResult::full;
+  return DirectiveResult::done;
+}
+
+void Drains::put(TimePoint now, const DrainDirective& directive, Holders& holders) {
+  const TimePoint until = now + (directive.drains ? directive.lease : restore_retention);
+  const bool restores_all = !directive.drains && directive.all_holders;
+  if (restores_all) {
+    std::erase_if(holders,
+                  [&](const auto& holder) { return holder.second.order.generation < directive.generation; });
   }
-  if (holders.empty()) subjects_.erase(order.subject);
-  if (verdict != DirectiveResult::done) return verdict;
-  host_.directives_changed();
-  announce_changes();
-  return verdict;
+  holders[restores_all ? all_holders_key : directive.holder] = {directive, now, until};
+  newest_generation_ = std::max(newest_generation_, directive.generation);
+  host_.log(std::string(directive.drains ? "drain" : "restore") + " of " + subject_text(directive.subject) +
+            " by " + directive.holder);
 }
 
-void Drains::restore(TimePoint now, const DrainDirective& order, Duration left) {
-  if (!is_valid(order) || directive_count() >= max_directives) return;
-  newest_generation_ = std::max(newest_generation_, order.generation);
+void Drains::restore(TimePoint now, const DrainDirective& directive, Duration left) {
+  if (!is_valid(directive) || directive_count() >= max_directives) return;
+  newest_generation_ = std::max(newest_generation_, directive.generation);
   if (left <= Duration(0)) return;
-  const std::string holder = order.all_holders ? std::string(all_holders) : order.holder;
-  subjects_[order.subject][holder] = {order, now, now + std::min(left, max_lease)};
+  const std::string& holder = directive.all_holders ? all_holders_key : directive.holder;
+  subjects_[directive.subject][holder] = {directive, now, now + std::min(left, max_lease)};
   announce_changes();
 }
 
 void Drains::on_timer(TimePoint now) {
   bool changed = false;
   for (auto& [subject, holders] : subjects_) {
-    std::erase_if(holders, [&](const auto& entry) {
-      if (entry.second.until > now) return false;
+    std::erase_if(holders, [&](const auto& holder) {
+      const ActiveDirective& active = holder.second;
+      if (active.until > now) return false;
       changed = true;
-      if (entry.second.order.drains)
-        host_.log("the lease of " + entry.second.order.holder + " on " +
-                  (subject.empty() ? "this manager" : subject) + " has run out");
+      if (active.order.drains)
+        host_.log("the lease of " + active.order.holder + " on " + subject_text(subject) + " has run out");
       return true;
     });
   }
-  std::erase_if(subjects_, [](const auto& entry) { return entry.second.empty(); });
+  std::erase_if(subjects_, [](const auto& subject) { return subject.second.empty(); });
   if (changed) host_.directives_changed();
   announce_changes();
 }
 
-// Tells what is other than it was last told, and when the next lease ends.
-void Drains::announce_changes() {
+void Drains::schedule_timer() {
   std::optional<TimePoint> next;
   for (const auto& [subject, holders] : subjects_) {
-    for (const auto& [holder, entry] : holders) next = std::min(next.value_or(entry.until), entry.until);
+    for (const auto& [holder, active] : holders) next = std::min(next.value_or(active.until), active.until);
   }
   if (next) host_.wake_at(*next);
-  // The host may call in again; what it is told is fixed before.
-  std::vector<std::pair<std::string, AdminState>> news;
+}
+
+// Announces the states that differ from those announced before.
+void Drains::announce_changes() {
+  schedule_timer();
+  // All changes are determined before the first is announced, since the host may call in again.
+  std::vector<std::pair<std::string, AdminState>> changes;
   for (auto& [name, listed] : engines_) {
-    const AdminState is = merged(name, listed);
-    if (is != listed.announced) news.emplace_back(name, listed.announced = is);
+    const AdminState state = merged(name, listed);
+    if (state == listed.announced) continue;
+    listed.announced = state;
+    changes.emplace_back(name, state);
   }
-  const bool drains = manager_drains(), turned = drains != manager_announced_;
+  const bool drains = manager_drains();
+  const bool manager_changed = drains != manager_announced_;
   manager_announced_ = drains;
-  for (const auto& [name, state_of] : news) host_.engine_state_changed(name, state_of);
-  if (turned) host_.manager_drains(drains);
+  for (const auto& [name, state] : changes) host_.engine_state_changed(name, state);
+  if (manager_changed) host_.manager_drains(drains);
 }
 
+// ---- Lists
+
 std::vector<ActiveDirective> Drains::all() const {
-  std::vector<ActiveDirective> result;
+  std::vector<ActiveDirective> directives;
   for (const auto& [subject, holders] : subjects_) {
-    for (const auto& [holder, entry] : holders) result.push_back(entry);
+    for (const auto& [holder, active] : holders) directives.push_back(active);
   }
-  return result;
+  return directives;
 }
 
 std::vector<ActiveDirective> Drains::in_force() const {
-  std::vector<ActiveDirective> result = all();
-  std::erase_if(result, [](const ActiveDirective& entry) { return !entry.order.drains; });
-  return result;
+  std::vector<ActiveDirective> directives = all();
+  std::erase_if(directives, [](const ActiveDirective& active) { return !active.order.drains; });
+  return directives;
 }
 
 std::vector<ActiveDirective> Drains::in_force(const std::string& engine) const {
-  std::vector<ActiveDirective> result;
-  const auto at = engines_.find(engine);
+  std::vector<ActiveDirective> directives;
   const auto add = [&](const std::string& subject) {
     const auto holders = subjects_.find(subject);
     if (holders == subjects_.end()) return;
-    for (const auto& [holder, entry] : holders->second)
-      if (entry.order.drains) result.push_back(entry);
+    for (const auto& [holder, active] : holders->second) {
+      if (active.order.drains) directives.push_back(active);
+    }
   };
-  // In the order of subjects, as all orders are told.
-  if (at != engines_.end()) add("@" + at->second.address);
+  // In the order of subjects, as in the other lists.
+  const auto listed = engines_.find(engine);
+  if (listed != engines_.end()) add("@" + listed->second.address);
   add(engine);
-  return result;
+  return directives;
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/gossip_state.h
+++ b/src/fleet/gossip_state.h
@@ -1,153 +1,174 @@
-// What one agent knows of the instances of all agents. Each agent alone writes about its own; what others say
-// is merged and never altered. It knows no socket, file or clock, and decides nothing about instances: it
-// says what is known, and how long ago that was so.
+// What one agent knows of the instances of all agents, exchanged by anti-entropy gossip.
 //
-// A statement has (agent, incarnation, number). Of one agent the greater incarnation replaces all of the
-// lesser one; within an incarnation the greater number of each instance stands. Merging so is idempotent,
-// commutative and associative: loss, repeats, another order and a way round through third agents change
-// nothing. An incarnation is on disk before a word is said under it, and one that hears its own name with a
-// later one goes beyond that: a restarted agent is never overruled by its own past, even where its disk was
-// lost.
+// Each agent alone writes reports about its own instances; what is received about others is merged and passed
+// on unaltered. An entry is identified by (agent, incarnation, number). Of one agent the greater incarnation
+// replaces everything of a lesser one; within an incarnation the greater number of each instance stands. So
+// merging is idempotent, commutative and associative: loss, repetition, reordering and detours through third
+// agents change nothing.
 //
-// Age counts by this agent's steady clock from when it asked: what an answer says was so when the question
-// left, or later. StatusReport by a third agent is older by as long as that one, by its own steady clock, has
-// had it.
+// An incarnation is durable before anything is published under it. An agent that receives its own name with a
+// later incarnation begins one beyond that, so a restarted agent is never overruled by its own past, even
+// where its disk was lost.
+//
+// Age is counted by the reader's steady clock from when it asked: what an answer says was so when the
+// question left, or later. A report that comes by way of a third agent is older by as long as that agent has
+// had it, by its own steady clock.
+//
+// Not thread-safe. It reads no clock and does no I/O, and decides nothing about instances.
 #pragma once
 
+#include <chrono>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <random>
 #include <set>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "fleet/instance_lifecycle.h"
+#include "fleet/time.h"
 
 namespace pearchute::fleet {
 
-// What an agent says of one of its instances.
+// What an agent reports of one of its instances.
 struct StatusReport {
   std::string instance, zone;
   InstanceState state = InstanceState::unseen;
-  std::uint64_t process_incarnation = 0;  // which of its processes this is; another one is another life
-  Duration
-      in_state_for{};  // how long it has been in this condition, when this was said: at least so long since
-  double traffic = 0;  // jobs answered a second
-  double done = 1;     // the share of them that was done
-  std::uint64_t open = 0;  // jobs that wait for their answer
+  std::uint64_t process_incarnation = 0;  // identifies its process; another process has another one
+  Duration in_state_for{};  // when this was published: it has been in the state for at least this
+  double traffic = 0;       // requests answered per second
+  double done = 1;          // the share of them that succeeded
+  std::uint64_t open = 0;   // requests in flight
   bool operator==(const StatusReport&) const = default;
 };
 
-// How far somebody knows an agent's word: all of it up to a number.
+// How much is known of an agent's reports: all of that incarnation, up to that number.
 struct ReportVersion {
   std::uint64_t incarnation = 0, through = 0;
   bool operator==(const ReportVersion&) const = default;
 };
 
-struct Entry {
+// One numbered change of an agent's reports.
+struct ReportEntry {
   std::uint64_t number = 0;
   std::string instance;
-  std::optional<StatusReport> report;  // none: the agent owns it no more
-  bool operator==(const Entry&) const = default;
+  std::optional<StatusReport> report;  // none: the agent no longer owns the instance
+  bool operator==(const ReportEntry&) const = default;
 };
 
-// Of one agent, as any agent tells it to another that asked.
+// What one agent (the reporter) tells another about an agent: what the other did not know.
 struct ReportDelta {
   std::string agent;
-  ReportVersion upto;      // the teller knows all up to here
-  Duration age{};          // so long ago at most, by the teller's clock, this was all that the agent had said
-  bool age_known = false;  // else the teller can't say
-  std::uint64_t since = 0;    // the entries are all those above this number,
-  std::uint64_t through = 0;  // up to this one; less than `upto` where an answer could hold no more
-  std::vector<Entry> entries;
+  ReportVersion upto;         // the reporter knows everything up to here
+  Duration age{};             // at most so long ago, by the reporter's clock, that was all there was
+  bool age_known = false;     // else the reporter can't say
+  std::uint64_t since = 0;    // the entries are all those above this number
+  std::uint64_t through = 0;  // and up to this one; less than `upto` where the answer is full
+  std::vector<ReportEntry> entries;
 };
 
+// Whether reports are recent enough to decide by.
 enum class Freshness { unknown, old, fresh };
 std::string_view name_of(Freshness freshness);
 
+// All reports that one agent knows, its own included.
 class GossipState {
  public:
+  // Must outlive the GossipState.
   class Host {
    public:
     virtual ~Host() = default;
-    // On disk when it returns true; false, and nothing is said until it can be.
+    // Returns true once the incarnation is durable. On false nothing is published until a later attempt.
     virtual bool persist_incarnation(std::uint64_t incarnation) = 0;
-    // For the log: who is heard again, falls behind, speaks under this agent's name.
+    // For the log: an agent's freshness has changed, or its name is disputed.
     virtual void on_event(const std::string& agent, std::string_view what) = 0;
   };
-  // Two rounds of asking by way of a third agent and the slowest answer that is waited for: less would call
-  // a sound agent old at one lost answer.
+
+  // Two rounds by way of a third agent and the slowest answer that is waited for. With less, one lost answer
+  // would make a sound agent old.
   static constexpr Duration fresh_for = std::chrono::seconds(3);
-  // Beyond it nothing is left that a decision should lean on; five times, as of leases that were not renewed.
+  // Five times as long: beyond it, as with leases that were not renewed, nothing should be decided by a
+  // report.
   static constexpr Duration old_for = std::chrono::seconds(15);
-  // A message of a call holds a mebibyte; a fleet's first answer comes in parts.
+  // A message can hold a mebibyte. A large fleet's first answer comes in parts.
   static constexpr std::size_t default_max_answer_bytes = 256 * 1024;
-  // Instances that an agent has let go are named until so many have; then it starts another incarnation.
+  // Removed instances are reported as such until there are so many; then another incarnation begins.
   static constexpr std::size_t max_removed_instances = 256;
-  static constexpr std::size_t max_instances = 1024,
-                               max_name_bytes = 128;  // of an agent, as its charter holds
+  static constexpr std::size_t max_instances = 1024;  // of an agent
+  static constexpr std::size_t max_name_bytes = 128;  // of an instance or zone
 
-  // `incarnation` is the last that this agent kept on disk; 0: none. The seed has to be another at each
-  // start: the upper half of an incarnation counts, the lower is drawn, so that one after a lost disk, which
-  // counts from the beginning again, is never taken for the one before.
+  // `incarnation` is the last one that was persisted; 0: none. `seed` has to differ at each start: the upper
+  // half of an incarnation is a counter, the lower half is random, so that an incarnation after a lost disk,
+  // which counts from the beginning again, is never taken for an earlier one.
   GossipState(Host& host, std::string self, std::uint64_t incarnation, std::uint64_t seed,
               std::size_t max_answer_bytes = default_max_answer_bytes);
   GossipState(const GossipState&) = delete;
   GossipState& operator=(const GossipState&) = delete;
 
-  // The agents by the charter: whoever is not named is not listened to, and what it said goes.
+  // Sets the agents of the fleet. What is known of any other agent is dropped, and nothing more accepted.
   void set_agents(const std::set<std::string>& agents);
-  // The own instances as they are now. Only what has changed enough to matter is said anew.
+  // Sets the own instances as they are now. Only significant changes become entries.
   void publish(const std::vector<StatusReport>& reports);
+  // Reports agents whose freshness has changed with time. Call about twice a second.
+  void on_timer(TimePoint now);
 
-  std::map<std::string, ReportVersion> marks() const;  // of all others, for a question
-  // To whoever asks with its marks, itself included as far as it is known.
+  // What is known of the other agents, for a question.
+  std::map<std::string, ReportVersion> marks() const;
+  // What an agent with these marks does not know yet.
   std::vector<ReportDelta> answer(TimePoint now, const std::map<std::string, ReportVersion>& marks);
-  // What `asked` at that time has brought. False where it was of no use at all.
-  bool receive(TimePoint now, TimePoint asked, const std::vector<ReportDelta>& all);
-  void on_timer(TimePoint now);  // tells whose word has grown old since
+  // Merges the answer to a question that left at `asked`. Returns false where nothing in it was of use.
+  bool receive(TimePoint now, TimePoint asked, const std::vector<ReportDelta>& deltas);
 
+  // How well one agent is known.
   struct Known {
     ReportVersion mark;
-    std::uint64_t instance_count = 0;  // as many as stand, at present
-    std::optional<Duration> age;       // none: never, or it can't be said
+    std::uint64_t instance_count = 0;
+    std::optional<Duration> age;  // of its reports; none: never received, or it can't be said
     Freshness freshness = Freshness::unknown;
-    bool disputed = false;  // two have spoken under its name
+    bool disputed = false;  // two processes publish under its name
   };
   Known known(TimePoint now, const std::string& agent) const;
-  // By instance; empty of one that nobody knows.
+  // By instance; empty for an agent that is not known.
   std::map<std::string, StatusReport> reports(const std::string& agent) const;
-  std::set<std::string> agents() const;  // the others of the charter
+  std::set<std::string> agents() const;  // the others
   const std::string& self() const { return self_; }
-  bool can_publish() const { return can_publish_; }
-  std::size_t bytes() const;  // of all that is kept, about
+  bool can_publish() const { return can_publish_; }  // its incarnation is durable
+  std::size_t bytes() const;                         // of all that is kept, approximately
 
  private:
-  // Parts of an answer that was too large for one, until the last of them is here: a part by itself is no
-  // state that its agent ever was in, and is neither shown nor passed on.
-  struct Parts {
-    std::uint64_t incarnation = 0, resume = 0,
-                  target = 0;  // has what lies up to `resume` of what was then `target`
-    std::vector<Entry> entries;
+  // The parts received of an answer that was too large for one message. They are neither shown nor passed on
+  // until the last one is here: a part by itself is no state that its agent ever was in.
+  struct PartialDelta {
+    std::uint64_t incarnation = 0;
+    std::uint64_t resume = 0;  // everything up to this number is here
+    std::uint64_t target = 0;  // of everything up to this one
+    std::vector<ReportEntry> entries;
   };
   struct AgentRecord {
-    ReportVersion mark;  // all that its agent had stated at this number stands here, and nothing else
-    std::map<std::string, Entry> by_instance;
+    ReportVersion mark;  // exactly what the agent had published up to this version is in `by_instance`
+    std::map<std::string, ReportEntry> by_instance;
     std::map<std::uint64_t, std::string> by_number;
-    std::optional<Parts> parts;
-    std::optional<TimePoint> as_of;  // by this clock: all that it had said then is known
-    Freshness on_event = Freshness::unknown;
+    std::optional<PartialDelta> partial;
+    std::optional<TimePoint> as_of;  // everything that the agent had published by then is known
+    Freshness logged = Freshness::unknown;
     bool disputed = false;
   };
-  static void put(AgentRecord& record, const Entry& entry);
-  static bool fits(const Entry& entry);
+  static void put(AgentRecord& record, const ReportEntry& entry);
+  static bool is_acceptable(const AgentRecord& record, const ReportDelta& delta);
+  static std::optional<std::vector<ReportEntry>> complete_entries(AgentRecord& record,
+                                                                  const ReportDelta& delta);
   static bool merge(AgentRecord& record, const ReportDelta& delta);
-  static std::size_t bytes_of(const Entry& entry);
+  static std::size_t bytes_of(const ReportEntry& entry);
   void begin_incarnation(std::uint64_t above);
   void publish_changes();
+  bool publish_removals();
   void on_own_past_received(const ReportDelta& delta);
-  void report_freshness(TimePoint now, const std::string& agent, AgentRecord& record);
+  ReportDelta delta_for(TimePoint now, const std::string& agent, const AgentRecord& record,
+                        const std::optional<TimePoint>& as_of, const ReportVersion& theirs,
+                        std::size_t& bytes_left) const;
+  void log_freshness(TimePoint now, const std::string& agent, AgentRecord& record);
   Freshness freshness_of(TimePoint now, const AgentRecord& record) const;
 
   Host& host_;
@@ -155,12 +176,13 @@
   const std::string self_;
   AgentRecord own_;
   std::map<std::string, AgentRecord> peers_;
-  std::map<std::string, StatusReport> last_;  // the own instances, as last looked at
+  std::map<std::string, StatusReport> own_reports_;  // as last set, whether published or not
   const std::size_t max_answer_bytes_;
-  std::size_t removed_ = 0, next_first_ = 0;
-  bool can_publish_ = false;      // its incarnation is on disk,
-  bool instances_known_ = false;  // the own instances are known,
-  bool published_ = false;        // and stated under this incarnation
+  std::size_t removed_ = 0;     // own instances that are reported as removed
+  std::size_t next_first_ = 0;  // peer with which the next answer begins
+  bool can_publish_ = false;
+  bool instances_known_ = false;  // publish() was called,
+  bool published_ = false;        // and that under this incarnation
 };
 
 }  // namespace pearchute::fleet
--- a/src/fleet/instance_lifecycle.cpp
+++ b/src/fleet/instance_lifecycle.cpp
@@ -10,73 +10,97 @@
 
 namespace {
 
-// One that falls within ten seconds of its start would fall again: half a second, doubled to thirty. What has
-// stayed up for a minute is sound.
-constexpr Duration crash_window = seconds(10), stable_after = seconds(60);
-constexpr Duration min_restart_backoff = milliseconds(500), max_restart_backoff = seconds(30);
-// From its wish to end until it has: what is open gets its answer within 3.5 s, and a machine may be busy.
-// Then SIGTERM, and once more that long until SIGKILL.
+// A process that exits so soon after its start has crashed, and would do so again: its restart is delayed.
+constexpr Duration crash_window = seconds(10);
+// The delay is doubled with each crash,
+constexpr Duration min_restart_backoff = milliseconds(500);
+constexpr Duration max_restart_backoff = seconds(30);
+constexpr int max_backoff_doublings = 6;
+// until the process has been up for this long.
+constexpr Duration stable_after = seconds(60);
+// How long a process may take to exit: requests in flight are answered within 3.5 s, and the machine may be
+// busy. After that comes SIGTERM, and as much later SIGKILL.
 constexpr Duration shutdown_grace = seconds(10);
 
+Duration restart_backoff(int crashes) {
+  return std::min(max_restart_backoff, min_restart_backoff * (1 << std::min(crashes, max_backoff_doublings)));
+}
+
+bool is_same(const Step& one, const Step& other) {
+  return one.operation == other.operation && one.fence == other.fence && one.kind == other.kind &&
+         one.version == other.version;
+}
+
 }  // namespace
 
-std::string_view name_of(InstanceState condition) {
-  constexpr std::string_view words[] = {"unseen",   "down",    "starting", "serving",
+std::string_view name_of(InstanceState state) {
+  constexpr std::string_view names[] = {"unseen",   "down",    "starting", "serving",
                                         "draining", "drained", "ending",   "foreign"};
-  return words[static_cast<int>(condition)];
+  return names[static_cast<int>(state)];
 }
 
 void InstanceLifecycle::start(TimePoint now) {
-  if (now < start_at_ || !host_.record_intent("start", current_step_)) return;
+  if (now < start_not_before_ || !host_.record_intent("start", current_step_)) return;
   started_at_ = now;
-  process_was_alive_ = true, shutdown_requested_ = false;
-  // Should it not even come up, the next try waits as if it had fallen.
-  start_at_ = now + std::min(max_restart_backoff, min_restart_backoff * (1 << std::min(crash_count_, 6)));
+  process_was_alive_ = true;
+  shutdown_requested_ = false;
+  // Where no process comes up at all, the next attempt waits as after a crash.
+  start_not_before_ = now + restart_backoff(crash_count_);
   host_.start(version_);
 }
 
-namespace {
-bool same(const Step& one, const Step& other) {
-  return one.operation == other.operation && one.fence == other.fence && one.kind == other.kind &&
-         one.version == other.version;
-}
-}  // namespace
+// ---- Steps
 
 bool InstanceLifecycle::step(TimePoint now, const Step& step) {
-  if (current_step_) return same(*current_step_, step);
-  if (last_step_ && same(last_step_->step, step)) {
+  if (current_step_) return is_same(*current_step_, step);
+  if (last_step_ && is_same(last_step_->step, step)) {
     const CompletedStep completed = *last_step_;
     host_.step_ended(completed.step, completed.end, completed.detail);
     return true;
   }
-  if (condition_ == InstanceState::unseen || condition_ == InstanceState::foreign || interrupted_step_)
-    return false;
+  if (state_ == InstanceState::unseen || state_ == InstanceState::foreign || interrupted_step_) return false;
   if (!host_.record_intent("step", step)) return false;
   current_step_ = step;
   version_before_ = version_;
   falling_back_ = false;
+  begin_step(now, step);
+  return true;
+}
+
+void InstanceLifecycle::begin_step(TimePoint now, const Step& step) {
   switch (step.kind) {
     case StepKind::drain:
-      phase_ = Phase::draining, phase_until_ = now + step.drain_within;
+      begin_phase(Phase::draining, now + step.drain_within);
       host_.set_drain(true, step);
       break;
     case StepKind::resume:
       wanted_ = true;
-      phase_ = Phase::starting, phase_until_ = now + step.up_within;
+      begin_phase(Phase::starting, now + step.up_within);
       host_.set_drain(false, step);
       break;
     case StepKind::change:
       version_ = step.version;
-      [[fallthrough]];
+      begin_shutdown(now, step);
+      break;
     case StepKind::restart:
-      wanted_ = true;
-      phase_ = Phase::ending, phase_until_ = now + step.drain_within + shutdown_grace;
-      terminated_ = killed_ = false, shutdown_requested_ = true;
-      crash_count_ = 0, start_at_ = now;
-      host_.request_shutdown(step.drain_within);
+      begin_shutdown(now, step);
       break;
   }
-  return true;
+}
+
+void InstanceLifecycle::begin_phase(Phase phase, TimePoint until) {
+  phase_ = phase;
+  phase_until_ = until;
+}
+
+void InstanceLifecycle::begin_shutdown(TimePoint now, const Step& step) {
+  wanted_ = true;
+  begin_phase(Phase::ending, now + step.drain_within + shutdown_grace);
+  terminated_ = killed_ = false;
+  shutdown_requested_ = true;
+  crash_count_ = 0;
+  start_not_before_ = now;
+  host_.request_shutdown(step.drain_within);
 }
 
 void InstanceLifecycle::finish(StepEnd end, const std::string& detail) {
@@ -87,70 +111,78 @@
   host_.step_ended(step, last_step_->end, detail);
 }
 
-// Whatever was half done ends in a state that was stated before it began: it serves, by the old command where
-// the new one has not been started, or the restart is seen to its end.
+// Takes a half-done step to its fallback: the instance serves again, by the old command where the new one has
+// not been started yet, or the step is finished.
 void InstanceLifecycle::lease_ended(TimePoint now) {
   if (!current_step_ || falling_back_) return;
   falling_back_ = true;
-  const bool back = current_step_->fallback == Fallback::serve_again;
+  const bool serves_again = current_step_->fallback == Fallback::serve_again;
   if (current_step_->kind == StepKind::drain) {
-    if (!back) return;
+    if (!serves_again) return;
     host_.set_drain(false, *current_step_);
-    phase_ = Phase::starting, phase_until_ = now + current_step_->up_within;
-  } else if (phase_ == Phase::ending && back && !terminated_) {
+    begin_phase(Phase::starting, now + current_step_->up_within);
+  } else if (phase_ == Phase::ending && serves_again && !terminated_) {
     host_.cancel_shutdown();
     version_ = version_before_;
-    phase_ = Phase::starting, phase_until_ = now + current_step_->up_within;
+    begin_phase(Phase::starting, now + current_step_->up_within);
   }
 }
 
+// A step that began before the agent's restart: the step is known from the disk, its progress from the
+// observation.
+void InstanceLifecycle::resume_interrupted_step(TimePoint now, const Observation& observation) {
+  current_step_ = std::exchange(interrupted_step_, std::nullopt);
+  falling_back_ = false;
+  terminated_ = killed_ = false;
+  version_before_ = observation.ours ? observation.version : version_;
+  if (current_step_->kind == StepKind::change) version_ = current_step_->version;
+  wanted_ = true;
+  const TimePoint shutdown_until = now + current_step_->drain_within + shutdown_grace;
+  if (current_step_->kind == StepKind::drain) begin_phase(Phase::draining, shutdown_until);
+  else if (current_step_->kind == StepKind::resume || !observation.ours)
+    begin_phase(Phase::starting, now + current_step_->up_within);
+  else begin_phase(Phase::ending, shutdown_until);
+  shutdown_requested_ = phase_ == Phase::ending;
+  lease_ended(now);
+}
+
+// ---- Observations
+
 void InstanceLifecycle::observe(TimePoint now, const Observation& observation) {
   const bool foreign = observation.answers && !observation.is_ours;
+  detect_exit(now, observation, foreign);
+  state_ = state_after(observation, foreign);
+  if (interrupted_step_) resume_interrupted_step(now, observation);
+  advance(now, observation);
+}
+
+void InstanceLifecycle::detect_exit(TimePoint now, const Observation& observation, bool foreign) {
   if (process_was_alive_ && !observation.ours && !foreign) {
-    // It has ended. One that was not asked to, soon after its start, falls.
     process_was_alive_ = false;
-    if (!shutdown_requested_ && now - started_at_ < crash_window) crash_count_ += 1;
-    if (!shutdown_requested_)
-      start_at_ = std::max(start_at_,
-                           crash_count_ == 0
-                               ? now
-                               : now + std::min(max_restart_backoff,
-                                                min_restart_backoff * (1 << std::min(crash_count_ - 1, 6))));
+    if (!shutdown_requested_) {
+      if (now - started_at_ < crash_window) ++crash_count_;
+      const TimePoint next = crash_count_ == 0 ? now : now + restart_backoff(crash_count_ - 1);
+      start_not_before_ = std::max(start_not_before_, next);
+    }
   }
   if (observation.ours) {
     process_was_alive_ = true;
     if (now - started_at_ > stable_after) crash_count_ = 0;
   }
-  if (foreign) condition_ = InstanceState::foreign;
-  else if (!observation.ours) condition_ = InstanceState::down;
-  else if (phase_ == Phase::ending) condition_ = InstanceState::ending;
-  else if (!observation.answers || !observation.serves) condition_ = InstanceState::starting;
-  else
-    condition_ = observation.drained  ? InstanceState::drained
-                 : observation.drains ? InstanceState::draining
-                                      : InstanceState::serving;
-  if (interrupted_step_) {
-    // Begun before the agent's own end: what it was is known from the disk, what it became by the look.
-    current_step_ = std::exchange(interrupted_step_, std::nullopt);
-    falling_back_ = false;
-    terminated_ = killed_ = false;
-    version_before_ = observation.ours ? observation.version : version_;
-    if (current_step_->kind == StepKind::change) version_ = current_step_->version;
-    wanted_ = true;
-    phase_ = current_step_->kind == StepKind::drain                         ? Phase::draining
-             : current_step_->kind == StepKind::resume || !observation.ours ? Phase::starting
-                                                                            : Phase::ending;
-    shutdown_requested_ = phase_ == Phase::ending;
-    phase_until_ = now + current_step_->drain_within + shutdown_grace;
-    if (phase_ == Phase::starting) phase_until_ = now + current_step_->up_within;
-    lease_ended(now);
-  }
-  advance(now, observation);
+}
+
+InstanceState InstanceLifecycle::state_after(const Observation& observation, bool foreign) const {
+  if (foreign) return InstanceState::foreign;
+  if (!observation.ours) return InstanceState::down;
+  if (phase_ == Phase::ending) return InstanceState::ending;
+  if (!observation.answers || !observation.serves) return InstanceState::starting;
+  if (observation.drained) return InstanceState::drained;
+  return observation.drains ? InstanceState::draining : InstanceState::serving;
 }
 
 void InstanceLifecycle::advance(TimePoint now, const Observation& observation) {
-  if (condition_ == InstanceState::foreign) {
-    if (current_step_ && now >= phase_until_) finish(StepEnd::time_up, "somebody else has its address");
+  if (state_ == InstanceState::foreign) {
+    if (current_step_ && has_timed_out(now)) finish(StepEnd::time_up, "somebody else has its address");
     return;
   }
   switch (phase_) {
@@ -158,38 +190,49 @@
       if (wanted_ && !observation.ours) start(now);
       return;
     case Phase::draining:
-      if (observation.ours && observation.drained) return finish(StepEnd::done, "drained");
-      if (!observation.ours && wanted_) start(now);
-      if (now >= phase_until_) finish(StepEnd::time_up, "drains, but not within the time");
-      return;
+      return advance_draining(now, observation);
     case Phase::ending:
-      if (!observation.ours) {
-        phase_ = Phase::starting, phase_until_ = now + current_step_->up_within, start_at_ = now;
-        return start(now);
-      }
-      // Stated times: its own way first, then the system's.
-      if (now >= phase_until_ && !terminated_) {
-        if (!host_.record_intent("terminate", current_step_)) return;
-        terminated_ = true, phase_until_ = now + shutdown_grace;
-        host_.terminate();
-      } else if (now >= phase_until_ && !killed_) {
-        if (!host_.record_intent("kill", current_step_)) return;
-        killed_ = true, phase_until_ = now + shutdown_grace;
-        host_.kill();
-      } else if (now >= phase_until_) {
-        finish(StepEnd::time_up, "does not end");
-      }
-      return;
+      return advance_ending(now, observation);
     case Phase::starting:
-      if (observation.ours && observation.serves && !observation.drains && !observation.drained)
-        return finish(StepEnd::done, "serves");
-      if (!observation.ours) start(now);
-      if (now >= phase_until_)
-        finish(StepEnd::time_up, observation.ours
-                                     ? observation.drains ? "others' orders hold it" : "does not serve"
-                                     : "falls at once");
-      return;
+      return advance_starting(now, observation);
+  }
+}
+
+void InstanceLifecycle::advance_draining(TimePoint now, const Observation& observation) {
+  if (observation.ours && observation.drained) return finish(StepEnd::done, "drained");
+  if (!observation.ours && wanted_) start(now);
+  if (has_timed_out(now)) finish(StepEnd::time_up, "drains, but not within the time");
+}
+
+void InstanceLifecycle::advance_ending(TimePoint now, const Observation& observation) {
+  if (!observation.ours) {
+    begin_phase(Phase::starting, now + current_step_->up_within);
+    start_not_before_ = now;
+    return start(now);
+  }
+  if (!has_timed_out(now)) return;
+  if (!terminated_) {
+    if (!host_.record_intent("terminate", current_step_)) return;
+    terminated_ = true;
+    phase_until_ = now + shutdown_grace;
+    host_.terminate();
+  } else if (!killed_) {
+    if (!host_.record_intent("kill", current_step_)) return;
+    killed_ = true;
+    phase_until_ = now + shutdown_grace;
+    host_.kill();
+  } else {
+    finish(StepEnd::time_up, "does not end");
   }
 }
 
+void InstanceLifecycle::advance_starting(TimePoint now, const Observation& observation) {
+  if (observation.ours && observation.serves && !observation.drains && !observation.drained)
+    return finish(StepEnd::done, "serves");
+  if (!observation.ours) start(now);
+  if (!has_timed_out(now)) return;
+  if (!observation.ours) return finish(StepEnd::time_up, "falls at once");
+  finish(StepEnd::time_up, observation.drains ? "others' orders hold it" : "does not serve");
+}
+
 }  // namespace pearchute::fleet
--- a/src/fleet/lease_table.cpp
+++ b/src/fleet/lease_table.cpp
@@ -4,128 +4,148 @@
 
 namespace pearchute::fleet {
 
+namespace {
+
+TimePoint expiry(TimePoint now, Duration lease_duration) {
+  return now + std::clamp(lease_duration, LeaseTable::min_lease, LeaseTable::max_lease);
+}
+
+}  // namespace
+
 void LeaseTable::add_instance(TimePoint now, const std::string& instance, std::uint64_t last_fence,
                               const std::optional<Lease>& open, Duration lease_duration) {
-  Owned& owned = owned_[instance];
+  OwnedInstance& owned = instances_[instance];
   owned.last_fence = std::max(owned.last_fence, last_fence);
   if (open) {
     owned.lease = open;
-    owned.lease->since = now, owned.lease->until = now + std::clamp(lease_duration, min_lease, max_lease);
+    owned.lease->since = now;
+    owned.lease->until = expiry(now, lease_duration);
     owned.last_fence = std::max(owned.last_fence, open->fence);
   }
-  set_wake();
+  schedule_timer();
 }
 
 bool LeaseTable::remove_instance(TimePoint now, const std::string& instance) {
   on_timer(now);
-  const auto at = owned_.find(instance);
-  if (at == owned_.end()) return true;
-  if (at->second.lease) return false;
-  owned_.erase(at);
+  const auto found = instances_.find(instance);
+  if (found == instances_.end()) return true;
+  if (found->second.lease) return false;
+  instances_.erase(found);
   return true;
 }
 
 LeaseTable::Answer LeaseTable::acquire(TimePoint now, const LeaseRequest& request) {
   Answer answer;
   on_timer(now);
-  if (request.operation.empty() || request.who.empty() || request.instances.empty())
-    answer.fault = "an ask without a name";
-  if (request.lease_duration < min_lease || request.lease_duration > max_lease)
-    answer.fault = "a lease out of bounds";
-  for (const std::string& instance : request.instances) {
-    const auto at = owned_.find(instance);
-    if (at == owned_.end()) {
-      answer.fault = instance + " is not this agent's";
-    } else if (at->second.lease && at->second.lease->operation != request.operation && !request.take_over) {
-      answer.conflicts.push_back({instance, *at->second.lease});
-    }
-  }
+  check(request, answer);
   if (!answer.fault.empty() || !answer.conflicts.empty()) return answer;
   std::map<std::string, Lease> granted;
-  for (const std::string& instance : request.instances) {
-    const Owned& owned = owned_.at(instance);
-    // The same ask again keeps its fence: its answer may have been lost.
-    const bool again = owned.lease && owned.lease->operation == request.operation;
-    granted[instance] = {request.operation, request.who, again ? owned.lease->fence : owned.last_fence + 1,
-                         again ? owned.lease->since : now, now + request.lease_duration};
-  }
+  for (const std::string& instance : request.instances)
+    granted[instance] = lease_for(now, request, instances_.at(instance));
   if (!host_.persist(granted)) {
     answer.fault = "the agent can't write its state";
     return answer;
   }
   answer.granted = true;
   for (const auto& [instance, lease] : granted) {
-    Owned& owned = owned_.at(instance);
-    if (owned.lease && owned.lease->operation != request.operation)
-      end(instance, owned, EndReason::taken_over);
+    OwnedInstance& owned = instances_.at(instance);
+    if (owned.lease && !owned.is_leased_to(request.operation)) end(instance, owned, EndReason::taken_over);
     owned.lease = lease;
     owned.last_fence = lease.fence;
     answer.fences[instance] = lease.fence;
   }
-  set_wake();
+  schedule_timer();
   return answer;
 }
 
+// Fills in why a request can't be granted. Of several faults the last one stands.
+void LeaseTable::check(const LeaseRequest& request, Answer& answer) const {
+  if (request.operation.empty() || request.who.empty() || request.instances.empty())
+    answer.fault = "an ask without a name";
+  if (request.lease_duration < min_lease || request.lease_duration > max_lease)
+    answer.fault = "a lease out of bounds";
+  for (const std::string& instance : request.instances) {
+    const auto found = instances_.find(instance);
+    if (found == instances_.end()) {
+      answer.fault = instance + " is not this agent's";
+      continue;
+    }
+    const OwnedInstance& owned = found->second;
+    if (owned.lease && !owned.is_leased_to(request.operation) && !request.take_over)
+      answer.conflicts.push_back({instance, *owned.lease});
+  }
+}
+
+Lease LeaseTable::lease_for(TimePoint now, const LeaseRequest& request, const OwnedInstance& owned) const {
+  Lease lease{request.operation, request.who, owned.last_fence + 1, now, now + request.lease_duration};
+  if (owned.is_leased_to(request.operation)) {
+    // A repeated request keeps its fence, since its answer may have been lost.
+    lease.fence = owned.lease->fence;
+    lease.since = owned.lease->since;
+  }
+  return lease;
+}
+
 bool LeaseTable::renew(TimePoint now, const std::string& operation, const std::vector<std::string>& instances,
                        Duration lease_duration) {
   on_timer(now);
-  bool all = true;
+  bool all_live = true;
   for (const std::string& instance : instances) {
-    const auto at = owned_.find(instance);
-    const bool live = at != owned_.end() && at->second.lease && at->second.lease->operation == operation;
-    all = all && live;
-    if (!live) continue;
-    TimePoint& until = at->second.lease->until;
-    until = std::max(until, now + std::clamp(lease_duration, min_lease, max_lease));
+    const auto found = instances_.find(instance);
+    if (found == instances_.end() || !found->second.is_leased_to(operation)) {
+      all_live = false;
+      continue;
+    }
+    TimePoint& until = found->second.lease->until;
+    until = std::max(until, expiry(now, lease_duration));
   }
-  set_wake();
-  return all;
+  schedule_timer();
+  return all_live;
 }
 
 void LeaseTable::release(TimePoint now, const std::string& operation) {
   on_timer(now);
-  for (auto& [instance, owned] : owned_) {
-    if (owned.lease && owned.lease->operation == operation) end(instance, owned, EndReason::released);
+  for (auto& [instance, owned] : instances_) {
+    if (owned.is_leased_to(operation)) end(instance, owned, EndReason::released);
   }
 }
 
 void LeaseTable::on_timer(TimePoint now) {
-  for (auto& [instance, owned] : owned_) {
+  for (auto& [instance, owned] : instances_) {
     if (owned.lease && now >= owned.lease->until) end(instance, owned, EndReason::run_out);
   }
-  set_wake();
+  schedule_timer();
 }
 
-void LeaseTable::end(const std::string& instance, Owned& owned, EndReason why) {
+void LeaseTable::end(const std::string& instance, OwnedInstance& owned, EndReason why) {
   const Lease lease = *owned.lease;
   owned.lease.reset();
   host_.lease_ended(instance, lease, why);
 }
 
-void LeaseTable::set_wake() {
+void LeaseTable::schedule_timer() {
   std::optional<TimePoint> next;
-  for (const auto& [instance, owned] : owned_) {
+  for (const auto& [instance, owned] : instances_) {
     if (owned.lease) next = std::min(next.value_or(owned.lease->until), owned.lease->until);
   }
   if (next) host_.wake_at(*next);
 }
 
-// By the clock alone, whether or not somebody has been woken for the lease_duration's end.
 bool LeaseTable::live(TimePoint now, const std::string& instance, std::uint64_t fence) const {
-  const auto at = owned_.find(instance);
-  return at != owned_.end() && at->second.lease && at->second.lease->fence == fence &&
-         now < at->second.lease->until;
+  const std::optional<Lease> lease = lease_on(now, instance);
+  return lease && lease->fence == fence;
 }
 
 std::optional<Lease> LeaseTable::lease_on(TimePoint now, const std::string& instance) const {
-  const auto at = owned_.find(instance);
-  if (at == owned_.end() || !at->second.lease || now >= at->second.lease->until) return std::nullopt;
-  return at->second.lease;
+  const auto found = instances_.find(instance);
+  if (found == instances_.end() || !found->second.lease || now >= found->second.lease->until)
+    return std::nullopt;
+  return found->second.lease;
 }
 
 std::uint64_t LeaseTable::last_fence(const std::string& instance) const {
-  const auto at = owned_.find(instance);
-  return at == owned_.end() ? 0 : at->second.last_fence;
+  const auto found = instances_.find(instance);
+  return found == instances_.end() ? 0 : found->second.last_fence;
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/lease_table.h
+++ b/src/fleet/lease_table.h
@@ -1,12 +1,15 @@
-// LeaseTable on the instances that one agent owns. The owner alone grants them: who works on an instance,
-// under which operation, with a fencing number that only grows, and until when by the owner's own steady
-// clock. It knows no file, socket or clock; what it grants counts only once the host has written it.
+// Leases on the instances that one agent owns. The owner alone grants them: who may work on an instance,
+// under which operation, with which fencing token, and until when by the owner's own steady clock.
 //
-// LeaseTable for an operation are taken all or none. One that is refused hears who holds what, since when and
-// for how long. A take-over ends the older operation's leases and bumps the fence, so that whatever that one
-// still sends is refused.
+// The leases of one request are granted all or none. A refused request learns who holds what, since when and
+// until when. A take-over ends the older operation's leases and raises the fence, so that whatever that
+// operation still sends is refused. Fences of an instance only grow, and a grant counts only once it is
+// durable.
+//
+// Not thread-safe. It reads no clock and does no I/O.
 #pragma once
 
+#include <chrono>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -17,78 +20,92 @@
 
 namespace pearchute::fleet {
 
+// Requests leases on several instances. A repeat of a granted request is answered the same.
 struct LeaseRequest {
-  std::string operation;  // its id; the same ask again is answered the same
-  std::string who;
+  std::string operation;  // its id
+  std::string who;        // the operator
   std::vector<std::string> instances;
-  Duration lease_duration{};
-  bool take_over = false;
+  Duration lease_duration{};  // from LeaseTable::min_lease to max_lease
+  bool take_over = false;     // from whoever holds them
 };
 
+// A lease on one instance.
 struct Lease {
   std::string operation, who;
   std::uint64_t fence = 0;
   TimePoint since{}, until{};
 };
 
+// The instances of one agent, with the lease on each.
 class LeaseTable {
  public:
+  // Why a lease ended.
   enum class EndReason { run_out, released, taken_over };
+
+  // Must outlive the LeaseTable.
   class Host {
    public:
     virtual ~Host() = default;
-    // To be on disk before the grant is told; false where that fails, and nothing is granted.
+    // Persists leases before they are granted. Returns false where that fails; then nothing is granted.
     virtual bool persist(const std::map<std::string, Lease>& granted) = 0;
     virtual void lease_ended(const std::string& instance, const Lease& lease, EndReason why) = 0;
+    // Asks for on_timer() at that time. A later call replaces an earlier one.
     virtual void wake_at(TimePoint when) = 0;
   };
-  // Longer would leave instances bound to an operator who is gone; shorter could not outlast a slow step.
-  static constexpr Duration min_lease = std::chrono::seconds(1), max_lease = std::chrono::hours(1);
+
+  // A shorter lease could not outlast a slow step; a longer one would bind instances to an operator who is
+  // gone.
+  static constexpr Duration min_lease = std::chrono::seconds(1);
+  static constexpr Duration max_lease = std::chrono::hours(1);
 
   explicit LeaseTable(Host& host) : host_(host) {}
   LeaseTable(const LeaseTable&) = delete;
   LeaseTable& operator=(const LeaseTable&) = delete;
 
-  // At start: an instance with the last fence that was ever granted on it, and the lease that may still be
-  // live. Since the clock has started anew, its whole lease_duration is given once more: never too short.
+  // Adds an instance, with the last fence that was ever granted on it and the lease that may still be live.
+  // Since the clock may have started anew, that lease is given its whole duration once more.
   void add_instance(TimePoint now, const std::string& instance, std::uint64_t last_fence,
                     const std::optional<Lease>& open, Duration lease_duration);
-
-  // False where it is claimed: it stays.
+  // Returns false, and removes nothing, while there is a live lease on the instance.
   bool remove_instance(TimePoint now, const std::string& instance);
 
+  // A lease that stands in the way of a request.
   struct Conflict {
     std::string instance;
     Lease lease;
   };
   struct Answer {
     bool granted = false;
-    std::map<std::string, std::uint64_t> fences;
-    std::vector<Conflict> conflicts;  // by others, where it is refused for that
-    std::string fault;                // where it is refused for anything else
+    std::map<std::string, std::uint64_t> fences;  // by instance, where it is granted
+    std::vector<Conflict> conflicts;              // where it is refused since others hold leases
+    std::string fault;                            // where it is refused for any other reason
   };
   Answer acquire(TimePoint now, const LeaseRequest& request);
-  // Those of these leases that are live go on for `lease_duration`. False where any is not: run out, or taken
-  // over.
+  // Extends those of the operation's leases that are live. Returns false where any is not.
   bool renew(TimePoint now, const std::string& operation, const std::vector<std::string>& instances,
              Duration lease_duration);
   void release(TimePoint now, const std::string& operation);
+  // Ends the leases that have run out.
   void on_timer(TimePoint now);
 
+  // Whether the lease with this fence is live, by the clock alone: on_timer() may be late.
   bool live(TimePoint now, const std::string& instance, std::uint64_t fence) const;
   std::optional<Lease> lease_on(TimePoint now, const std::string& instance) const;
   std::uint64_t last_fence(const std::string& instance) const;
 
  private:
-  struct Owned {
+  struct OwnedInstance {
     std::uint64_t last_fence = 0;
     std::optional<Lease> lease;
+    bool is_leased_to(const std::string& operation) const { return lease && lease->operation == operation; }
   };
-  void end(const std::string& instance, Owned& owned, EndReason why);
-  void set_wake();
+  void check(const LeaseRequest& request, Answer& answer) const;
+  Lease lease_for(TimePoint now, const LeaseRequest& request, const OwnedInstance& owned) const;
+  void end(const std::string& instance, OwnedInstance& owned, EndReason why);
+  void schedule_timer();
 
   Host& host_;
-  std::map<std::string, Owned> owned_;
+  std::map<std::string, OwnedInstance> instances_;
 };
 
 }  // namespace pearchute::fleet
--- a/src/fleet/level_gossip.cpp
+++ b/src/fleet/level_gossip.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The schedulers of one agent must not draw the same numbers.
+// Distance between the seeds of one agent's schedulers, which must not draw the same numbers.
 constexpr std::uint64_t sibling_seed_offset = 0x9E3779B97F4A7C15ULL;
 
 }  // namespace
@@ -19,12 +19,18 @@
     : self_(std::move(self)),
       state_(host, self_, incarnation, seed),
       group_scheduler_(seed, group_peers_at_once),
-      sibling_schedulers_{AntiEntropyScheduler(seed + sibling_seed_offset),
-                          AntiEntropyScheduler(seed + 2 * sibling_seed_offset),
-                          AntiEntropyScheduler(seed + 3 * sibling_seed_offset)} {
+      sibling_schedulers_(schedulers_for(seed)) {
   set_topology(std::move(topology));
 }
 
+std::array<AntiEntropyScheduler, LevelGossip::level_count> LevelGossip::schedulers_for(std::uint64_t seed) {
+  const std::uint64_t group_seed = seed + sibling_seed_offset;
+  const std::uint64_t zone_seed = group_seed + sibling_seed_offset;
+  const std::uint64_t region_seed = zone_seed + sibling_seed_offset;
+  return {AntiEntropyScheduler(group_seed), AntiEntropyScheduler(zone_seed),
+          AntiEntropyScheduler(region_seed)};
+}
+
 void LevelGossip::set_topology(std::shared_ptr<const Topology> topology) {
   topology_ = std::move(topology);
   placement_ = topology_->placement(self_).value_or(Placement{});
@@ -34,7 +40,8 @@
   state_.set_agents(peers);
   group_scheduler_.set_peers(peers);
   summaries_.set_topology(topology_);
-  std::erase_if(contact_rotations_, [&](const auto& one) { return !topology_->contains(one.first); });
+  std::erase_if(contact_rotations_,
+                [&](const auto& rotation) { return !topology_->contains(rotation.first); });
 }
 
 void LevelGossip::publish_instances(const std::vector<StatusReport>& reports) {
@@ -42,7 +49,7 @@
   has_reported_ = true;
 }
 
-// ---- Who aggregates
+// ---- Aggregators
 
 std::vector<std::string> LevelGossip::aggregator_candidates(TimePoint now, Level level) const {
   std::set<std::string> alive;
@@ -99,7 +106,7 @@
   return written;
 }
 
-// ---- Whom to ask for what
+// ---- Queries
 
 LevelGossip::TickResult LevelGossip::tick(TimePoint now) {
   TickResult result;
@@ -143,10 +150,10 @@
   }
 }
 
-// The known writers for the unit, and after those that are of no use, its members by their rank.
+// Whom to query for a sibling unit: the known writers of its summary first, then its members by their rank.
 std::string LevelGossip::contact_of(const Unit& sibling) const {
   std::vector<std::string> candidates = summaries_.writers(sibling);
-  // Not all begin with the same one.
+  // Not all agents begin with the same writer.
   std::ranges::sort(candidates, std::greater<>(),
                     [&](const std::string& writer) { return rendezvous_weight(self_, writer); });
   std::ranges::copy(topology_->ranked_members(sibling), std::back_inserter(candidates));
@@ -154,7 +161,7 @@
   return candidates[(rotation == contact_rotations_.end() ? 0 : rotation->second) % candidates.size()];
 }
 
-// Both sides compute the same, so that neither tells what the other has no use for.
+// Both sides compute the same, so that neither sends what the other has no use for.
 std::vector<Unit> LevelGossip::units_shared_with(const std::string& peer) const {
   const std::optional<Placement> theirs = topology_->placement(peer);
   if (!theirs) return {};
@@ -207,7 +214,8 @@
   }
 }
 
-// Its own past is of no use to an agent, but where it is later than the present one nobody would listen.
+// A summary of the own past is of no use, but while its incarnation is the later one, others ignore the
+// present.
 void LevelGossip::go_beyond(TimePoint now, TimePoint asked, const SummaryVersion& past) {
   if (past.incarnation <= incarnation(now)) return;
   ReportDelta own_past;
@@ -223,7 +231,7 @@
   const std::size_t writers = summaries_.writers(*id.sibling).size();
   std::size_t& rotation = contact_rotations_[*id.sibling];
   ++rotation;
-  // While the writers themselves answer, they are asked in turn.
+  // While the writers themselves answer, they are queried in rotation.
   if (of_use && rotation <= writers) rotation %= writers;
   else if (of_use) --rotation;
 }
--- a/src/fleet/level_gossip.h
+++ b/src/fleet/level_gossip.h
@@ -1,13 +1,16 @@
 // One agent's part in the exchange of status by levels: group, zone, region.
 //
 // Within its group an agent exchanges the status of every instance (GossipState). Members that rank highest
-// among those they know to be alive write a summary of their group; the highest of these write one of their
-// zone, and the highest of those one of their region. There is no election: each agent decides for itself,
-// and too many writers cost bytes only. Summaries spread by anti-entropy: between the group's members, and
-// from aggregators to some member of each sibling unit. It knows no socket, file, clock or thread.
+// among those they know to be alive are aggregators: they write a summary of their group; the highest of
+// these write one of their zone, and the highest of those one of their region. There is no election: each
+// agent decides for itself, and too many writers cost bytes only. Summaries spread by anti-entropy: between
+// the group's members, and from aggregators to some member of each sibling unit.
+//
+// Not thread-safe. It reads no clock and does no I/O.
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -22,64 +25,72 @@
 
 namespace pearchute::fleet {
 
+// Asks another agent for what this one does not know.
 struct LevelQuestion {
   std::string asker;
-  std::uint64_t incarnation = 0;  // of the asker; it is told if it has spoken under a later one
+  std::uint64_t incarnation = 0;  // of the asker; the answer has its summary of a later one, if there is any
   // Absent: the asker does not want the status of instances.
   std::optional<std::map<std::string, ReportVersion>> status_versions;
   // Absent: the asker does not want summaries.
   std::optional<std::vector<SummaryMark>> summary_marks;
 };
 
+// What the asker did not know.
 struct LevelAnswer {
   std::vector<ReportDelta> reports;
   std::vector<SummaryDelta> summaries;
 };
 
-// What a question was asked for: a member of the own group, or whoever answers for a sibling unit.
+// The purpose of a question.
 struct QuestionId {
-  std::string peer;
-  std::optional<Unit> sibling;
+  std::string peer;             // to whom it goes
+  std::optional<Unit> sibling;  // the unit for which it answers; none: a member of the own group
 };
+
+// A question to be sent.
 struct OutgoingQuestion {
   QuestionId id;
   LevelQuestion question;
 };
 
+// The exchange of status by levels, at one agent.
 class LevelGossip {
  public:
   // One may fail without a gap in the summaries.
   static constexpr std::size_t aggregators_per_unit = 2;
-  // A group is small: each peer is asked every few beats even so.
+  // Members of the own group that are queried in a tick. A group is small, so each is queried every few
+  // ticks.
   static constexpr std::size_t group_peers_at_once = 2;
-  // Sibling groups and zones, which are many, are asked at every second beat; regions at each.
+  // Sibling groups and zones, which are many, are queried at every second tick; regions at each.
   static constexpr std::uint64_t ticks_per_sibling_round = 2;
 
-  // As for GossipState: the incarnation is the last one on disk, the seed another at each start.
+  // `host` must outlive this. As for GossipState, `incarnation` is the last one that was persisted, and
+  // `seed` has to differ at each start.
   LevelGossip(GossipState::Host& host, std::string self, std::uint64_t incarnation, std::uint64_t seed,
               std::shared_ptr<const Topology> topology);
 
   // Replaces the member list. What is known of units and members that are gone is dropped.
   void set_topology(std::shared_ptr<const Topology> topology);
-  // The own instances as they are now.
+  // Sets the own instances as they are now.
   void publish_instances(const std::vector<StatusReport>& reports);
 
   struct TickResult {
     std::vector<OutgoingQuestion> questions;
-    std::vector<StatusSummary> written;  // the summaries that this beat has made, smallest unit first
+    std::vector<StatusSummary> written;  // by this agent in this tick, the smallest unit first
     TimePoint next{};                    // when to call again
   };
+  // Writes due summaries, and begins due queries.
   TickResult tick(TimePoint now);
   LevelAnswer answer(TimePoint now, const LevelQuestion& question);
-  // Every question is concluded once by completed() or missed(); answers that come late are merged all the
-  // same, by merge().
+  // Merges an answer to a question that left at `asked`. Each question has to be concluded once, by
+  // completed() or missed(); an answer that comes after that is merged all the same.
   void merge(TimePoint now, TimePoint asked, const std::string& reporter, const LevelAnswer& answer);
   void completed(TimePoint now, const QuestionId& id);
   void missed(TimePoint now, const QuestionId& id);
 
-  // What this agent believes about its own duty: it writes the summary of its unit at that level.
+  // Whether this agent takes itself for an aggregator of its unit at that level.
   bool aggregates(TimePoint now, Level level) const;
-  // The summaries known here of all regions, combined; its age is that of the oldest report counted.
+  // The summaries of all regions that are known here, combined.
   GroupStatus fleet_status(TimePoint now) const;
   const SummaryStore& summaries() const { return summaries_; }
   const GossipState& group_state() const { return state_; }
@@ -87,6 +98,8 @@
   const std::string& self() const { return self_; }
 
  private:
+  static constexpr std::size_t level_count = 3;
+  static std::array<AntiEntropyScheduler, level_count> schedulers_for(std::uint64_t seed);
   std::vector<Unit> units_shared_with(const std::string& peer) const;
   std::uint64_t incarnation(TimePoint now) const { return state_.known(now, self_).mark.incarnation; }
   void go_beyond(TimePoint now, TimePoint asked, const SummaryVersion& past);
@@ -105,11 +118,12 @@
   GossipState state_;
   SummaryStore summaries_;
   AntiEntropyScheduler group_scheduler_;
-  // One for each level, so that many groups don't delay word of other regions. Units go by to_string().
-  std::array<AntiEntropyScheduler, 3> sibling_schedulers_;
+  // One for each level, so that many groups don't delay status of other regions. Its peers are units, by
+  // to_string().
+  std::array<AntiEntropyScheduler, level_count> sibling_schedulers_;
   std::map<Unit, std::size_t> contact_rotations_;
   std::uint64_t ticks_ = 0, summary_number_ = 0;
-  bool has_reported_ = false;
+  bool has_reported_ = false;  // publish_instances() was called
 };
 
 }  // namespace pearchute::fleet
--- a/src/fleet/quiescence.h
+++ b/src/fleet/quiescence.h
@@ -1,6 +1,7 @@
-// A manager that is drained, beside the program's phases: serving, draining (new calls are turned away, what
-// is open ends by the ordinary path), drained (nothing is open). It decides when to turn calls away and when
-// to end; it knows no socket and no clock, and answers no job itself.
+// How a manager is drained and shut down: serving, draining (new requests are rejected, those in flight end
+// the ordinary way), drained (nothing is in flight).
+//
+// Not thread-safe. It reads no clock and does no I/O, and answers no request itself.
 #pragma once
 
 #include <optional>
@@ -9,32 +10,42 @@
 
 namespace pearchute::fleet {
 
+// The drain state of one manager.
 class Quiescence {
  public:
   enum class State { serving, draining, drained };
+
+  // Must outlive the Quiescence.
   class Host {
    public:
     virtual ~Host() = default;
     virtual void reject_requests(bool rejecting) = 0;
-    virtual void end() = 0;  // by the program's own way, which answers what is still open
+    // Ends the program in its own way, which answers what is still in flight. Called once.
+    virtual void end() = 0;
     virtual void state_changed(State state) = 0;
   };
-  // `notice` is how long those who send clients here take to see that calls are turned away: no end comes
-  // sooner, lest calls that are on their way find nobody.
+
+  // `notice_period` is how long whoever sends clients here takes to see that requests are rejected. The end
+  // comes no sooner, so that requests on their way are still answered.
   Quiescence(Host& host, Duration notice_period) : host_(host), notice_period_(notice_period) {}
 
-  // By the orders in force. To be resumed undoes an end that was asked for, too, until it has begun.
+  // `idle`, in each of these: nothing is in flight now.
+  // Sets whether directives in force drain the manager. The end of a drain also cancels a shutdown that has
+  // not begun.
   void set_drain_ordered(TimePoint now, bool drains, bool idle);
-  // To end once nothing is open, at `within` at the latest. It drains until then.
+  // Drains, and ends once nothing is in flight, but after `within` at the latest.
   void request_shutdown(TimePoint now, Duration within, bool idle);
   void cancel_shutdown(TimePoint now, bool idle);
-  // To be called some fifty times a second, and whenever the last open job has ended.
+  // Call about fifty times a second, and whenever the last request in flight has ended.
   void update(TimePoint now, bool idle);
+
   State state() const { return state_; }
+  // Whether a shutdown is requested or has begun.
   bool ending() const { return shutdown_deadline_.has_value() || shutdown_begun_; }
 
  private:
-  void advance(TimePoint now, bool idle);
+  State next_state(bool idle) const;
+  void enter(TimePoint now, State next);
 
   Host& host_;
   const Duration notice_period_;
--- a/src/fleet/restart.cpp
+++ b/src/fleet/restart.cpp
@@ -1,28 +1,34 @@
 #include "fleet/restart.h"
 
 #include <algorithm>
+#include <chrono>
+#include <iterator>
 
 namespace pearchute::fleet {
 
 namespace {
 
-// From its wish to end until it has: what is open gets its answer within 3.5 s, and a machine may be busy.
-constexpr std::chrono::seconds shutdown_grace(10);
+// How long the old process may take to exit: requests in flight are answered within 3.5 s, and the machine
+// may be busy.
+constexpr Duration shutdown_grace = std::chrono::seconds(10);
 
 }  // namespace
 
 std::string_view name_of(Restart::State state) {
-  constexpr std::string_view words[] = {"asked to end", "ending", "starting", "checking its orders", "over"};
-  return words[static_cast<int>(state)];
+  constexpr std::string_view names[] = {"asked to end", "ending", "starting", "checking its orders", "over"};
+  return names[static_cast<int>(state)];
 }
 
 void Restart::finish(CommandOutcome outcome, std::string detail) {
   if (over()) return;
-  state_ = State::over, outcome_ = outcome, detail_ = std::move(detail);
+  state_ = State::over;
+  outcome_ = outcome;
+  detail_ = std::move(detail);
 }
 
-void Restart::begin(TimePoint now, const Identity& before, const std::set<std::string>& orders) {
-  before_ = before, orders_ = orders;
+void Restart::begin(TimePoint now, const Identity& before, const std::set<std::string>& directives) {
+  before_ = before;
+  directives_ = directives;
   deadline_ = now + limits_.drain_within + shutdown_grace;
   host_.request_shutdown(limits_.drain_within);
 }
@@ -33,24 +39,20 @@
     return finish(CommandOutcome::unreachable, "not reached; nothing was asked of it");
   if (result == ProbeResult::answered && !accepted)
     return finish(CommandOutcome::refused, "refused to end; it goes on as before");
-  // Where no answer came it may have been taken all the same: what is seen next tells.
+  // Without an answer it may have been accepted all the same: the next probe shows.
   state_ = State::ending;
 }
 
 void Restart::on_probe(TimePoint now, ProbeResult result, const std::optional<Identity>& identity) {
-  const bool other =
+  const bool is_new_process =
       identity && (identity->started != before_.started || identity->process != before_.process);
-  if (state_ == State::ending) {
-    if (result == ProbeResult::gone) {
-      state_ = State::starting;
-      deadline_ = now + limits_.up_within;
-      if (limits_.starts_program) host_.start_program();
-    } else if (other) {  // it went and came between two looks
-      state_ = State::starting;
-      deadline_ = now + limits_.up_within;
-    }
+  // The new process may have come up between two probes.
+  if (state_ == State::ending && (result == ProbeResult::gone || is_new_process)) {
+    state_ = State::starting;
+    deadline_ = now + limits_.up_within;
+    if (result == ProbeResult::gone && limits_.starts_program) host_.start_program();
   }
-  if (state_ == State::starting && other && identity->serves) {
+  if (state_ == State::starting && is_new_process && identity->serves) {
     state_ = State::checking;
     after_ = *identity;
     host_.request_directives();
@@ -58,24 +60,27 @@
   on_timer(now);
 }
 
-void Restart::on_directives(TimePoint now, const std::optional<std::set<std::string>>& orders) {
+void Restart::on_directives(TimePoint now, const std::optional<std::set<std::string>>& directives) {
   if (state_ != State::checking) return;
-  if (!orders) {
+  if (!directives) {
     if (now >= deadline_) on_timer(now);
     else host_.request_directives();
     return;
   }
   std::set<std::string> missing;
-  std::ranges::set_difference(orders_, *orders, std::inserter(missing, missing.begin()));
-  if (!missing.empty() && !directives_reissued_) {
-    directives_reissued_ = true;
-    reissued_count_ = static_cast<int>(missing.size());
-    host_.reissue_directives(missing);
-    return host_.request_directives();
-  }
-  if (!missing.empty())
+  std::ranges::set_difference(directives_, *directives, std::inserter(missing, missing.begin()));
+  if (missing.empty()) return finish_serving();
+  if (directives_reissued_) {
     return finish(CommandOutcome::refused,
                   "serves again, but " + std::to_string(missing.size()) + " orders are not in force");
+  }
+  directives_reissued_ = true;
+  reissued_count_ = static_cast<int>(missing.size());
+  host_.reissue_directives(missing);
+  host_.request_directives();
+}
+
+void Restart::finish_serving() {
   std::string detail = "serves again";
   if (after_.build != before_.build) detail += ", build " + before_.build + " -> " + after_.build;
   if (after_.digest != before_.digest) detail += ", another configuration";
--- a/src/fleet/restart.h
+++ b/src/fleet/restart.h
@@ -1,10 +1,12 @@
-// The restart of one manager, step by step: asked to end once nothing is open, gone, started, serving, and
-// the open orders back in force. It decides what comes next and when to give up; it knows no socket, process
-// or clock. What it was told last is what its outcome says, so that no instance is left in a state unknown.
+// The restart of one manager, step by step: a shutdown is requested, its process ends, another one starts and
+// serves, and the directives of before are in force again.
+//
+// Its outcome says what was last known of the manager, so that none is left in an unknown state.
+//
+// Not thread-safe. It reads no clock and does no I/O.
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <optional>
 #include <set>
 #include <string>
@@ -15,59 +17,74 @@
 
 namespace pearchute::fleet {
 
+// One manager's restart, as the command line sees it.
 class Restart {
  public:
   enum class State { shutdown_requested, ending, starting, checking, over };
-  enum class ProbeResult { answered, gone, silent };  // gone: nobody listens there; silent: no answer in time
+  enum class ProbeResult {
+    answered,
+    gone,    // nothing listens at its address
+    silent,  // no answer in time
+  };
+
+  // Which process answers, and how it runs.
   struct Identity {
     std::uint64_t started = 0, process = 0;
-    bool serves = false;  // its phase; with orders on the manager itself it may still turn calls away
-    std::string build, digest;
+    bool serves = false;        // its phase; by directives on the manager itself it may still reject requests
+    std::string build, digest;  // of its program and its configuration
   };
+
   struct Limits {
-    Duration drain_within{};      // until what is open has ended; it ends then all the same
-    Duration up_within{};         // from its end until it serves
-    bool starts_program = false;  // else somebody else does
+    Duration drain_within{};      // until what is in flight has ended; it is ended then all the same
+    Duration up_within{};         // from the end of the old process until the new one serves
+    bool starts_program = false;  // else something else starts the new process
   };
+
+  // Carries out what is decided. Must outlive the Restart.
   class Host {
    public:
     virtual ~Host() = default;
-    virtual void request_shutdown(Duration within) = 0;  // answered by on_shutdown_response
-    virtual void start_program() = 0;                    // answered by nothing but its coming up
-    virtual void request_directives() = 0;               // answered by on_directives
-    virtual void reissue_directives(
-        const std::set<std::string>& ids) = 0;  // and then request_directives once more
+    virtual void request_shutdown(Duration within) = 0;  // answered by on_shutdown_response()
+    virtual void start_program() = 0;                    // seen by on_probe() only
+    virtual void request_directives() = 0;               // answered by on_directives()
+    // Gives these directives to the new process.
+    virtual void reissue_directives(const std::set<std::string>& ids) = 0;
   };
 
   Restart(Host& host, const Limits& limits) : host_(host), limits_(limits) {}
-  void begin(TimePoint now, const Identity& before, const std::set<std::string>& orders);
+
+  // `directives`: the ids of those in force, which are to be in force afterwards.
+  void begin(TimePoint now, const Identity& before, const std::set<std::string>& directives);
   void on_shutdown_response(TimePoint now, ProbeResult result, bool accepted);
+  // What a probe of the manager showed; `identity` where it answered.
   void on_probe(TimePoint now, ProbeResult result, const std::optional<Identity>& identity);
-  void on_directives(TimePoint now, const std::optional<std::set<std::string>>& orders);
+  // None: the request failed.
+  void on_directives(TimePoint now, const std::optional<std::set<std::string>>& directives);
   void on_timer(TimePoint now);
 
   State state() const { return state_; }
   bool over() const { return state_ == State::over; }
   CommandOutcome outcome() const { return outcome_; }
-  const std::string& detail() const { return detail_; }  // what is known of it, in plain words
+  const std::string& detail() const { return detail_; }  // what is known of the manager, for operators
   int reissued_count() const { return reissued_count_; }
 
  private:
   void finish(CommandOutcome outcome, std::string detail);
-  void on_serving(TimePoint now, const Identity& identity);
+  void finish_serving();
 
   Host& host_;
   const Limits limits_;
   State state_ = State::shutdown_requested;
   Identity before_, after_;
-  std::set<std::string> orders_;
-  TimePoint deadline_{};
+  std::set<std::string> directives_;  // by id
+  TimePoint deadline_{};              // of the present state
   CommandOutcome outcome_ = CommandOutcome::not_begun;
   std::string detail_;
   int reissued_count_ = 0;
   bool directives_reissued_ = false;
 };
 
+// Name for operators.
 std::string_view name_of(Restart::State state);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/roles.h
+++ b/src/fleet/roles.h
@@ -1,4 +1,4 @@
-// Who may do what at an agent, by the role in a certificate. It knows no certificate, and has no state.
+// Which role may do what at an agent. Roles come from clients' certificates. Stateless.
 #pragma once
 
 #include <optional>
@@ -7,14 +7,23 @@
 
 namespace pearchute::fleet {
 
+// The role that a certificate names.
 enum class Role { read, operate, admin, agent };
-std::optional<Role> parse_role(std::string_view word);
+// None where no role has that name.
+std::optional<Role> parse_role(std::string_view name);
+// Name in certificates and messages.
 std::string_view name_of(Role role);
 
-enum class Action { look, change, take_over };
+// What a call does, as far as permission depends on it.
+enum class Action {
+  look,  // changes nothing
+  change,
+  take_over,  // ends another operation's leases
+};
 
-// Why that one may not, in plain words; nothing where it may. `who` is the name in the certificate, `as` the
-// one under which it acts: operators act under their own; agents carry out what operators have asked of them.
-std::optional<std::string> denial_reason(Role role, Action act, std::string_view who, std::string_view as);
+// Why a caller is denied an action, for operators; none where it is allowed. `who` is the name in the
+// caller's certificate, `as` the name under which it acts: operators act under their own only, agents carry
+// out what operators have requested.
+std::optional<std::string> denial_reason(Role role, Action action, std::string_view who, std::string_view as);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/status_summary.cpp
+++ b/src/fleet/status_summary.cpp
@@ -12,17 +12,24 @@
 
 using std::chrono::seconds;
 
-// Field tags, lengths and numbers of a message, on average; names come on top.
+// Field tags, lengths and numbers of an encoded message, on average, without names.
 constexpr std::size_t unit_overhead = 8;
 constexpr std::size_t mark_overhead = 5;
 constexpr std::size_t summary_overhead = 36;
+constexpr std::size_t traffic_overhead = 3;
+constexpr int bits_per_varint_byte = 7;
+constexpr Duration::rep us_per_ms = 1000;
+
+constexpr FreshnessLimits group_limits{seconds(6), seconds(30)};
+constexpr FreshnessLimits zone_limits{seconds(10), seconds(50)};
+constexpr FreshnessLimits region_limits{seconds(15), seconds(75)};
 
 std::size_t varint_size(std::uint64_t value) {
-  return 1 + static_cast<std::size_t>(std::bit_width(value) / 7);
+  return 1 + static_cast<std::size_t>(std::bit_width(value) / bits_per_varint_byte);
 }
 std::size_t unit_size(const Unit& unit) { return unit_overhead + unit.region.size() + unit.zone.size(); }
 
-bool finite_share(const StatusCounts& counts) {
+bool has_valid_traffic(const StatusCounts& counts) {
   return std::isfinite(counts.traffic) && std::isfinite(counts.done_traffic) && counts.traffic >= 0 &&
          counts.done_traffic >= 0;
 }
@@ -50,14 +57,14 @@
   const StatusCounts& counts = delta.summary.counts;
   std::size_t size = summary_overhead + unit_size(delta.summary.unit) + delta.summary.writer.size();
   for (const std::uint32_t count : counts.by_state) size += count == 0 ? 0 : 1 + varint_size(count);
-  size += 2 * sizeof(double) + 3;
+  size += 2 * sizeof(double) + traffic_overhead;
   size += varint_size(counts.open) + varint_size(counts.agents_fresh) + varint_size(counts.agents_old) +
           varint_size(counts.agents_unknown);
   return size;
 }
 
 std::size_t encoded_size(const SummaryMark& mark) {
-  const auto age_ms = static_cast<std::uint64_t>(std::max<Duration::rep>(0, mark.age.count() / 1000));
+  const auto age_ms = static_cast<std::uint64_t>(std::max<Duration::rep>(0, mark.age.count() / us_per_ms));
   return mark_overhead + sizeof(mark.unit) + varint_size(age_ms) + varint_size(mark.agents_fresh);
 }
 
@@ -79,11 +86,11 @@
 FreshnessLimits freshness_limits(Level level) {
   switch (level) {
     case Level::group:
-      return {seconds(6), seconds(30)};
+      return group_limits;
     case Level::zone:
-      return {seconds(10), seconds(50)};
+      return zone_limits;
     case Level::region:
-      return {seconds(15), seconds(75)};
+      return region_limits;
   }
   return {};
 }
@@ -92,17 +99,17 @@
   topology_ = std::move(topology);
   std::erase_if(units_, [&](const auto& unit) { return !topology_->contains(unit.first); });
   for (auto& [unit, writers] : units_)
-    std::erase_if(writers, [&](const auto& one) { return !acceptable(one.second.summary); });
-  std::erase_if(clocks_, [&](const auto& one) { return !topology_->contains(one.first); });
+    std::erase_if(writers, [&](const auto& entry) { return !is_acceptable(entry.second.summary); });
+  std::erase_if(clocks_, [&](const auto& clock) { return !topology_->contains(clock.first); });
 }
 
-bool SummaryStore::acceptable(const StatusSummary& summary) const {
+bool SummaryStore::is_acceptable(const StatusSummary& summary) const {
   const std::optional<Placement> writer = topology_->placement(summary.writer);
   if (!writer || writer->at(summary.unit.level) != summary.unit) return false;
-  // Nobody can count more agents than it was configured with, by a margin for lists that differ.
+  // No writer counts more agents than it was configured with, with a margin for configurations that differ.
   const std::size_t configured = topology_->ranked_members(summary.unit).size();
   return summary.counts.agents() <= 2 * configured + Topology::max_group_size &&
-         summary.age_when_made >= Duration(0) && finite_share(summary.counts);
+         summary.age_when_made >= Duration(0) && has_valid_traffic(summary.counts);
 }
 
 // When all that is counted was so, by this agent's clock.
@@ -118,7 +125,7 @@
 }
 
 void SummaryStore::publish(TimePoint now, const StatusSummary& own) {
-  if (!acceptable(own)) return;
+  if (!is_acceptable(own)) return;
   auto& writers = units_[own.unit];
   writers[own.writer] = {own, now, true, false};
   drop_excess_writers(writers, own.writer);
@@ -127,64 +134,66 @@
 bool SummaryStore::merge(TimePoint now, TimePoint asked, const std::string& reporter,
                          const SummaryDelta& delta) {
   const StatusSummary& summary = delta.summary;
-  if (!acceptable(summary)) return false;
-  // By what the teller says it was made so long ago, or later.
+  if (!is_acceptable(summary)) return false;
+  // By what the reporter states it was made then, or later.
   const TimePoint made = asked - std::max(delta.age - summary.age_when_made, Duration(0));
-  clocks_[summary.writer].claim(now, summary.version.incarnation, reporter, reporter == summary.writer,
-                                made - summary.made_at);
+  clocks_[summary.writer].add_bound(now, summary.version.incarnation, reporter, reporter == summary.writer,
+                                    made - summary.made_at);
   auto& writers = units_[summary.unit];
-  const auto [at, is_new] = writers.try_emplace(summary.writer, Entry{summary, now, false, false});
-  Entry& held = at->second;
+  const auto [entry, is_new] = writers.try_emplace(summary.writer, Entry{summary, now, false, false});
+  Entry& known = entry->second;
   if (is_new) {
     drop_excess_writers(writers, summary.writer);
     return true;
   }
-  if (held.own || summary.version < held.summary.version) return false;
-  if (summary.version > held.summary.version) {
-    held = {summary, now, false, false};
+  if (known.own || summary.version < known.summary.version) return false;
+  if (summary.version > known.summary.version) {
+    known = {summary, now, false, false};
     return true;
   }
-  // One writer never says two things under one version. Everybody keeps the same one and reads neither.
-  if (held.summary != summary) held.disputed = true;
-  const auto rank = [](const StatusSummary& one) {
-    return std::tie(one.made_at, one.age_when_made, one.counts);
+  // One writer never writes two contents under one version. All readers keep the same one, and use neither.
+  if (known.summary != summary) known.disputed = true;
+  const auto rank = [](const StatusSummary& ranked) {
+    return std::tie(ranked.made_at, ranked.age_when_made, ranked.counts);
   };
-  if (rank(held.summary) < rank(summary)) held.summary = summary;
+  if (rank(known.summary) < rank(summary)) known.summary = summary;
   return false;
 }
 
 void SummaryStore::drop_excess_writers(std::map<std::string, Entry>& writers, const std::string& keep) {
   while (writers.size() > max_writers) {
     auto oldest = writers.end();
-    for (auto at = writers.begin(); at != writers.end(); ++at) {
-      if (at->first == keep || at->second.own) continue;
-      if (oldest == writers.end() || at->second.received < oldest->second.received) oldest = at;
+    for (auto entry = writers.begin(); entry != writers.end(); ++entry) {
+      if (entry->first == keep || entry->second.own) continue;
+      if (oldest == writers.end() || entry->second.received < oldest->second.received) oldest = entry;
     }
     if (oldest == writers.end()) return;
     writers.erase(oldest);
   }
 }
 
-// A summary that is told by nobody any more goes: a writer that lost its disk is not held back by its past.
+// So that a writer that has lost its disk is not held back by its past for ever.
 void SummaryStore::expire(TimePoint now) {
   for (auto& [unit, writers] : units_) {
     const Duration limit = freshness_limits(unit.level).old;
-    std::erase_if(writers, [&](const auto& one) { return now - one.second.received > limit; });
+    std::erase_if(writers, [&](const auto& entry) { return now - entry.second.received > limit; });
   }
 }
 
 std::optional<SummaryStore::Selected> SummaryStore::selected(TimePoint now, const Unit& unit) const {
-  const auto at = units_.find(unit);
-  if (at == units_.end()) return std::nullopt;
+  const auto writers = units_.find(unit);
+  if (writers == units_.end()) return std::nullopt;
   std::vector<Selected> proven;
-  for (const auto& [writer, entry] : at->second) {
+  for (const auto& [writer, entry] : writers->second) {
     if (const std::optional<TimePoint> when = as_of(now, entry)) proven.push_back({&entry.summary, *when});
   }
   if (proven.empty()) return std::nullopt;
   const TimePoint youngest = std::ranges::max(proven, {}, &Selected::as_of).as_of;
-  std::erase_if(proven, [&](const Selected& one) { return one.as_of < youngest - coverage_window; });
-  return std::ranges::max(proven, {}, [](const Selected& one) {
-    return std::tuple(one.summary->counts.agents_fresh, one.as_of, one.summary->writer);
+  std::erase_if(proven,
+                [&](const Selected& candidate) { return candidate.as_of < youngest - coverage_window; });
+  return std::ranges::max(proven, {}, [](const Selected& candidate) {
+    const StatusSummary& summary = *candidate.summary;
+    return std::tuple(summary.counts.agents_fresh, candidate.as_of, summary.writer);
   });
 }
 
@@ -199,9 +208,9 @@
 
 std::vector<std::string> SummaryStore::fresh_writers(TimePoint now, const Unit& unit) const {
   std::vector<std::string> result;
-  const auto at = units_.find(unit);
-  if (at == units_.end()) return result;
-  for (const auto& [writer, entry] : at->second) {
+  const auto writers = units_.find(unit);
+  if (writers == units_.end()) return result;
+  for (const auto& [writer, entry] : writers->second) {
     const std::optional<TimePoint> when = as_of(now, entry);
     if (when && now - *when <= freshness_limits(unit.level).fresh) result.push_back(writer);
   }
@@ -210,17 +219,17 @@
 
 std::vector<std::string> SummaryStore::writers(const Unit& unit) const {
   std::vector<std::string> result;
-  const auto at = units_.find(unit);
-  if (at == units_.end()) return result;
-  for (const auto& [writer, entry] : at->second) result.push_back(writer);
+  const auto writers = units_.find(unit);
+  if (writers == units_.end()) return result;
+  for (const auto& [writer, entry] : writers->second) result.push_back(writer);
   return result;
 }
 
 std::optional<SummaryVersion> SummaryStore::version(const Unit& unit, const std::string& writer) const {
-  const auto at = units_.find(unit);
-  if (at == units_.end()) return std::nullopt;
-  const auto entry = at->second.find(writer);
-  if (entry == at->second.end()) return std::nullopt;
+  const auto writers = units_.find(unit);
+  if (writers == units_.end()) return std::nullopt;
+  const auto entry = writers->second.find(writer);
+  if (entry == writers->second.end()) return std::nullopt;
   return entry->second.summary.version;
 }
 
--- a/src/fleet/topology.cpp
+++ b/src/fleet/topology.cpp
@@ -3,28 +3,12 @@
 #include <algorithm>
 #include <utility>
 
+#include "fleet/hash.h"
+
 namespace pearchute::fleet {
 
 namespace {
 
-constexpr std::uint64_t fnv_offset = 14695981039346656037ULL;
-constexpr std::uint64_t fnv_prime = 1099511628211ULL;
-
-std::uint64_t fnv1a(std::uint64_t hash, std::string_view text) {
-  for (const char c : text) {
-    hash ^= static_cast<unsigned char>(c);
-    hash *= fnv_prime;
-  }
-  return hash;
-}
-
-// The finalizer of SplitMix64: FNV alone leaves similar names with similar weights.
-std::uint64_t mix(std::uint64_t value) {
-  value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
-  value = (value ^ (value >> 27)) * 0x94D049BB133111EBULL;
-  return value ^ (value >> 31);
-}
-
 std::vector<std::string> ranked(const Unit& unit, std::vector<std::string> names) {
   const std::string key = to_string(unit);
   std::ranges::sort(names, [&](const std::string& a, const std::string& b) {
@@ -47,7 +31,11 @@
   return text;
 }
 
-std::uint64_t id_of(const Unit& unit) { return mix(fnv1a(fnv_offset, to_string(unit))); }
+std::uint64_t id_of(const Unit& unit) {
+  Fnv1a hash;
+  hash.add(to_string(unit));
+  return mix_bits(hash.value());
+}
 
 const Unit& Placement::at(Level level) const {
   if (level == Level::group) return group;
@@ -55,8 +43,11 @@
 }
 
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view candidate) {
-  // A separator that occurs in no name: "ab" + "c" is not "a" + "bc".
-  return mix(fnv1a(fnv1a(fnv1a(fnv_offset, key), std::string_view("\0", 1)), candidate));
+  Fnv1a hash;
+  hash.add(key);
+  hash.add_byte(0);  // occurs in no name: "ab", "c" and "a", "bc" differ
+  hash.add(candidate);
+  return mix_bits(hash.value());
 }
 
 Topology::Topology(const std::vector<Member>& members) {
@@ -82,7 +73,7 @@
     for (std::uint32_t group = 0; group < group_count; ++group)
       weights.emplace_back(rendezvous_weight(to_string({Level::group, region, zone, group}), name), group);
     std::ranges::sort(weights, std::greater<>());
-    // There is always room: the groups together hold more than the zone has members.
+    // One always has room: the groups together hold more than the zone has members.
     const auto chosen = std::ranges::find_if(
         weights, [&](const auto& weight) { return sizes[weight.second] < max_group_size; });
     ++sizes[chosen->second];
@@ -92,15 +83,15 @@
 }
 
 std::optional<Placement> Topology::placement(const std::string& member) const {
-  const auto at = placements_.find(member);
-  if (at == placements_.end()) return std::nullopt;
-  return at->second;
+  const auto found = placements_.find(member);
+  if (found == placements_.end()) return std::nullopt;
+  return found->second;
 }
 
 const std::vector<std::string>& Topology::ranked_members(const Unit& unit) const {
   static const std::vector<std::string> none;
-  const auto at = members_.find(unit);
-  return at == members_.end() ? none : at->second;
+  const auto found = members_.find(unit);
+  return found == members_.end() ? none : found->second;
 }
 
 std::vector<Unit> Topology::siblings(const Unit& unit) const {
--- a/src/fleet/topology.h
+++ b/src/fleet/topology.h
@@ -4,9 +4,12 @@
 //
 // A zone is split into groups of bounded size by rendezvous hashing with bounded load: each member goes to
 // the group of its greatest weight that has room. A member that joins or leaves moves few others.
+//
+// Immutable once constructed, so it may be shared between threads.
 #pragma once
 
 #include <compare>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -22,6 +25,7 @@
   bool operator==(const Member&) const = default;
 };
 
+// The levels of the tree, from the smallest units to the largest.
 enum class Level { group, zone, region };
 std::string_view name_of(Level level);
 
@@ -33,7 +37,7 @@
   auto operator<=>(const Unit&) const = default;
 };
 std::string to_string(const Unit& unit);
-// Short name of a unit in messages; the same everywhere.
+// Identifies a unit in messages; the same in every process.
 std::uint64_t id_of(const Unit& unit);
 
 // The units that contain a member, from the smallest to the largest.
@@ -42,14 +46,15 @@
   const Unit& at(Level level) const;
 };
 
-// Stable across processes, builds and machines.
+// The weight of a candidate for a key in rendezvous hashing; the same in every process, build and machine.
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view candidate);
 
+// The placement of all members of the fleet.
 class Topology {
  public:
-  // Groups hold about this many members,
+  // Groups have about this many members,
   static constexpr std::size_t target_group_size = 8;
-  // and never more than this many: it bounds what status costs within a group.
+  // and never more than this many, which bounds the cost of exchanging status within a group.
   static constexpr std::size_t max_group_size = 10;
 
   Topology() = default;
--- a/src/fleet/writer_clock.cpp
+++ b/src/fleet/writer_clock.cpp
@@ -4,44 +4,45 @@
 
 namespace pearchute::fleet {
 
-void WriterClock::claim(TimePoint now, std::uint64_t incarnation, const std::string& teller, bool is_writer,
-                        Duration offset) {
-  std::erase_if(claims_, [&](const Claim& one) { return now - one.made > claim_lifetime; });
-  // What nobody has spoken of for so long does not stand against a writer that has lost its disk.
-  if (incarnation < incarnation_ && !claims_.empty()) return;
+void WriterClock::add_bound(TimePoint now, std::uint64_t incarnation, const std::string& reporter,
+                            bool is_writer, Duration offset) {
+  std::erase_if(bounds_, [&](const Bound& bound) { return now - bound.added_at > bound_lifetime; });
+  // A later incarnation of which nothing has been received for so long is no obstacle to a writer that has
+  // lost its disk.
+  if (incarnation < incarnation_ && !bounds_.empty()) return;
   if (incarnation != incarnation_) {
     incarnation_ = incarnation;
-    claims_.clear();
+    bounds_.clear();
   }
-  const auto same = std::ranges::find(claims_, teller, &Claim::teller);
-  const Claim claim{teller, is_writer, offset, now};
-  if (same != claims_.end()) {
-    if (offset >= same->at(now)) *same = claim;
+  const Bound added{reporter, is_writer, offset, now};
+  const auto present = std::ranges::find(bounds_, reporter, &Bound::reporter);
+  if (present != bounds_.end()) {
+    if (offset >= present->at(now)) *present = added;
     return;
   }
-  if (claims_.size() < max_claims) {
-    claims_.push_back(claim);
+  if (bounds_.size() < max_bounds) {
+    bounds_.push_back(added);
     return;
   }
-  // The writer's own claim always has a place.
+  // The writer's own bound is always kept.
   const auto least = std::ranges::min_element(
-      claims_, {}, [&](const Claim& one) { return std::pair(one.is_writer, one.at(now)); });
-  if (is_writer || offset > least->at(now)) *least = claim;
+      bounds_, {}, [&](const Bound& bound) { return std::pair(bound.is_writer, bound.at(now)); });
+  if (is_writer || offset > least->at(now)) *least = added;
 }
 
 std::optional<Duration> WriterClock::offset(TimePoint now, std::uint64_t incarnation) const {
   if (incarnation != incarnation_) return std::nullopt;
   std::optional<Duration> by_writer, greatest, second;
-  for (const Claim& claim : claims_) {
-    if (now - claim.made > claim_lifetime) continue;
-    const Duration value = claim.at(now);
-    if (claim.is_writer) {
-      by_writer = value;
-    } else if (!greatest || value > *greatest) {
+  for (const Bound& bound : bounds_) {
+    if (now - bound.added_at > bound_lifetime) continue;
+    const Duration offset = bound.at(now);
+    if (bound.is_writer) {
+      by_writer = offset;
+    } else if (!greatest || offset > *greatest) {
       second = greatest;
-      greatest = value;
-    } else if (!second || value > *second) {
-      second = value;
+      greatest = offset;
+    } else if (!second || offset > *second) {
+      second = offset;
     }
   }
   if (by_writer && second) return std::max(*by_writer, *second);
--- a/src/lab/simulations/gossip_simulation.cpp
+++ b/src/lab/simulations/gossip_simulation.cpp
@@ -21,7 +21,7 @@
   std::size_t sum = 16;
   for (const ReportDelta& news : all) {
     sum += 48 + news.agent.size();
-    for (const Entry& entry : news.entries)
+    for (const ReportEntry& entry : news.entries)
       sum += 24 + entry.instance.size() + (entry.report ? 64 + entry.report->zone.size() : 0);
   }
   return sum;
--- a/src/lab/simulations/level_simulation.cpp
+++ b/src/lab/simulations/level_simulation.cpp
@@ -43,7 +43,7 @@
   std::size_t size = message_overhead;
   for (const ReportDelta& delta : answer.reports) {
     size += delta_overhead + delta.agent.size();
-    for (const Entry& entry : delta.entries)
+    for (const ReportEntry& entry : delta.entries)
       size += entry_overhead + entry.instance.size() +
               (entry.report ? report_overhead + entry.report->zone.size() : 0);
   }
--- a/src/lab/simulations/rollout_simulation.cpp
+++ b/src/lab/simulations/rollout_simulation.cpp
@@ -333,8 +333,8 @@
 
   // The state in which an instance may rest, by its agent's word and by the truth.
   bool rests_well(const Instance& one, const InstanceLifecycle& life) const {
-    if (life.condition() == InstanceState::serving) return serves(one);
-    return kind == StepKind::drain && life.condition() == InstanceState::drained && one.process &&
+    if (life.state() == InstanceState::serving) return serves(one);
+    return kind == StepKind::drain && life.state() == InstanceState::drained && one.process &&
            one.process->drains;
   }
 };
@@ -378,7 +378,7 @@
           lease_duration = rollout.plan().lease_duration] {
            const bool live = m.agents[to]->keeper->renew(m.now, id, wanted, lease_duration);
            m.send(to, from, [&m, this, agent, sent, live] {
-             if (m.current(this)) rollout.renewed(m.now, sent, agent, live);
+             if (m.current(this)) rollout.on_renewal_response(m.now, sent, agent, live);
            });
          });
   m.pass("claims renewed", at);
@@ -429,14 +429,14 @@
       for (const Instance& one : m.instances) {
         if (one.agent != to) continue;
         const InstanceLifecycle* life = m.agents[to]->keeper->lifecycle(one.name);
-        shown.push_back({one.name, one.zone, life->condition(), life->last_step()});
+        shown.push_back({one.name, one.zone, life->state(), life->last_step()});
       }
       m.send(to, from, [&m, this, shown] {
         if (!m.current(this)) return;
         for (const Shown& one : shown) {
           rollout.on_instance_state(m.now, one.name, one.zone, one.condition);
           if (one.past && one.past->step.operation == rollout.plan().id)
-            rollout.step_ended(m.now, one.name, one.past->step, one.past->end, one.past->detail);
+            rollout.on_step_ended(m.now, one.name, one.past->step, one.past->end, one.past->detail);
         }
         rollout.on_service_level(m.now, 1.0);
       });
@@ -518,13 +518,12 @@
     if (!agent.alive) continue;  // it is known that nobody looks after it
     const InstanceLifecycle& life = *agent.keeper->lifecycle(one.name);
     const bool falls = one.process ? false : shape.falls > 0 && life.crash_count() > 0;
-    const bool known =
-        !life.current_step() &&
-        (falls ? life.condition() == InstanceState::down || life.condition() == InstanceState::starting
-               : rests_well(one, life) && one.process->version == life.version());
+    const bool known = !life.current_step() &&
+                       (falls ? life.state() == InstanceState::down || life.state() == InstanceState::starting
+                              : rests_well(one, life) && one.process->version == life.version());
     if (!known)
       fault(result.unknown_states,
-            one.name + " is " + std::string(name_of(life.condition())) + ", version " +
+            one.name + " is " + std::string(name_of(life.state())) + ", version " +
                 std::to_string(life.version()) +
                 (one.process ? ", runs " + std::to_string(one.process->version) : ", no process") +
                 (life.current_step() ? ", a step is under way" : ""));
--- a/tests/test_drains.cpp
+++ b/tests/test_drains.cpp
@@ -3,12 +3,14 @@
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
+#include <functional>
 #include <random>
 
 #include "fleet/command_outcome.h"
 #include "fleet/drains.h"
 #include "fleet/quiescence.h"
 #include "fleet/restart.h"
+#include "fleet/zone_disruption.h"
 
 using namespace pearchute::fleet;
 using std::chrono::hours;
--- a/tests/test_levels.cpp
+++ b/tests/test_levels.cpp
@@ -190,15 +190,15 @@
 
 void clocks_are_claimed_for_a_while() {
   WriterClock clock;
-  clock.claim(seconds(1), 7, "b", false, seconds(100));
+  clock.add_bound(seconds(1), 7, "b", false, seconds(100));
   assert(!clock.offset(seconds(1), 7));
-  clock.claim(seconds(1), 7, "c", false, seconds(90));
+  clock.add_bound(seconds(1), 7, "c", false, seconds(90));
   assert(clock.offset(seconds(1), 7) == seconds(90) && !clock.offset(seconds(1), 8));
-  for (int n = 0; n < 10; ++n) clock.claim(seconds(2), 7, "b", false, seconds(1000 + n));
+  for (int n = 0; n < 10; ++n) clock.add_bound(seconds(2), 7, "b", false, seconds(1000 + n));
   assert(clock.offset(seconds(2), 7) <= seconds(90));
   assert(!clock.offset(seconds(62), 7));  // too long ago
-  clock.claim(seconds(63), 8, "b", false, seconds(5));
-  clock.claim(seconds(63), 7, "c", false, seconds(5));  // of the process before
+  clock.add_bound(seconds(63), 8, "b", false, seconds(5));
+  clock.add_bound(seconds(63), 7, "c", false, seconds(5));  // of the process before
   assert(!clock.offset(seconds(63), 7) && !clock.offset(seconds(63), 8));
 }
 
--- a/tests/test_rollouts.cpp
+++ b/tests/test_rollouts.cpp
@@ -208,10 +208,10 @@
     NotedLife host;
     InstanceLifecycle life(host, true, 1);
     c.happens(life);
-    if (host.did != c.did || life.condition() != c.condition)
+    if (host.did != c.did || life.state() != c.condition)
       std::fprintf(stderr, "%s: did %s, %s\n", c.name, host.did.c_str(),
-                   std::string(name_of(life.condition())).c_str());
-    assert(host.did == c.did && life.condition() == c.condition);
+                   std::string(name_of(life.state())).c_str());
+    assert(host.did == c.did && life.state() == c.condition);
   }
   NotedLife host;
   host.writes = false;  // what can't be written down is not done
