--- /dev/null
+++ b/tests/decision_calls.h
@@ -0,0 +1,407 @@
+// The one place where the characterization tests touch the C++ interface of the decisions. It has to follow a
+// rename of that interface; the text that it writes has names of its own, which never change.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "core/arrival_order.h"
+#include "core/attempt_budget.h"
+#include "core/cold_budgets.h"
+#include "core/control.h"
+#include "core/key_order.h"
+#include "core/rule_guard.h"
+#include "service/deployment.h"
+#include "service/named_values.h"
+#include "wire_simulation.h"
+
+namespace pearchute::test {
+
+using Microseconds = std::int64_t;
+
+inline std::string text_of(RejectionReason reason) {
+  switch (reason) {
+    case RejectionReason::overload:
+      return "costly";
+    case RejectionReason::deadline_unreachable:
+      return "hopeless";
+    case RejectionReason::queue_full:
+      return "queue_full";
+    case RejectionReason::deadline_exceeded:
+      return "time_is_up";
+    case RejectionReason::queued_too_long:
+      return "too_late";
+    case RejectionReason::attempts_exhausted:
+      return "spent";
+    case RejectionReason::attempt_not_sent:
+      return "not_taken";
+    case RejectionReason::client_disconnected:
+      return "client_gone";
+    case RejectionReason::table_full:
+      return "crammed";
+    case RejectionReason::shutting_down:
+      return "ending";
+    case RejectionReason::arrival_order_unknown:
+      return "order_unknown";
+    case RejectionReason::count:
+      break;
+  }
+  return "?";
+}
+
+// How an attempt ended, by position in the decisions' own list of outcomes.
+enum class End { done, error, full, timed_out, unreachable, reset, stopped, never_sent };
+
+inline Outcome outcome_of(End end) {
+  switch (end) {
+    case End::done:
+      return Outcome::succeeded;
+    case End::error:
+      return Outcome::engine_error;
+    case End::full:
+      return Outcome::engine_full;
+    case End::timed_out:
+      return Outcome::timed_out;
+    case End::unreachable:
+      return Outcome::unreachable;
+    case End::reset:
+      return Outcome::connection_reset;
+    case End::stopped:
+      return Outcome::cancelled;
+    case End::never_sent:
+      return Outcome::not_sent;
+  }
+  return Outcome::engine_error;
+}
+
+inline std::string text_of(std::optional<Rule> rule) {
+  return rule ? std::string(rule_names[static_cast<std::size_t>(*rule)]) : std::string("-");
+}
+
+struct EngineFacts {
+  int id = 0, zone = 0, kind = 0, cell = 0;
+  int mode = 0;                  // 0: up, 1: draining, 2: gone
+  Microseconds started_at = -1;  // -1: not told
+};
+
+struct RequestFacts {
+  std::uint64_t id = 0;
+  int request_class = 0, tenant = -1;
+  std::uint64_t key = 0;  // 0: none
+  bool arrival_order_known = true;
+  Microseconds time_left = 0;
+  double work_ms = 0, memory_mb = 0;  // 0: no estimate
+  std::int64_t data_set = 0;
+};
+
+inline std::vector<EngineEndpoint> listed(const std::vector<EngineFacts>& engines) {
+  std::vector<EngineEndpoint> all;
+  for (const EngineFacts& one : engines) {
+    EngineEndpoint& engine = all.emplace_back();
+    engine.id = EngineId{static_cast<std::uint32_t>(one.id)};
+    engine.state = one.mode == 0   ? EngineState::up
+                   : one.mode == 1 ? EngineState::draining
+                                   : EngineState::removed;
+    engine.zone = ZoneId{one.zone};
+    engine.kind = MachineKindId{one.kind};
+    engine.cell = CellId{one.cell};
+    if (one.started_at >= 0) engine.started_at = Duration(one.started_at);
+  }
+  return all;
+}
+
+// 0: changes, 1: the whole list, 2: a remembered list.
+inline EndpointUpdate news_of(int mode) {
+  return mode == 0 ? EndpointUpdate::delta : mode == 1 ? EndpointUpdate::snapshot : EndpointUpdate::cached;
+}
+
+inline ServiceDefinition service_of(const Settings& settings) {
+  service::NamedValues values;
+  for (const auto& [name, value] : settings) values.add(name, value);
+  return service::decode(values).service;
+}
+
+// What the manager under test does, as canonical text and as calls for whoever plays the world.
+struct WorldCalls {
+  virtual ~WorldCalls() = default;
+  virtual void act(const std::string& line) = 0;
+  virtual void attempt_begins(std::uint64_t request, int engine) = 0;
+  virtual void attempt_stops(std::uint64_t request, int attempt) = 0;
+  virtual void request_ends(std::uint64_t request) = 0;
+  virtual void wake_later(Microseconds delay, std::uint64_t mark) = 0;
+};
+
+class ManagerUnderTest final : private DecisionSink {
+ public:
+  ManagerUnderTest(const Settings& settings, std::uint64_t seed, WorldCalls& world)
+      : world_(world), manager_(service_of(settings), seed, *this) {}
+
+  void list(Microseconds now, int mode, const std::vector<EngineFacts>& engines) {
+    manager_.on_endpoint_update(Duration(now), news_of(mode), listed(engines));
+  }
+  void on_endpoints_refused(Microseconds now) { manager_.on_endpoints_refused(Duration(now)); }
+  void request(Microseconds now, const RequestFacts& facts) {
+    Request job;
+    job.id = RequestId{facts.id};
+    job.type = RequestTypeId{facts.request_class};
+    job.tenant = TenantId{facts.tenant};
+    if (facts.key > 0) job.key = OrderKey{facts.key};
+    job.arrival_order_known = facts.arrival_order_known;
+    job.time_left = Duration(facts.time_left);
+    if (facts.work_ms > 0) job.work_ms = facts.work_ms;
+    if (facts.memory_mb > 0) job.memory_mb = facts.memory_mb;
+    job.data_set = DataSetId{facts.data_set};
+    manager_.on_request(Duration(now), job);
+  }
+  void withdrawn(Microseconds now, std::uint64_t id) {
+    manager_.on_request_cancelled(Duration(now), RequestId{id});
+  }
+  void client_left(Microseconds now, std::uint64_t id) {
+    manager_.on_client_disconnected(Duration(now), RequestId{id});
+  }
+  void client_came(Microseconds now, std::uint64_t id) {
+    manager_.on_client_reconnected(Duration(now), RequestId{id});
+  }
+  void streams(Microseconds now, std::uint64_t id, int attempt) {
+    manager_.on_stream_started(Duration(now), RequestId{id}, attempt);
+  }
+  void progress(Microseconds now, std::uint64_t id, int attempt, double share) {
+    manager_.on_progress(Duration(now), RequestId{id}, attempt, share);
+  }
+  void spill(Microseconds now, std::uint64_t id, int attempt, double missing_mb) {
+    manager_.on_spill(Duration(now), RequestId{id}, attempt, missing_mb);
+  }
+  void waits(Microseconds now, std::uint64_t id, int attempt, bool for_load) {
+    manager_.on_engine_wait(Duration(now), RequestId{id}, attempt,
+                            for_load ? WaitCause::data_load : WaitCause::memory);
+  }
+  void ended(Microseconds now, std::uint64_t id, int attempt, End end, Microseconds elapsed, bool finished,
+             double memory_share) {
+    LoadReport report;
+    if (memory_share >= 0) report.memory_share = memory_share;
+    manager_.on_attempt_ended(Duration(now), RequestId{id}, attempt, outcome_of(end), Duration(elapsed),
+                              finished, std::nullopt, std::nullopt, report);
+  }
+  void probed(Microseconds now, int engine, bool well) {
+    manager_.on_probe_ended(Duration(now), EngineId{static_cast<std::uint32_t>(engine)},
+                            well ? Outcome::succeeded : Outcome::unreachable, Duration(1000), LoadReport{});
+  }
+  void on_wakeup(Microseconds now, std::uint64_t mark) { manager_.on_wakeup(Duration(now), mark); }
+  void closing(Microseconds now) { manager_.closing(Duration(now)); }
+
+  // What it believes, as text.
+  std::string beliefs(Microseconds now) const {
+    std::string text;
+    manager_.tell_engines(Duration(now), [&](const auto& engine, const auto& belief) {
+      char line[160];
+      std::snprintf(line, sizeof line, "engine %u slots %.17g capacity %.17g cold %d\n",
+                    engine.listed.id.value, belief.slots, belief.capacity_mb, belief.is_cold ? 1 : 0);
+      text += line;
+    });
+    char line[120];
+    std::snprintf(line, sizeof line, "queued %zu largest %.17g first %.17g\n", manager_.queued_requests(),
+                  manager_.largest_typical_work_ms(), manager_.typical_work_ms(RequestTypeId{0}));
+    return text + line;
+  }
+  std::string queued_for(Microseconds now, std::uint64_t id) {
+    switch (manager_.queued_for(Duration(now), RequestId{id})) {
+      case WorkloadManager::QueuedFor::not_queued:
+        return "nothing";
+      case WorkloadManager::QueuedFor::key_order:
+        return "its_turn";
+      case WorkloadManager::QueuedFor::key_quiet_period:
+        return "rest";
+      case WorkloadManager::QueuedFor::retry_budget:
+        return "ration";
+      case WorkloadManager::QueuedFor::capacity:
+        return "room";
+    }
+    return "?";
+  }
+
+ private:
+  void dispatch(RequestId job, EngineId engine, Duration time_limit) override {
+    world_.act("transmit " + std::to_string(job.value) + " " + std::to_string(engine.value) + " " +
+               std::to_string(time_limit.count()));
+    world_.attempt_begins(job.value, static_cast<int>(engine.value));
+  }
+  void set_execution_terms(RequestId job, double grant_mb, int priority) override {
+    char line[120];
+    std::snprintf(line, sizeof line, "terms %llu %.17g %d", static_cast<unsigned long long>(job.value),
+                  grant_mb, priority);
+    world_.act(line);
+  }
+  void limit_send_delay(RequestId job, Duration span) override {
+    world_.act("leave_within " + std::to_string(job.value) + " " + std::to_string(span.count()));
+  }
+  void cancel_attempt(RequestId job, int number) override {
+    world_.act("stop " + std::to_string(job.value) + " " + std::to_string(number));
+    world_.attempt_stops(job.value, number);
+  }
+  void on_rejection(RequestId job, RejectionReason reason) override {
+    world_.act("giving_up " + std::to_string(job.value) + " " + text_of(reason));
+  }
+  void throttle(RequestId job, Duration come_back_in) override {
+    world_.act("reject " + std::to_string(job.value) + " " + std::to_string(come_back_in.count()));
+    world_.request_ends(job.value);
+  }
+  void fail(RequestId job) override {
+    world_.act("fail " + std::to_string(job.value));
+    world_.request_ends(job.value);
+  }
+  void schedule_wakeup(Duration span, std::uint64_t mark) override {
+    world_.act("wake " + std::to_string(span.count()) + " " + std::to_string(mark));
+    world_.wake_later(span.count(), mark);
+  }
+  void probe(EngineId engine) override { world_.act("probe " + std::to_string(engine.value)); }
+  void subscribe_endpoints() override { world_.act("track"); }
+  void trace_event(std::string_view text) override { world_.act("remark " + std::string(text)); }
+
+  WorldCalls& world_;
+  WorkloadManager manager_;  // last: it acts as it is made
+};
+
+// The rules that are checked at the sockets, and the records that they go by.
+class RulesUnderTest {
+ public:
+  explicit RulesUnderTest(const Settings& settings)
+      : service_(service_of(settings)),
+        order_(service_.key_quiet_period),
+        cold_(service_),
+        budget_(service_) {
+    guard_.serve(service_);
+  }
+  void list(Microseconds now, int mode, const std::vector<EngineFacts>& engines) {
+    guard_.on_endpoint_update(Duration(now), news_of(mode), listed(engines));
+    cold_.on_endpoint_update(Duration(now), news_of(mode), listed(engines));
+  }
+  void taken(Microseconds now, std::uint64_t id, int request_class, std::uint64_t key) {
+    TakenRequest request{RequestId{id}, RequestTypeId{request_class}, std::nullopt};
+    if (key > 0) request.order_key = OrderKey{key};
+    guard_.taken(Duration(now), request);
+    if (key > 0) order_.taken(RequestId{id}, OrderKey{key});
+    budget_.request_taken(Duration(now));
+  }
+  // What forbids the attempt, if anything, by each of the records in turn.
+  std::string forbids(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
+                      Microseconds end, bool answered, bool client_is_there, int mode, Microseconds told) {
+    SendingFacts facts;
+    facts.now = Duration(now);
+    facts.end = Duration(end);
+    facts.answered = answered;
+    facts.client_is_there = client_is_there;
+    facts.engine = listed({{.mode = mode}}).front().state;
+    if (told > 0) facts.time_told = Duration(told);
+    std::string text = text_of(guard_.forbids_sending(facts));
+    text += " " + text_of(guard_.forbids_sending(facts, attempt(id, engine, work_ms, largest_ms)));
+    const auto order = order_.forbids(Duration(now), RequestId{id});
+    text += !order ? " -" : *order == KeyOrder::Break::out_of_turn ? " out_of_turn" : " no_rest";
+    const EngineId where{static_cast<std::uint32_t>(engine)};
+    text += cold_.forbids(Duration(now), where, work_ms, largest_ms) ? " cold" : " -";
+    text += budget_.forbids_further(Duration(now)) ? " budget" : " -";
+    const EngineEndpoint* known = cold_.listed(where);
+    text += known ? " zone " + std::to_string(known->zone.value) : std::string(" unlisted");
+    return text;
+  }
+  void left(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
+            bool is_further) {
+    guard_.attempt_left(Duration(now), attempt(id, engine, work_ms, largest_ms));
+    order_.attempt_left(RequestId{id});
+    cold_.attempt_left(Duration(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
+    if (is_further) budget_.further_left(Duration(now));
+  }
+  void taken_back(std::uint64_t id) {
+    guard_.attempt_taken_back(RequestId{id});
+    order_.attempt_taken_back(RequestId{id});
+  }
+  void called_off(Microseconds now, std::uint64_t id) {
+    guard_.attempt_called_off(Duration(now), RequestId{id});
+    order_.attempt_called_off(Duration(now), RequestId{id});
+  }
+  void ended(Microseconds now, std::uint64_t id, int engine, End end) {
+    guard_.attempt_ended(Duration(now), attempt(id, engine, 0, 0), outcome_of(end));
+    order_.attempt_ended(Duration(now), RequestId{id}, outcome_of(end));
+  }
+  void over(std::uint64_t id) {
+    guard_.over(RequestId{id});
+    order_.over(RequestId{id});
+  }
+  void forget_old(Microseconds now) {
+    guard_.forget_old(Duration(now));
+    order_.forget_rested(Duration(now));
+  }
+  std::string repeating(Microseconds now, int request_class, int attempts, int out,
+                        Microseconds first_uncertain_attempt_at) {
+    RepeatFacts facts;
+    const RequestType& type = service_.types[static_cast<std::size_t>(request_class)];
+    facts.now = Duration(now);
+    facts.idempotency = type.idempotency;
+    facts.deduplication_window = type.deduplication_window;
+    facts.attempts = attempts;
+    facts.most_attempts = service_.max_attempts;
+    facts.out = out;
+    facts.allows_hedging = service_.allows_hedging;
+    if (first_uncertain_attempt_at > 0)
+      facts.first_uncertain_attempt_at = Duration(first_uncertain_attempt_at);
+    return text_of(guard_.forbids_repeating(facts));
+  }
+  std::string taking(bool ends) { return text_of(guard_.forbids_taking(ends)); }
+  std::string closing(bool open, bool left, bool unread) {
+    const ClosingFacts facts{open, left, unread};
+    const std::string text = text_of(guard_.forbids_closing(facts));
+    guard_.closing(facts);
+    return text;
+  }
+  void answering(Microseconds now, Microseconds end, bool answered) {
+    guard_.answering({Duration(now), Duration(end), answered});
+  }
+  std::string rests(Microseconds now, std::uint64_t key) const {
+    return std::to_string(guard_.rest_left(Duration(now), OrderKey{key}).count()) + " " +
+           std::to_string(order_.rest_left(Duration(now), OrderKey{key}).count()) + " " +
+           std::to_string(order_.keys());
+  }
+  std::string counters() const {
+    std::string text = std::to_string(guard_.checked()) + " " + std::to_string(guard_.broken_in_all());
+    for (std::size_t i = 0; i < rule_count; ++i) {
+      const Rule rule = static_cast<Rule>(i);
+      text += " " + std::string(rule_names[i]) + "=" + std::to_string(guard_.held_back(rule)) + "," +
+              std::to_string(guard_.broken(rule));
+    }
+    return text;
+  }
+
+ private:
+  static AttemptFacts attempt(std::uint64_t id, int engine, double work_ms, double largest_ms) {
+    return {RequestId{id}, EngineId{static_cast<std::uint32_t>(engine)}, work_ms, largest_ms};
+  }
+  ServiceDefinition service_;
+  RuleGuard guard_;
+  KeyOrder order_;
+  ColdBudgets cold_;
+  AttemptBudget budget_;
+};
+
+class ArrivalsUnderTest {
+ public:
+  void came(std::uint64_t id, std::uint64_t key, Microseconds earliest, Microseconds latest,
+            Microseconds read) {
+    order_.came({RequestId{id}, OrderKey{key}, Duration(earliest), Duration(latest), Duration(read)});
+  }
+  void withdrawn(std::uint64_t id) { order_.withdrawn(RequestId{id}); }
+  std::string settle(Microseconds now, Microseconds read_up_to) {
+    std::string text = "settled";
+    for (const auto& one : order_.settle(Duration(now), Duration(read_up_to))) {
+      text += " " + std::to_string(one.id.value) + (one.arrival_order_known ? "" : "?");
+    }
+    if (!order_.empty()) text += " up_to " + std::to_string(order_.needs_read_up_to().count());
+    return text;
+  }
+
+ private:
+  ArrivalOrder order_;
+};
+
+}  // namespace pearchute::test
