--- a/src/agent/gossip_wire.cpp
+++ b/src/agent/gossip_wire.cpp
@@ -57,7 +57,7 @@
   to.set_age_known(delta.age_known);
   to.set_since(delta.since);
   to.set_through(delta.through);
-  for (const fleet::Entry& entry : delta.entries) {
+  for (const fleet::ReportEntry& entry : delta.entries) {
     v1::Entry& one = *to.add_entries();
     one.set_number(entry.number);
     one.set_instance(entry.instance);
@@ -77,7 +77,7 @@
   to.since = delta.since();
   to.through = delta.through();
   for (const v1::Entry& entry : delta.entries()) {
-    fleet::Entry& one = to.entries.emplace_back();
+    fleet::ReportEntry& one = to.entries.emplace_back();
     one.number = entry.number();
     one.instance = entry.instance();
     if (!entry.has_word()) continue;
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -174,7 +174,7 @@
     return status;
   }
   const InstanceLifecycle& lifecycle = *lease_owner_->lifecycle(name);
-  status.state = lifecycle.condition();
+  status.state = lifecycle.state();
   status.version = lifecycle.version();
   status.crashes = lifecycle.crash_count();
   status.lease = lease_owner_->leases().lease_on(loop_.now(), name);
--- a/src/agent/rollout_driver.cpp
+++ b/src/agent/rollout_driver.cpp
@@ -74,7 +74,7 @@
   for (const std::string& instance : instances) request.add_instances(instance);
   request.set_lease_ms(whole_milliseconds(rollout_.plan().lease_duration));
   const auto on_response = [this, agent, sent_at = now()](bool ok, const v1::Renewed& response) {
-    if (ok) rollout_.renewed(now(), sent_at, agent, response.live());
+    if (ok) rollout_.on_renewal_response(now(), sent_at, agent, response.live());
   };
   peers_.call(agent, rpc::renew_leases, response_timeout, request, while_alive(on_response));
 }
@@ -115,7 +115,7 @@
                                parse_instance_state(instance.condition()));
     if (instance.has_last() && instance.last().step().operation() == rollout_.plan().id) {
       const fleet::InstanceLifecycle::CompletedStep completed = from_wire(instance.last());
-      rollout_.step_ended(now(), instance.name(), completed.step, completed.end, completed.detail);
+      rollout_.on_step_ended(now(), instance.name(), completed.step, completed.end, completed.detail);
     }
     completion_rate_.add(instance.name(), instance.pid(), instance.done(), instance.answered());
   }
