--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -14,111 +14,128 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class AdminServer::Line final : public net::Wire::User {
+namespace {
+
+// Also how often pending calls of a busy connection are answered further.
+constexpr milliseconds sweep_interval(50);
+constexpr seconds call_timeout(5);   // from a call's first byte to its last
+constexpr seconds read_timeout(10);  // in which a client has to take some of what waits for it
+
+}  // namespace
+
+class AdminServer::Connection final : public net::Wire::User {
  public:
-  Line(AdminServer& admin_server, const Poco::Net::StreamSocket& socket)
-      : admin_server_(admin_server),
-        session_(admin_server.desk_),
-        since_(admin_server.loop_.now()),
-        stuck_since_(since_) {
-    wire_ = std::make_unique<net::Wire>(admin_server.loop_, socket, *this);
+  Connection(AdminServer& server, const Poco::Net::StreamSocket& socket)
+      : server_(server),
+        session_(server.handler_),
+        last_call_at_(server.loop_.now()),
+        last_progress_at_(last_call_at_) {
+    wire_ = std::make_unique<net::Wire>(server.loop_, socket, *this);
   }
   net::Wire& wire() { return *wire_; }
   std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
-  Session& session() { return session_; }
+  const Session& session() const { return session_; }
 
   void wire_brought(std::string_view bytes) override {
-    const bool within = session_.within();
+    const bool had_partial_call = session_.has_partial_call();
     if (!session_.feed(bytes)) {
       PEARCHUTE_LOG(spdlog::level::warn, "admin channel: bytes that are no calls; connection closed");
-      return admin_server_.drop(*this);
+      return server_.close(*this);
     }
-    if (!within || !session_.within()) since_ = admin_server_.loop_.now();
-    turn();
+    if (!had_partial_call || !session_.has_partial_call()) last_call_at_ = server_.loop_.now();
+    answer_pending();
   }
-  void wire_ended() override { admin_server_.drop(*this); }
-  void turn() {
+
+  void wire_ended() override { server_.close(*this); }
+
+  void answer_pending() {
     if (!wire_) return;
     std::string out;
-    session_.turn(wire_->waiting(), out);
+    session_.answer_pending(wire_->waiting(), out);
     wire_->send(out);
-    // What is not answered yet is not read either; the sweep goes on with it, after what else has come for
+    // Nothing more is read while calls are pending; the sweep goes on with them, after what else has come for
     // clients and engines.
-    wire_->pause(session_.waiting());
+    wire_->pause(session_.has_pending_calls());
   }
-  void event(const v1::Event& event) {
+
+  void send_event(const v1::Event& event) {
     std::string out;
-    session_.event(event, wire_->waiting(), out);
+    session_.send_event(event, wire_->waiting(), out);
     wire_->send(out);
   }
-  bool overdue(Duration now) {
-    constexpr seconds whole_call_within(5), read_within(10);
-    if (wire_->waiting() == 0 || wire_->written() != written_)
-      written_ = wire_->written(), stuck_since_ = now;
-    if (now - stuck_since_ > read_within) return true;
-    if (session_.within()) return now - since_ > whole_call_within;
-    return !session_.watches() && now - since_ > admin_server_.terms_.idle_at_most;
+
+  bool has_timed_out(Duration now) {
+    if (wire_->waiting() == 0 || wire_->written() != last_written_) {
+      last_written_ = wire_->written();
+      last_progress_at_ = now;
+    }
+    if (now - last_progress_at_ > read_timeout) return true;
+    if (session_.has_partial_call()) return now - last_call_at_ > call_timeout;
+    return !session_.is_watching() && now - last_call_at_ > server_.config_.idle_timeout;
   }
 
  private:
-  AdminServer& admin_server_;
+  AdminServer& server_;
   Session session_;
   std::unique_ptr<net::Wire> wire_;
-  Duration since_, stuck_since_;
-  std::uint64_t written_ = 0;
+  Duration last_call_at_;  // when a call began, or ended
+  Duration last_progress_at_;
+  std::uint64_t last_written_ = 0;
 };
 
-AdminServer::AdminServer(net::Loop& loop, const Terms& terms, Desk& desk)
-    : loop_(loop), terms_(terms), desk_(desk), gone_(loop) {
-  const auto came_here = [this](const Poco::Net::StreamSocket& socket) { came(socket); };
-  if (terms_.listen.path.empty()) door_ = std::make_unique<net::Door>(loop, terms_.listen.address, came_here);
-  else door_ = net::open_owner_door(loop, terms_.listen.path, came_here);
-  spdlog::info("admin channel at {}", terms_.listen.text);
+AdminServer::AdminServer(net::Loop& loop, const AdminConfig& config, CallHandler& handler)
+    : loop_(loop), config_(config), handler_(handler), closed_(loop) {
+  const auto accept = [this](const Poco::Net::StreamSocket& socket) { on_accepted(socket); };
+  const Endpoint& endpoint = config_.listen;
+  if (endpoint.path.empty()) listener_ = std::make_unique<net::Door>(loop, endpoint.address, accept);
+  else listener_ = net::open_owner_door(loop, endpoint.path, accept);
+  spdlog::info("admin channel at {}", endpoint.text);
   sweep();
 }
 
 AdminServer::~AdminServer() {
   *alive_ = false;
-  if (!terms_.listen.path.empty()) ::unlink(terms_.listen.path.c_str());
+  if (!config_.listen.path.empty()) ::unlink(config_.listen.path.c_str());
 }
 
-void AdminServer::came(const Poco::Net::StreamSocket& socket) {
-  if (lines_.size() >= terms_.most_connections) {
-    ++turned_away_;
+void AdminServer::on_accepted(const Poco::Net::StreamSocket& socket) {
+  if (connections_.size() >= config_.max_connections) {
     PEARCHUTE_LOG(spdlog::level::warn, "admin channel: {} connections are open; one more is closed",
-                  lines_.size());
+                  connections_.size());
     return Poco::Net::StreamSocket(socket).close();
   }
-  lines_.push_back(std::make_unique<Line>(*this, socket));
+  connections_.push_back(std::make_unique<Connection>(*this, socket));
 }
 
-void AdminServer::drop(Line& line) {
-  const auto it = std::ranges::find(lines_, &line, [](const auto& one) { return one.get(); });
-  if (it == lines_.end()) return;
-  gone_.take(std::move(*it));
-  lines_.erase(it);
+void AdminServer::close(Connection& connection) {
+  const auto at = std::ranges::find(connections_, &connection, [](const auto& one) { return one.get(); });
+  if (at == connections_.end()) return;
+  closed_.take(std::move(*at));
+  connections_.erase(at);
 }
 
-void AdminServer::tell(const v1::Event& event) {
-  for (const auto& line : lines_) line->event(event);
+void AdminServer::broadcast(const v1::Event& event) {
+  for (const auto& connection : connections_) connection->send_event(event);
 }
 
 std::size_t AdminServer::watchers() const {
-  return static_cast<std::size_t>(
-      std::ranges::count_if(lines_, [](const auto& line) { return line->session().watches(); }));
+  return static_cast<std::size_t>(std::ranges::count_if(
+      connections_, [](const auto& connection) { return connection->session().is_watching(); }));
 }
 
-// Twenty times a second, which is also how often the rest of many calls goes on.
+// Closes connections that have timed out, and goes on with pending calls. Neither is done while the
+// connections are looked through, since both change them.
 void AdminServer::sweep() {
-  std::vector<Line*> overdue, due;
+  std::vector<Connection*> timed_out;
+  std::vector<Connection*> pending;
   const Duration now = loop_.now();
-  for (const auto& line : lines_) {
-    if (line->overdue(now)) overdue.push_back(line.get());
-    else if (line->session().waiting()) due.push_back(line.get());
+  for (const auto& connection : connections_) {
+    if (connection->has_timed_out(now)) timed_out.push_back(connection.get());
+    else if (connection->session().has_pending_calls()) pending.push_back(connection.get());
   }
-  for (Line* line : overdue) drop(*line);
-  for (Line* line : due) line->turn();
-  loop_.at(now + milliseconds(50), [this, alive = alive_] {
+  for (Connection* connection : timed_out) close(*connection);
+  for (Connection* connection : pending) connection->answer_pending();
+  loop_.at(now + sweep_interval, [this, alive = alive_] {
     if (*alive) sweep();
   });
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,42 +1,47 @@
-// The driver of an admin channel: listens, and moves bytes between operators' connections and their sessions,
-// on the manager's own loop. It owns the connections and keeps their bounds; one that makes noise, never
-// reads or says nothing is closed, and costs the clients' jobs nothing.
+// The I/O of an admin channel: listens, and moves bytes between operators' connections and their sessions, on
+// the manager's own loop. A connection that makes noise, never reads or says nothing is closed, and costs the
+// clients' requests nothing.
+//
+// Lives on the event loop.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <vector>
 
+#include "admin/admin_config.h"
 #include "admin/session.h"
-#include "admin/terms.h"
 #include "net/deferred_deletion.h"
 #include "net/driver.h"
 
 namespace pearchute::admin {
 
+// Owns the listener and all connections.
 class AdminServer {
  public:
-  // Throws std::exception where the place can't be listened at.
-  AdminServer(net::Loop& loop, const Terms& terms, Desk& desk);
+  // The references outlive it. Throws ListeningError where the endpoint can't be listened at,
+  // ResourceShortage where it can't be now.
+  AdminServer(net::Loop& loop, const AdminConfig& config, CallHandler& handler);
   ~AdminServer();
-  void tell(const v1::Event& event);  // to each watch
+
+  // Sends the event to each watch.
+  void broadcast(const v1::Event& event);
   std::size_t watchers() const;
-  std::size_t connections() const { return lines_.size(); }
-  std::uint64_t turned_away() const { return turned_away_; }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  class Line;
-  friend class Line;
-  void came(const Poco::Net::StreamSocket& socket);
-  void drop(Line& line);
+  class Connection;
+  friend class Connection;
+  void on_accepted(const Poco::Net::StreamSocket& socket);
+  void close(Connection& connection);
   void sweep();
 
   net::Loop& loop_;
-  const Terms terms_;
-  Desk& desk_;
-  std::vector<std::unique_ptr<Line>> lines_;
-  net::DeferredDeletion<Line> gone_;
-  std::unique_ptr<net::Door> door_;
-  std::uint64_t turned_away_ = 0;
+  const AdminConfig config_;
+  CallHandler& handler_;
+  std::vector<std::unique_ptr<Connection>> connections_;
+  net::DeferredDeletion<Connection> closed_;
+  std::unique_ptr<net::Door> listener_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/admin/caller.cpp
+++ b/src/admin/caller.cpp
@@ -1,30 +1,30 @@
 #include "admin/caller.h"
 
+#include <array>
 #include <utility>
 
 namespace pearchute::admin {
 
 std::string_view name_of(CallEnd end) {
-  constexpr std::string_view words[] = {"answered", "unreachable", "silent", "broken"};
-  return words[static_cast<int>(end)];
+  constexpr std::array<std::string_view, 4> names = {"answered", "unreachable", "silent", "broken"};
+  return names[static_cast<std::size_t>(end)];
 }
 
-Caller::Caller(net::Loop& loop, const Place& place) : loop_(loop), place_(place) {}
+Caller::Caller(net::Loop& loop, const Endpoint& endpoint) : loop_(loop), endpoint_(endpoint) {}
 
 Caller::~Caller() {
   *alive_ = false;
   if (wire_) loop_.retire(std::move(wire_));
 }
 
-void Caller::call(v1::Call call, Duration within, Heard heard) {
-  send(call, within, {std::move(heard), {}, false});
+void Caller::call(v1::Call call, Duration timeout, OnReply on_reply) {
+  send(call, timeout, {std::move(on_reply), {}, false});
 }
 
-void Caller::watch(std::uint64_t after, Duration within, std::function<void(const v1::Event&)> event,
-                   Heard ended) {
+void Caller::watch(std::uint64_t after, Duration timeout, OnEvent on_event, OnReply on_end) {
   v1::Call call;
   call.mutable_watch()->set_after(after);
-  send(call, within, {std::move(ended), std::move(event), false});
+  send(call, timeout, {std::move(on_end), std::move(on_event), false});
 }
 
 void Caller::connect() {
@@ -32,59 +32,66 @@
   if (wire_) loop_.retire(std::move(wire_));
   reader_ = {};
   opened_ = false;
-  wire_ = std::make_unique<net::Wire>(loop_, place_.address, *this);
+  wire_ = std::make_unique<net::Wire>(loop_, endpoint_.address, *this);
 }
 
-std::uint64_t Caller::send(v1::Call& call, Duration within, Waiting waiting) {
+void Caller::send(v1::Call& call, Duration timeout, PendingCall pending) {
   const std::uint64_t number = next_number_++;
-  waiting_[number] = std::move(waiting);
+  pending_[number] = std::move(pending);
   call.set_number(number);
   connect();
-  std::string message, out;
+  std::string message;
   call.SerializeToString(&message);
-  append_frame(out, message);
-  wire_->send(out);
-  loop_.at(loop_.now() + within, [this, alive = alive_, number] {
-    if (!*alive) return;
-    const auto at = waiting_.find(number);
-    if (at == waiting_.end() || at->second.watching) return;
-    end(number, opened_ ? CallEnd::silent : CallEnd::unreachable, {});
+  std::string frame;
+  append_frame(frame, message);
+  wire_->send(frame);
+  loop_.at(loop_.now() + timeout, [this, alive = alive_, number] {
+    if (*alive) on_timeout(number);
   });
-  return number;
+}
+
+void Caller::on_timeout(std::uint64_t number) {
+  const auto at = pending_.find(number);
+  if (at == pending_.end() || at->second.watching) return;
+  finish(number, opened_ ? CallEnd::silent : CallEnd::unreachable, {});
 }
 
 void Caller::wire_brought(std::string_view bytes) {
-  const bool sound = reader_.feed(bytes, [&](std::string_view message) {
-    v1::Reply reply;
-    if (!reply.ParseFromArray(message.data(), static_cast<int>(message.size()))) return false;
-    const auto at = waiting_.find(reply.number());
-    if (at == waiting_.end()) return true;  // its time was up
-    if (reply.has_event()) {
-      if (at->second.event) at->second.event(reply.event());
-    } else if (at->second.event && reply.outcome() == v1::ok) {
-      at->second.watching = true;
-    } else {
-      end(reply.number(), CallEnd::answered, reply);
-    }
-    return true;
-  });
-  if (sound || !wire_) return;
+  const bool valid = reader_.feed(bytes, [this](std::string_view message) { return on_message(message); });
+  if (valid || !wire_) return;
   wire_->close();
-  end_all(CallEnd::broken);
+  finish_all(CallEnd::broken);
+}
+
+// False where it is no reply.
+bool Caller::on_message(std::string_view message) {
+  v1::Reply reply;
+  if (!reply.ParseFromArray(message.data(), static_cast<int>(message.size()))) return false;
+  const auto at = pending_.find(reply.number());
+  if (at == pending_.end()) return true;  // it has timed out
+  PendingCall& pending = at->second;
+  if (reply.has_event()) {
+    if (pending.on_event) pending.on_event(reply.event());
+  } else if (pending.on_event && reply.outcome() == v1::ok) {
+    pending.watching = true;
+  } else {
+    finish(reply.number(), CallEnd::answered, reply);
+  }
+  return true;
 }
 
-void Caller::wire_ended() { end_all(opened_ ? CallEnd::broken : CallEnd::unreachable); }
+void Caller::wire_ended() { finish_all(opened_ ? CallEnd::broken : CallEnd::unreachable); }
 
-void Caller::end_all(CallEnd how) {
-  while (!waiting_.empty()) end(waiting_.begin()->first, how, {});
+void Caller::finish_all(CallEnd end) {
+  while (!pending_.empty()) finish(pending_.begin()->first, end, {});
 }
 
-void Caller::end(std::uint64_t number, CallEnd how, const v1::Reply& reply) {
-  const auto at = waiting_.find(number);
-  if (at == waiting_.end()) return;
-  const Heard heard = std::move(at->second.heard);
-  waiting_.erase(at);
-  if (heard) heard(how, reply);
+void Caller::finish(std::uint64_t number, CallEnd end, const v1::Reply& reply) {
+  const auto at = pending_.find(number);
+  if (at == pending_.end()) return;
+  const OnReply on_reply = std::move(at->second.on_reply);
+  pending_.erase(at);
+  if (on_reply) on_reply(end, reply);
 }
 
 }  // namespace pearchute::admin
--- a/src/admin/place.h
+++ b/src/admin/endpoint.h
@@ -1,5 +1,5 @@
-// Where an admin channel is: `unix:/path` or a loopback address with its port. Nothing else is taken, since
-// whoever reaches the channel governs the manager.
+// Where an admin channel is: `unix:/path` or a loopback address with its port. Nothing else is accepted,
+// since whoever reaches the channel governs the manager.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -8,13 +8,14 @@
 
 namespace pearchute::admin {
 
-struct Place {
-  std::string text;
+// An address of an admin channel, parsed.
+struct Endpoint {
+  std::string text;  // as written
   std::string path;  // of a Unix socket; empty for an address
   Poco::Net::SocketAddress address;
 };
 
 // Throws AddressError. The path of a Unix socket has to be absolute and short.
-Place place_in(const std::string& text);
+Endpoint parse_endpoint(const std::string& text);
 
 }  // namespace pearchute::admin
--- a/src/admin/frames.cpp
+++ b/src/admin/frames.cpp
@@ -5,39 +5,44 @@
 namespace pearchute::admin {
 
 namespace {
-constexpr std::size_t head = 4;
 
-std::size_t length_in(std::string_view bytes) {
+constexpr std::size_t header_bytes = 4;
+constexpr int bits_per_byte = 8;
+constexpr std::size_t byte_mask = 0xff;
+
+std::size_t length_in(std::string_view header) {
   std::size_t length = 0;
-  for (std::size_t i = 0; i < head; ++i) length = length << 8 | static_cast<unsigned char>(bytes[i]);
+  for (std::size_t i = 0; i < header_bytes; ++i)
+    length = length << bits_per_byte | static_cast<unsigned char>(header[i]);
   return length;
 }
+
 }  // namespace
 
-bool FrameReader::feed(std::string_view bytes, const std::function<bool(std::string_view)>& take) {
+bool FrameReader::fill(std::size_t size, std::string_view& input) {
+  const std::size_t missing = std::min(size - buffer_.size(), input.size());
+  buffer_.append(input.substr(0, missing));
+  input.remove_prefix(missing);
+  return buffer_.size() == size;
+}
+
+bool FrameReader::feed(std::string_view bytes, const std::function<bool(std::string_view)>& on_message) {
   while (!broken_ && !bytes.empty()) {
-    if (held_.size() < head) {
-      const std::size_t part = std::min(head - held_.size(), bytes.size());
-      held_.append(bytes.substr(0, part));
-      bytes.remove_prefix(part);
-      if (held_.size() < head) return true;
-    }
-    const std::size_t whole = head + length_in(held_);
-    if (whole == head || whole > head + largest_frame) return broken_ = true, false;
-    const std::size_t part = std::min(whole - held_.size(), bytes.size());
-    held_.append(bytes.substr(0, part));
-    bytes.remove_prefix(part);
-    if (held_.size() < whole) return true;
-    std::string message;
-    message.swap(held_);
-    if (!take(std::string_view(message).substr(head))) return broken_ = true, false;
+    if (buffer_.size() < header_bytes && !fill(header_bytes, bytes)) return true;
+    const std::size_t length = length_in(buffer_);
+    broken_ = length == 0 || length > max_frame_bytes;
+    if (broken_) return false;
+    if (!fill(header_bytes + length, bytes)) return true;
+    std::string frame;
+    frame.swap(buffer_);
+    broken_ = !on_message(std::string_view(frame).substr(header_bytes));
   }
   return !broken_;
 }
 
 void append_frame(std::string& out, std::string_view message) {
-  for (int shift = 24; shift >= 0; shift -= 8)
-    out.push_back(static_cast<char>(message.size() >> shift & 0xff));
+  for (int shift = (header_bytes - 1) * bits_per_byte; shift >= 0; shift -= bits_per_byte)
+    out.push_back(static_cast<char>(message.size() >> shift & byte_mask));
   out.append(message);
 }
 
--- a/src/admin/session.h
+++ b/src/admin/session.h
@@ -1,6 +1,8 @@
-// One operator's connection, sans-IO: bytes come in, calls go to the Desk, replies and events of a watch come
-// out. It keeps the bounds of one connection: the size of a message, the calls for each turn, what may wait
-// to be read. It decides nothing of what is asked.
+// One operator's connection, without its I/O: bytes come in, calls go to the handler, replies and the events
+// of a watch come out. It keeps the limits of one connection: the size of a message, the calls for each turn
+// of the loop, the bytes that wait to be read.
+//
+// Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -20,41 +22,48 @@
 
 namespace pearchute::admin {
 
-// What answers the calls. `reply` comes with its number set and the outcome ok.
-class Desk {
+// Carries out the calls.
+class CallHandler {
  public:
-  virtual ~Desk() = default;
+  virtual ~CallHandler() = default;
+  // `reply` comes with its number set and the outcome ok.
   virtual void answer(const v1::Call& call, v1::Reply& reply) = 0;
-  // What a watch has missed behind that event, as far as it is kept.
-  virtual std::vector<v1::Event> since(std::uint64_t after) const;
+  // The events behind number `after`, as far as they are kept: what a watch has missed.
+  virtual std::vector<v1::Event> events_after(std::uint64_t after) const;
 };
 
+// The state of one connection.
 class Session {
  public:
-  // Replies that wait to be read; more and the next calls wait, so that one who never reads costs no more.
-  static constexpr std::size_t most_unread = 2 * largest_frame;
-  static constexpr int calls_each_turn = 8;        // some hundred microseconds of the manager's time
-  static constexpr std::size_t most_waiting = 32;  // calls read and not yet answered
+  // With more replies than this unread, further calls wait, so that a client which never reads costs no more.
+  static constexpr std::size_t max_unread_bytes = 2 * max_frame_bytes;
+  static constexpr int max_calls_per_turn = 8;          // some hundred microseconds of the manager's time
+  static constexpr std::size_t max_pending_calls = 32;  // received and not answered yet
 
-  explicit Session(Desk& desk) : desk_(desk) {}
-  // False where the connection is to be closed: it does not speak the protocol, or asks too much at once.
+  // The handler outlives the session.
+  explicit Session(CallHandler& handler) : handler_(handler) {}
+
+  // False where the connection is to be closed: it does not speak the protocol, or has too many calls
+  // pending.
   bool feed(std::string_view bytes);
-  // Answers what waits, as far as one turn goes; `unread` is what its peer has not taken yet. The rest waits
-  // for another turn.
-  void turn(std::size_t unread, std::string& out);
-  // An event for its watch, if it has one. A reader that is behind loses it, and is told how many with the
-  // next that it gets.
-  void event(const v1::Event& event, std::size_t unread, std::string& out);
-  bool watches() const { return watch_.has_value(); }
-  bool within() const { return reader_.within(); }
-  bool waiting() const { return !calls_.empty(); }
+  // Answers pending calls, as far as one turn goes. `unread_bytes`: what the client has not taken yet.
+  void answer_pending(std::size_t unread_bytes, std::string& out);
+  // Sends an event to its watch, if it has one. A client that is behind loses it, and is told how many it has
+  // lost with the next event that it gets.
+  void send_event(const v1::Event& event, std::size_t unread_bytes, std::string& out);
+
+  bool is_watching() const { return watch_.has_value(); }
+  bool has_partial_call() const { return reader_.has_partial_message(); }
+  bool has_pending_calls() const { return !calls_.empty(); }
 
  private:
-  Desk& desk_;
+  void answer_next(std::string& out, std::size_t unread_bytes);
+
+  CallHandler& handler_;
   FrameReader reader_;
-  std::deque<std::string> calls_;
+  std::deque<std::string> calls_;       // serialized
   std::optional<std::uint64_t> watch_;  // the number of its call
-  std::uint64_t lost_ = 0;
+  std::uint64_t lost_events_ = 0;       // since the last one that was sent
 };
 
 }  // namespace pearchute::admin
--- a/src/agent/agent_config.cpp
+++ b/src/agent/agent_config.cpp
@@ -102,8 +102,8 @@
     return static_cast<int>(ini::whole(name, name.substr(command_prefix.size()), 2, max_command_version));
   }
 
-  admin::Place unique_admin_address(const std::string& text) {
-    const admin::Place place = admin::place_in(text);
+  admin::Endpoint unique_admin_address(const std::string& text) {
+    const admin::Endpoint place = admin::parse_endpoint(text);
     if (!admin_addresses_.insert(text).second)
       throw ini::Error("another instance has the admin address " + text);
     return place;
--- a/src/agent/agent_config.h
+++ b/src/agent/agent_config.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "admin/place.h"
+#include "admin/endpoint.h"
 #include "keys/endpoint.h"
 #include "keys/tls_files.h"
 
@@ -17,7 +17,7 @@
   std::map<int, std::string> commands;
   int initial_version = 1;  // of the command that is started at first
   bool starts = true;       // it is to run, until a step says otherwise
-  admin::Place admin;       // its manager's admin channel
+  admin::Endpoint admin;    // its manager's admin channel
   std::string zone;
   std::string log;  // the file to which its output is appended; empty: none
   // The manager's configuration file, to which versions of the fleet's configuration are written, and the
--- a/src/agent/agent_host.h
+++ b/src/agent/agent_host.h
@@ -18,6 +18,7 @@
 
 namespace pearchute::agent {
 
+// Serves from its construction to its end.
 class AgentHost {
  public:
   // Blocks for some seconds where the machine is short of something. Throws ResourceShortage where it stays
--- a/src/agent/completion_rate.h
+++ b/src/agent/completion_rate.h
@@ -8,6 +8,7 @@
 
 namespace pearchute::agent {
 
+// Of one rollout, over all instances of the fleet.
 class CompletionRate {
  public:
   // Counters of an instance since its process, `pid`, started. Another pid, or a counter that went back,
@@ -19,6 +20,7 @@
   double value() const;
 
  private:
+  // As reported last.
   struct Counters {
     std::uint64_t pid = 0;
     std::uint64_t done = 0;
--- a/src/agent/manager_client.h
+++ b/src/agent/manager_client.h
@@ -25,9 +25,10 @@
   std::uint64_t answered_requests = 0;  // the same; done, throttled and cancelled ones
 };
 
+// One manager.
 class ManagerClient {
  public:
-  ManagerClient(net::Loop& loop, const admin::Place& place) : caller_(loop, place) {}
+  ManagerClient(net::Loop& loop, const admin::Endpoint& place) : caller_(loop, place) {}
 
   // Asks for the status, and calls `on_status` once status() is up to date. Nothing happens while an earlier
   // poll is pending.
--- a/src/agent/rollout_driver.h
+++ b/src/agent/rollout_driver.h
@@ -20,6 +20,7 @@
 
 namespace pearchute::agent {
 
+// One rollout.
 class RolloutDriver final : public fleet::Rollout::Host {
  public:
   // The references outlive it. Begins nothing by itself: see rollout().
--- a/src/agent/status_reporter.h
+++ b/src/agent/status_reporter.h
@@ -14,6 +14,7 @@
 
 namespace pearchute::agent {
 
+// For all instances of one agent.
 class StatusReporter {
  public:
   // One round. Instances that have not been observed yet are left out: peers keep their last report, with its
--- a/src/ctl/agent_client.cpp
+++ b/src/ctl/agent_client.cpp
@@ -60,7 +60,7 @@
   set_deadline(context, fleet_.answers_within);
   const grpc::Status status = stub_to(agent)->Show(&context, {}, &result.response);
   result.outcome = outcome_of(status);
-  result.trouble = status.ok() ? result.response.trouble() : status.error_message();
+  result.error = status.ok() ? result.response.trouble() : status.error_message();
   return result;
 }
 
--- a/src/ctl/agent_client.h
+++ b/src/ctl/agent_client.h
@@ -27,7 +27,7 @@
 struct AgentStatus {
   std::string agent;
   fleet::CommandOutcome outcome = fleet::CommandOutcome::unreachable;
-  std::string trouble;  // why it did not answer, or why it takes no orders; empty: neither
+  std::string error;  // why it did not answer, or why it takes no orders; empty: neither
   agent::v1::Shown response;
   bool answered() const { return outcome == fleet::CommandOutcome::yes; }
 };
@@ -39,6 +39,7 @@
   agent::v1::RolloutList response;
 };
 
+// For all agents of one fleet. Thread-safe.
 class AgentClient {
  public:
   // The fleet outlives it.
--- a/src/ctl/agents.cpp
+++ b/src/ctl/agents.cpp
@@ -64,8 +64,8 @@
   Rows rows;
   for (const AgentStatus& agent : client_.query_status()) {
     outcomes.push_back(agent.outcome);
-    if (!agent.answered() || !agent.trouble.empty())
-      rows.push_back({{"agent", agent.agent}, {"trouble", agent.trouble}, {"answers", agent.answered()}});
+    if (!agent.answered() || !agent.error.empty())
+      rows.push_back({{"agent", agent.agent}, {"trouble", agent.error}, {"answers", agent.answered()}});
     std::string peers = describe_peers(agent.response);
     for (const agent::v1::Instance& instance : agent.response.instances()) {
       json row = instance_row(agent.agent, instance);
@@ -84,7 +84,7 @@
   Rows rows;
   for (const AgentStatus& agent : client_.query_status()) {
     outcomes.push_back(agent.outcome);
-    if (!agent.answered()) std::cerr << agent.agent << ": " << agent.trouble << std::endl;
+    if (!agent.answered()) std::cerr << agent.agent << ": " << agent.error << std::endl;
     for (const agent::v1::Instance& instance : agent.response.instances()) {
       if (instance.has_claim()) rows.push_back(lease_row(agent.agent, instance));
     }
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -64,6 +64,7 @@
   const Action* action() const;
 
  private:
+  // A command and what it runs.
   struct Command {
     const CLI::App* parser;
     Action action;
--- a/src/ctl/fleet_file.cpp
+++ b/src/ctl/fleet_file.cpp
@@ -108,7 +108,7 @@
   }
 
   void set_admin(Instance& instance, const std::string& text) {
-    instance.place = admin::place_in(text);
+    instance.place = admin::parse_endpoint(text);
     instance.facts.admin = text;
     if (!admin_addresses_.insert(text).second)
       throw ini::Error("another instance has the admin address " + text);
--- a/src/ctl/fleet_file.h
+++ b/src/ctl/fleet_file.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "admin/place.h"
+#include "admin/endpoint.h"
 #include "ctl/selector.h"
 #include "keys/endpoint.h"
 #include "keys/tls_files.h"
@@ -16,7 +16,7 @@
 // A manager, and what a selector knows of it.
 struct Instance {
   Facts facts;
-  admin::Place place;         // its admin channel
+  admin::Endpoint place;      // its admin channel
   std::string start_command;  // a shell command; empty: somebody else starts it
 };
 
--- a/src/ctl/instance_restart.h
+++ b/src/ctl/instance_restart.h
@@ -21,6 +21,7 @@
 // Nothing where not all of an instance's orders could be read.
 std::optional<OrdersById> read_orders(BatchExecutor& executor, const Instance& instance);
 
+// One restart, from its construction until restart().over().
 class InstanceRestart final : public fleet::Restart::Host {
  public:
   // `identity` and `orders` are the instance's before the restart. The references outlive this.
--- a/src/ctl/rollouts.cpp
+++ b/src/ctl/rollouts.cpp
@@ -62,7 +62,7 @@
 std::map<std::string, AgentCommands::OwnedInstance> AgentCommands::query_owned_instances() {
   std::map<std::string, OwnedInstance> owned;
   for (const AgentStatus& agent : client_.query_status()) {
-    if (!agent.answered()) std::cerr << agent.agent << ": " << agent.trouble << std::endl;
+    if (!agent.answered()) std::cerr << agent.agent << ": " << agent.error << std::endl;
     for (const agent::v1::Instance& instance : agent.response.instances())
       owned[instance.name()] = {agent.agent, instance};
   }
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -9,7 +9,7 @@
 
 #include "admin.pb.h"
 #include "admin/admin_server.h"
-#include "admin/orders_file.h"
+#include "admin/directives_file.h"
 #include "daemon/configuration_binding.h"
 #include "fleet/drains.h"
 #include "fleet/quiescence.h"
@@ -77,25 +77,25 @@
   }
 
  private:
-  std::size_t left_ = admin::largest_frame - 1024;
+  std::size_t left_ = admin::max_frame_bytes - 1024;
 };
 
 class AdminBinding final : public net::Program::Annex,
-                           public admin::Desk,
+                           public admin::CallHandler,
                            public fleet::Drains::Host,
                            public fleet::Quiescence::Host {
  public:
-  AdminBinding(const admin::Terms& terms, const std::string& file, const net::Program::Parts& parts)
+  AdminBinding(const admin::AdminConfig& config, const std::string& file, const net::Program::Parts& parts)
       : parts_(parts),
-        terms_(terms),
+        config_(config),
         started_unix_(unix_now()),
-        orders_file_(terms.orders_file),
+        directives_file_(config.orders_file),
         drains_(*this),
-        quiescence_(*this, terms.notice),
+        quiescence_(*this, config.health_check_delay),
         configuration_(file),
-        admin_server_(parts.loop, terms, *this) {
+        admin_server_(parts.loop, config, *this) {
     parts_.front.on_remark([this](std::string_view text) { tell("remark", "", text); });
-    if (!terms.orders_file.empty()) remember();
+    if (!config.orders_file.empty()) remember();
   }
   ~AdminBinding() override { parts_.front.on_remark({}); }
 
@@ -162,13 +162,13 @@
   }
   void directives_changed() override {
     tell("order", "", std::to_string(drains_.in_force().size()) + " orders are in force");
-    if (terms_.orders_file.empty()) return;
+    if (config_.orders_file.empty()) return;
     std::string fault;
-    if (orders_file_.write(drains_.all(), parts_.loop.now(), unix_now(), fault)) {
+    if (directives_file_.write(drains_.all(), parts_.loop.now(), unix_now(), fault)) {
       unwritten_.clear();
       return;
     }
-    unwritten_ = "orders can't be written to " + terms_.orders_file + " (" + fault +
+    unwritten_ = "orders can't be written to " + config_.orders_file + " (" + fault +
                  "): they hold, and would be lost with the manager";
     PEARCHUTE_LOG(spdlog::level::err, "{}", unwritten_);
   }
@@ -215,14 +215,15 @@
 
  private:
   void remember() {
-    const auto found = orders_file_.read(unix_now());
+    const auto found = directives_file_.read(unix_now());
     if (found.damaged) {
-      damage_ = "the orders in " + terms_.orders_file + " are lost (" + found.fault +
+      damage_ = "the orders in " + config_.orders_file + " are lost (" + found.error +
                 "): what was drained by an order is not any more; give the orders again";
       spdlog::error("{}", damage_);
     }
-    for (const auto& [order, left] : found.orders) drains_.restore(parts_.loop.now(), order, left);
-    if (!found.orders.empty())
+    for (const auto& [directive, remaining] : found.directives)
+      drains_.restore(parts_.loop.now(), directive, remaining);
+    if (!found.directives.empty())
       spdlog::info("{} orders from before the start hold", drains_.in_force().size());
   }
 
@@ -404,13 +405,13 @@
   }
 
   void watch(admin::v1::Reply& reply) {
-    if (admin_server_.watchers() >= terms_.most_watchers) {
+    if (admin_server_.watchers() >= config_.max_watchers) {
       reply.set_outcome(admin::v1::busy);
       return reply.set_fault("as many watch already as may");
     }
     identify(*reply.mutable_identity());
   }
-  std::vector<admin::v1::Event> since(std::uint64_t after) const override {
+  std::vector<admin::v1::Event> events_after(std::uint64_t after) const override {
     std::vector<admin::v1::Event> events;
     for (const admin::v1::Event& event : events_) {
       if (event.number() > after) events.push_back(event);
@@ -425,12 +426,12 @@
     event.set_unix_ms(static_cast<std::uint64_t>(unix_now().count()));
     event.set_kind(std::string(kind)), event.set_subject(std::string(subject));
     event.set_text(std::string(text));
-    admin_server_.tell(event);
+    admin_server_.broadcast(event);
     if (events_.size() > kept) events_.pop_front();
   }
 
   const net::Program::Parts parts_;
-  const admin::Terms terms_;
+  const admin::AdminConfig config_;
   const milliseconds started_unix_;
   net::Program::Phase phase_ = net::Program::Phase::starting;
   std::map<std::string, Member> members_;  // as the channel says
@@ -438,7 +439,7 @@
   std::uint64_t last_event_ = 0;
   std::optional<Duration> wake_;
   std::string damage_, unwritten_;
-  admin::OrdersFile orders_file_;
+  admin::DirectivesFile directives_file_;
   fleet::Drains drains_;
   fleet::Quiescence quiescence_;
   ConfigurationBinding configuration_;
@@ -447,9 +448,9 @@
 
 }  // namespace
 
-net::Program::MakeAnnex governor_by(const admin::Terms& terms, const std::string& file) {
-  return [terms, file](const net::Program::Parts& parts) {
-    return std::make_unique<AdminBinding>(terms, file, parts);
+net::Program::MakeAnnex governor_by(const admin::AdminConfig& config, const std::string& file) {
+  return [config, file](const net::Program::Parts& parts) {
+    return std::make_unique<AdminBinding>(config, file, parts);
   };
 }
 
--- a/src/daemon/admin_binding.h
+++ b/src/daemon/admin_binding.h
@@ -3,12 +3,12 @@
 // fleet::Drains, when to turn calls away and end by fleet::Quiescence, and where jobs go by the module alone.
 #pragma once
 
-#include "admin/terms.h"
+#include "admin/admin_config.h"
 #include "daemon/program.h"
 
 namespace pearchute::daemon {
 
 // `file` is the program's configuration.
-net::Program::MakeAnnex governor_by(const admin::Terms& terms, const std::string& file);
+net::Program::MakeAnnex governor_by(const admin::AdminConfig& config, const std::string& file);
 
 }  // namespace pearchute::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -53,7 +53,7 @@
     return app.exit(error) == 0 ? 0 : 2;
   }
   if (!check.empty()) {
-    if (!admin.empty()) pearchute::admin::read_terms(admin);
+    if (!admin.empty()) pearchute::admin::read_admin_config(admin);
     Program::check(check);
     std::cout << check << ": usable\n";
     return 0;
@@ -61,7 +61,7 @@
   return make_when_possible([&] {
            Program::MakeAnnex annex;
            if (!admin.empty())
-             annex = pearchute::daemon::governor_by(pearchute::admin::read_terms(admin), file);
+             annex = pearchute::daemon::governor_by(pearchute::admin::read_admin_config(admin), file);
            return std::make_unique<Program>(file, log == "json" ? pearchute::net::json_lines() : nullptr,
                                             annex);
          })
--- a/src/lab/scale/hollow_hosts.cpp
+++ b/src/lab/scale/hollow_hosts.cpp
@@ -106,7 +106,7 @@
     config.zone = host.zone.name;
     config.control = keys::parse_endpoint("unix:" + agent_socket(spec_.folder, host.agent));
     agent::OwnedInstance& owned = config.instances[host.manager];
-    owned.admin = admin::place_in("unix:" + manager_socket(spec_.folder, host.manager));
+    owned.admin = admin::parse_endpoint("unix:" + manager_socket(spec_.folder, host.manager));
     owned.zone = host.zone.name;
     owned.commands[1] = "exec false";
     owned.starts = false;  // observed, never started
--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -93,10 +93,10 @@
 HollowManager::~HollowManager() = default;
 
 void HollowManager::open_admin_channel() {
-  admin::Terms terms;
-  terms.listen = admin::place_in("unix:" + spec_.admin_path);
+  admin::AdminConfig config;
+  config.listen = admin::parse_endpoint("unix:" + spec_.admin_path);
   started_unix_ms_ = unix_ms();
-  admin_server_ = std::make_unique<admin::AdminServer>(loop_, terms, *this);
+  admin_server_ = std::make_unique<admin::AdminServer>(loop_, config, *this);
 }
 
 void HollowManager::restart() {
--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -15,7 +15,7 @@
 
 namespace pearchute::lab {
 
-class HollowManager final : public admin::Desk, public net::ListFeed::Listener {
+class HollowManager final : public admin::CallHandler, public net::ListFeed::Listener {
  public:
   struct Spec {
     std::string name, admin_path;
--- a/src/lab/stand_ins/admin_endpoints.h
+++ b/src/lab/stand_ins/admin_endpoints.h
@@ -6,22 +6,22 @@
 #include <string>
 
 #include "admin.pb.h"
+#include "admin/admin_config.h"
 #include "admin/admin_server.h"
-#include "admin/terms.h"
 
 namespace pearchute::lab {
 
-class StandInManager final : public admin::Desk {
+class StandInManager final : public admin::CallHandler {
  public:
   // An older one knows `who` only.
   StandInManager(net::Loop& loop, const std::string& path, std::string name, bool older = false)
-      : name_(std::move(name)), older_(older), admin_server_(loop, terms_at(path), *this) {}
+      : name_(std::move(name)), older_(older), admin_server_(loop, config_at(path), *this) {}
 
  private:
-  static admin::Terms terms_at(const std::string& path) {
-    admin::Terms terms;
-    terms.listen = admin::place_in("unix:" + path);
-    return terms;
+  static admin::AdminConfig config_at(const std::string& path) {
+    admin::AdminConfig config;
+    config.listen = admin::parse_endpoint("unix:" + path);
+    return config;
   }
   void identify(admin::v1::Identity& identity) const {
     identity.set_name(name_), identity.set_build(older_ ? "0.9" : "stand-in"), identity.set_phase("serving");
--- a/src/lab/stand_ins/test_cluster.cpp
+++ b/src/lab/stand_ins/test_cluster.cpp
@@ -82,7 +82,7 @@
     std::ofstream(manager.admin_file)
         << "[admin]\nlisten = unix:" << manager.admin << "\norders_file = " << folder_ << "/" << manager.name
         << ".orders\nnotice_ms = 500\n";
-    manager.caller = std::make_unique<admin::Caller>(loop(), admin::place_in("unix:" + manager.admin));
+    manager.caller = std::make_unique<admin::Caller>(loop(), admin::parse_endpoint("unix:" + manager.admin));
     crowd_->add_manager(manager.listen);
   }
 }
--- a/tests/test_admin.cpp
+++ b/tests/test_admin.cpp
@@ -11,11 +11,11 @@
 #include <random>
 
 #include "admin.pb.h"
+#include "admin/admin_config.h"
+#include "admin/directives_file.h"
+#include "admin/endpoint.h"
 #include "admin/frames.h"
-#include "admin/orders_file.h"
-#include "admin/place.h"
 #include "admin/session.h"
-#include "admin/terms.h"
 #include "ctl/fleet_file.h"
 #include "ctl/output.h"
 #include "ctl/selector.h"
@@ -28,7 +28,7 @@
 
 std::string folder;
 
-struct CountingDesk final : Desk {
+struct CountingHandler final : CallHandler {
   int answers = 0;
   void answer(const v1::Call& call, v1::Reply& reply) override {
     ++answers;
@@ -40,7 +40,7 @@
     }
     if (call.has_watch()) reply.mutable_identity();
   }
-  std::vector<v1::Event> since(std::uint64_t after) const override {
+  std::vector<v1::Event> events_after(std::uint64_t after) const override {
     std::vector<v1::Event> events(2);
     for (v1::Event& event : events) event.set_number(++after);
     return events;
@@ -58,10 +58,10 @@
   std::vector<v1::Reply> replies;
   FrameReader reader;
   assert(reader.feed(bytes, [&](std::string_view message) {
-    assert(message.size() <= largest_frame);
+    assert(message.size() <= max_frame_bytes);
     return replies.emplace_back().ParseFromArray(message.data(), static_cast<int>(message.size()));
   }));
-  assert(!reader.within());
+  assert(!reader.has_partial_message());
   return replies;
 }
 
@@ -76,20 +76,20 @@
   {  // In any cut.
     const std::string bytes = framed(who(1)) + framed(who(2));
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-      CountingDesk desk;
-      Session session(desk);
+      CountingHandler handler;
+      Session session(handler);
       std::string out;
       assert(session.feed(std::string_view(bytes).substr(0, cut)) &&
              session.feed(std::string_view(bytes).substr(cut)));
-      session.turn(0, out);
-      assert(!session.waiting());
+      session.answer_pending(0, out);
+      assert(!session.has_pending_calls());
       const auto replies = replies_in(out);
       assert(replies.size() == 2 && replies[1].number() == 2 && replies[1].identity().name() == "n1");
     }
   }
   {  // From newer and older peers: an unknown call is answered, an unknown field is passed over.
-    CountingDesk desk;
-    Session session(desk);
+    CountingHandler handler;
+    Session session(handler);
     std::string out, unknown("\x08\x07\xfa\x07\x00", 5), more;  // number 7, and field 127 with nothing in it
     append_frame(more, unknown);
     std::string with_more;
@@ -97,55 +97,55 @@
     append_frame(more, with_more + std::string("\xfa\x07\x00", 3));
     append_frame(more, "\xff\xff\xff");
     assert(session.feed(more));
-    session.turn(0, out);
+    session.answer_pending(0, out);
     const auto replies = replies_in(out);
     assert(replies.size() == 3 && replies[0].outcome() == v1::unknown_call && replies[0].number() == 7);
-    assert(replies[1].outcome() == v1::ok && replies[2].outcome() == v1::unusable && desk.answers == 1);
+    assert(replies[1].outcome() == v1::ok && replies[2].outcome() == v1::unusable && handler.answers == 1);
   }
   {  // Bounds: a huge length, an empty one, too many calls at once, an answer that is too large.
     for (const std::string& noise :
          {std::string("\xff\xff\xff\xff"), std::string(4, '\0'), std::string("GET / HTTP")}) {
-      CountingDesk desk;
-      assert(!Session(desk).feed(noise));
+      CountingHandler handler;
+      assert(!Session(handler).feed(noise));
     }
-    CountingDesk desk;
-    Session session(desk);
+    CountingHandler handler;
+    Session session(handler);
     std::string many, out;
-    for (std::size_t i = 0; i <= Session::most_waiting; ++i) many += framed(who(i));
+    for (std::size_t i = 0; i <= Session::max_pending_calls; ++i) many += framed(who(i));
     assert(!session.feed(many));
-    Session calm(desk);
+    Session calm(handler);
     many.clear();
     for (std::uint64_t i = 0; i < 20; ++i) many += framed(who(i));
     assert(calm.feed(many));
-    calm.turn(0, out), calm.turn(Session::most_unread + 1, out);
-    assert(desk.answers == Session::calls_each_turn && calm.waiting());
-    calm.turn(0, out), calm.turn(0, out);
-    assert(!calm.waiting() && replies_in(out).size() == 20);
+    calm.answer_pending(0, out), calm.answer_pending(Session::max_unread_bytes + 1, out);
+    assert(handler.answers == Session::max_calls_per_turn && calm.has_pending_calls());
+    calm.answer_pending(0, out), calm.answer_pending(0, out);
+    assert(!calm.has_pending_calls() && replies_in(out).size() == 20);
     v1::Call jobs;
     jobs.mutable_jobs();
     out.clear();
     assert(calm.feed(framed(jobs)));
-    calm.turn(0, out);
+    calm.answer_pending(0, out);
     assert(replies_in(out)[0].outcome() == v1::busy);
   }
   {  // A watch whose reader is slow loses events and is told how many.
-    CountingDesk desk;
-    Session session(desk);
+    CountingHandler handler;
+    Session session(handler);
     std::string out;
     v1::Call watch;
     watch.set_number(9), watch.mutable_watch();
     v1::Event event;
-    session.event(event, 0, out);
+    session.send_event(event, 0, out);
     watch.mutable_watch()->set_after(40);
     assert(out.empty() && session.feed(framed(watch)));
-    session.turn(0, out);
+    session.answer_pending(0, out);
     const auto first = replies_in(out);  // what it missed comes right behind the answer, and to this one only
-    assert(session.watches() && first.size() == 3 && first[1].event().number() == 41 &&
+    assert(session.is_watching() && first.size() == 3 && first[1].event().number() == 41 &&
            first[2].number() == 9);
     out.clear();
     for (std::uint64_t number = 1; number <= 5; ++number) {
       event.set_number(number);
-      session.event(event, number >= 2 && number <= 4 ? largest_frame : 0, out);
+      session.send_event(event, number >= 2 && number <= 4 ? max_frame_bytes : 0, out);
     }
     const auto replies = replies_in(out);
     assert(replies.size() == 2 && replies[0].event().lost() == 0 && replies[0].number() == 9);
@@ -155,10 +155,10 @@
     std::knuth_b chance(seed);
     std::string bytes = framed(who(seed)) + framed(who(seed + 1));
     for (unsigned i = 0; i <= seed % 4; ++i) bytes[chance() % bytes.size()] = static_cast<char>(chance());
-    CountingDesk desk;
-    Session session(desk);
+    CountingHandler handler;
+    Session session(handler);
     std::string out;
-    if (session.feed(bytes)) session.turn(0, out);
+    if (session.feed(bytes)) session.answer_pending(0, out);
     replies_in(out);
   }
 }
@@ -173,15 +173,15 @@
   const std::string path = folder + "/orders";
   const milliseconds now(1'700'000'000'000);
   std::string fault;
-  OrdersFile file(path);
-  assert(!file.read(now).damaged && file.read(now).orders.empty());
+  DirectivesFile file(path);
+  assert(!file.read(now).damaged && file.read(now).directives.empty());
   assert(file.write({held("1", "a", 3), held("2", "", 4), held("3", "b", 5, false)}, fleet::Duration(0), now,
                     fault));
   const auto found = file.read(now + seconds(20));
-  assert(!found.damaged && found.orders.size() == 3 && found.orders[0].second == seconds(40));
-  assert(found.orders[0].first.subject == "a" && found.orders[0].first.generation == 3 &&
-         found.orders[1].first.subject.empty() && !found.orders[2].first.drains);
-  assert(file.read(now + seconds(61)).orders[0].second < fleet::Duration(0));
+  assert(!found.damaged && found.directives.size() == 3 && found.directives[0].remaining == seconds(40));
+  assert(found.directives[0].directive.subject == "a" && found.directives[0].directive.generation == 3 &&
+         found.directives[1].directive.subject.empty() && !found.directives[2].directive.drains);
+  assert(file.read(now + seconds(61)).directives[0].remaining < fleet::Duration(0));
 
   // As many orders as are taken, at their longest, come back.
   std::vector<fleet::ActiveDirective> most(fleet::Drains::max_directives, held("1", "a", 3));
@@ -190,16 +190,16 @@
     one.order.reason = std::string(fleet::Drains::max_reason_bytes, 'x');
   }
   assert(file.write(most, fleet::Duration(0), now, fault));
-  assert(file.read(now).orders.size() == fleet::Drains::max_directives);
+  assert(file.read(now).directives.size() == fleet::Drains::max_directives);
 
   // A kill at each point leaves the orders of before or of after.
-  for (const char* point : OrdersFile::points()) {
+  for (const WriteStage stage : all_write_stages) {
     assert(file.write({held("old", "a", 1)}, fleet::Duration(0), now, fault));
     const pid_t child = fork();
     if (child == 0) {
       // A point of the list that is never passed shows as another status.
-      OrdersFile dying(path, [&](const char* at) {
-        if (std::string(at) == point) _exit(9);
+      DirectivesFile dying(path, [&](WriteStage reached) {
+        if (reached == stage) _exit(9);
       });
       dying.write({held("new", "a", 2), held("more", "b", 2)}, fleet::Duration(0), now, fault);
       _exit(1);
@@ -209,9 +209,9 @@
     assert(WIFEXITED(status) && WEXITSTATUS(status) == 9);
     const auto after = file.read(now);
     assert(!after.damaged);
-    const bool renamed = std::string(point) == "renamed" || std::string(point) == "folder synced";
-    assert(after.orders.size() == (renamed ? 2u : 1u) &&
-           after.orders[0].first.id == (renamed ? "new" : "old"));
+    const bool renamed = stage == WriteStage::renamed || stage == WriteStage::folder_synced;
+    assert(after.directives.size() == (renamed ? 2u : 1u) &&
+           after.directives[0].directive.id == (renamed ? "new" : "old"));
   }
   // Damage of any kind is told, the file set aside, and nothing taken from it.
   std::ifstream whole(path, std::ios::binary);
@@ -219,7 +219,7 @@
   for (std::size_t length = 0; length < text.size(); ++length) {
     std::ofstream(path, std::ios::binary) << text.substr(0, length);
     const auto cut = file.read(now);
-    assert(cut.damaged && cut.orders.empty() && access(path.c_str(), F_OK) != 0);
+    assert(cut.damaged && cut.directives.empty() && access(path.c_str(), F_OK) != 0);
   }
   for (std::size_t at = 0; at < text.size(); ++at) {
     std::string changed = text;
@@ -228,7 +228,8 @@
     assert(file.read(now).damaged);
   }
   // Where it can't be written, the reason comes back.
-  assert(!OrdersFile(folder + "/nowhere/orders").write({}, fleet::Duration(0), now, fault) && !fault.empty());
+  assert(!DirectivesFile(folder + "/nowhere/orders").write({}, fleet::Duration(0), now, fault) &&
+         !fault.empty());
 }
 
 std::string write(const std::string& name, const std::string& text) {
@@ -266,7 +267,7 @@
   };
   for (const Case& c : terms) {
     const std::string file = write("terms.ini", c.text);
-    const std::string fault = fault_of([&] { read_terms(file); });
+    const std::string fault = fault_of([&] { read_admin_config(file); });
     if (fault != (*c.fault ? file + c.fault : "")) std::fprintf(stderr, "%s\n", fault.c_str());
     assert(fault == (*c.fault ? file + c.fault : ""));
   }
@@ -289,7 +290,7 @@
   const auto fleet = ctl::read_fleet(write("fleet.ini", fleets[0].text));
   assert(fleet.instances[0].facts.labels.at("tier") == "gold" &&
          fleet.instances[0].facts.labels.contains("spare"));
-  assert(!fault_of([] { read_terms("/nowhere.ini"); }).empty());
+  assert(!fault_of([] { read_admin_config("/nowhere.ini"); }).empty());
 }
 
 void selectors() {
--- a/tests/test_characterization_persistence.cpp
+++ b/tests/test_characterization_persistence.cpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "admin/orders_file.h"
+#include "admin/directives_file.h"
 #include "store/store.h"
 
 namespace {
@@ -293,7 +293,7 @@
 
 void write_orders(const std::string& file) {
   std::string fault;
-  ASSERT_TRUE(admin::OrdersFile(file).write(orders(), seconds(200), orders_written_at, fault)) << fault;
+  ASSERT_TRUE(admin::DirectivesFile(file).write(orders(), seconds(200), orders_written_at, fault)) << fault;
 }
 
 TEST_F(PersistenceTest, OrdersAreWrittenAsTheyWere) {
@@ -305,10 +305,10 @@
 }
 
 TEST_F(PersistenceTest, OrdersWrittenBeforeAreRead) {
-  const auto found = admin::OrdersFile(copy_of(orders_written_before)).read(orders_written_at);
-  EXPECT_FALSE(found.damaged) << found.fault;
-  ASSERT_EQ(found.orders.size(), 2u);
-  const auto& [engine, engine_left] = found.orders[0];
+  const auto found = admin::DirectivesFile(copy_of(orders_written_before)).read(orders_written_at);
+  EXPECT_FALSE(found.damaged) << found.error;
+  ASSERT_EQ(found.directives.size(), 2u);
+  const auto& [engine, engine_left] = found.directives[0];
   EXPECT_EQ(engine.id, "id-1");
   EXPECT_EQ(engine.subject, "s-1");
   EXPECT_EQ(engine.holder, "ann");
@@ -317,7 +317,7 @@
   EXPECT_FALSE(engine.all_holders);
   EXPECT_EQ(engine.reason, "disk swap");
   EXPECT_EQ(engine_left, seconds(3500));
-  const auto& [manager, manager_left] = found.orders[1];
+  const auto& [manager, manager_left] = found.directives[1];
   EXPECT_EQ(manager.id, "id-2");
   EXPECT_EQ(manager.subject, "");
   EXPECT_EQ(manager.holder, "ben");
--- a/tests/test_characterization_wire.cpp
+++ b/tests/test_characterization_wire.cpp
@@ -86,7 +86,7 @@
 
 // ---- The admin channel's frames
 
-struct NameDesk final : admin::Desk {
+struct NameDesk final : admin::CallHandler {
   void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override {
     if (call.has_who()) reply.mutable_identity()->set_name("n1");
   }
@@ -99,7 +99,7 @@
   // Number 5, asks who it is: field 1 is 5, field 2 an empty message; and number 6 a call that nobody knows.
   ASSERT_TRUE(session.feed(std::string("\0\0\0\4\x08\x05\x12\x00", 8)));
   ASSERT_TRUE(session.feed(std::string("\0\0\0\5\x08\x06\xfa\x07\x00", 9)));
-  session.turn(0, out);
+  session.answer_pending(0, out);
   admin::v1::Reply unknown;
   const std::string identity("\0\0\0\10\x08\x05\x22\x04\x0a\x02n1", 12);
   ASSERT_GE(out.size(), identity.size());
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -281,7 +281,8 @@
   world.rest(milliseconds(320));
   world.on([&] {
     auto& manager = world.managers()[1];
-    manager.caller = std::make_unique<admin::Caller>(world.loop(), admin::place_in("unix:" + manager.admin));
+    manager.caller =
+        std::make_unique<admin::Caller>(world.loop(), admin::parse_endpoint("unix:" + manager.admin));
   });
   assert(stands(world, 1, "e2", "up"));
 }
--- a/tests/test_folder_faults.cpp
+++ b/tests/test_folder_faults.cpp
@@ -13,7 +13,7 @@
 #include <random>
 #include <thread>
 
-#include "admin/orders_file.h"
+#include "admin/directives_file.h"
 #include "keys/authority.h"
 #include "lab/faults/fault_injection.h"
 #include "store/store.h"
@@ -143,7 +143,7 @@
 // Orders that can't be read for a moment are not taken for damaged: they are still owed.
 void orders_are_read_later(FaultInjection& faults, const std::string& folder) {
   const std::string path = folder + "/later";
-  admin::OrdersFile file(path);
+  admin::DirectivesFile file(path);
   fleet::ActiveDirective held;
   held.order.id.assign("order"), held.order.subject.assign("engine"), held.order.holder.assign("holder");
   held.order.generation = 1, held.order.drains = true;
@@ -158,8 +158,8 @@
     is_short = true;
   }
   faults.set_none();
-  assert(is_short && file.read(milliseconds(1000)).orders.size() == 1);
-  assert(admin::OrdersFile(folder + "/none").read(milliseconds(1000)).orders.empty());
+  assert(is_short && file.read(milliseconds(1000)).directives.size() == 1);
+  assert(admin::DirectivesFile(folder + "/none").read(milliseconds(1000)).directives.empty());
 }
 
 void orders_keep(FaultInjection& faults, const std::string& folder) {
@@ -170,7 +170,7 @@
   faults.set(FaultKind::folder_write_short, 0.3);
   faults.set(FaultKind::folder_sync_fails, 0.1);
   for (std::uint64_t generation = 1; generation <= 100; ++generation) {
-    admin::OrdersFile file(path);
+    admin::DirectivesFile file(path);
     fleet::ActiveDirective held;
     held.order.id.assign("order"), held.order.subject.assign("engine"), held.order.holder.assign("holder");
     held.order.generation = generation, held.order.drains = true;
@@ -180,11 +180,11 @@
     else ++refused, assert(!fault.empty());
   }
   faults.set_none();
-  admin::OrdersFile file(path);
+  admin::DirectivesFile file(path);
   const auto found = file.read(milliseconds(1000));
   std::fprintf(stderr, "%d of 100 orders files were refused\n", refused);
-  assert(refused > 0 && refused < 100 && !found.damaged && found.orders.size() == 1);
-  assert(found.orders.front().first.generation == kept);
+  assert(refused > 0 && refused < 100 && !found.damaged && found.directives.size() == 1);
+  assert(found.directives.front().directive.generation == kept);
 }
 
 // Writes that take fewer bytes than they were given are gone on with, and what fails says why.
