--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -64,7 +64,7 @@
     wire_->send(out);
   }
 
-  bool has_timed_out(Duration now) {
+  bool has_timed_out(TimePoint now) {
     if (wire_->waiting() == 0 || wire_->written() != last_written_) {
       last_written_ = wire_->written();
       last_progress_at_ = now;
@@ -78,8 +78,8 @@
   AdminServer& server_;
   Session session_;
   std::unique_ptr<net::Wire> wire_;
-  Duration last_call_at_;  // when a call began, or ended
-  Duration last_progress_at_;
+  TimePoint last_call_at_;  // when a call began, or ended
+  TimePoint last_progress_at_;
   std::uint64_t last_written_ = 0;
 };
 
@@ -128,7 +128,7 @@
 void AdminServer::sweep() {
   std::vector<Connection*> timed_out;
   std::vector<Connection*> pending;
-  const Duration now = loop_.now();
+  const TimePoint now = loop_.now();
   for (const auto& connection : connections_) {
     if (connection->has_timed_out(now)) timed_out.push_back(connection.get());
     else if (connection->session().has_pending_calls()) pending.push_back(connection.get());
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -4,6 +4,7 @@
 
 #include "agent/config_candidate.h"
 #include "agent/config_wire.h"
+#include "agent/loop_time.h"
 #include "net/log.h"
 
 namespace pearchute::agent {
@@ -75,7 +76,7 @@
 }
 
 void ConfigService::change(const AgentConfig& next) {
-  spread_.set_peers(loop_thread_.loop().now(), peer_locations(next));
+  spread_.set_peers(fleet_now(loop_thread_.loop()), peer_locations(next));
   std::erase_if(instances_, [&](const auto& entry) {
     const auto& [name, instance] = entry;
     const auto at = next.instances.find(name);
@@ -103,11 +104,11 @@
 // Begins the exchanges that are due, and wakes for the next ones.
 void ConfigService::exchange_due() {
   net::Loop& loop = loop_thread_.loop();
-  for (const std::string& peer : spread_.due(loop.now())) exchange(peer);
-  const TimePoint next = std::max<TimePoint>(spread_.next(loop.now()), loop.now() + min_wake_delay);
-  if (next_wake_at_ && *next_wake_at_ <= next && *next_wake_at_ > loop.now()) return;
+  for (const std::string& peer : spread_.due(fleet_now(loop))) exchange(peer);
+  const TimePoint next = std::max<TimePoint>(spread_.next(fleet_now(loop)), fleet_now(loop) + min_wake_delay);
+  if (next_wake_at_ && *next_wake_at_ <= next && *next_wake_at_ > fleet_now(loop)) return;
   next_wake_at_ = next;
-  loop.at(next, [this, alive = alive_] {
+  loop.at(loop_time(next), [this, alive = alive_] {
     if (!*alive) return;
     next_wake_at_.reset();
     exchange_due();
@@ -115,10 +116,10 @@
 }
 
 void ConfigService::exchange(const std::string& peer) {
-  const v1::ConfigMessage request = to_wire(spread_.question(loop_thread_.loop().now(), peer));
+  const v1::ConfigMessage request = to_wire(spread_.question(fleet_now(loop_thread_.loop()), peer));
   const auto on_response = [this, alive = alive_, peer](bool ok, const v1::ConfigMessage& response) {
     if (!*alive) return;
-    const TimePoint now = loop_thread_.loop().now();
+    const TimePoint now = fleet_now(loop_thread_.loop());
     if (ok) spread_.answered(now, peer, from_wire(response));
     else spread_.missed(now, peer);
     exchange_due();
@@ -127,7 +128,7 @@
 }
 
 void ConfigService::synchronize(const v1::ConfigMessage& request, v1::ConfigMessage& response) {
-  response = to_wire(spread_.receive(loop_thread_.loop().now(), from_wire(request)));
+  response = to_wire(spread_.receive(fleet_now(loop_thread_.loop()), from_wire(request)));
   exchange_due();
 }
 
@@ -138,7 +139,7 @@
     return;
   }
   const fleet::PublishRequest publish = {request.parent(), request.content(), request.new_epoch()};
-  const fleet::PublishResult result = spread_.publish(loop_thread_.loop().now(), publish);
+  const fleet::PublishResult result = spread_.publish(fleet_now(loop_thread_.loop()), publish);
   response.set_result(std::string(name_of(result)));
   *response.mutable_mark() = to_wire(spread_.replica().mark());
   exchange_due();
@@ -156,7 +157,7 @@
   net::Loop& loop = loop_thread_.loop();
   if (const std::optional<ConfigDocument> document = spread_.to_apply()) {
     for (auto& [name, instance] : instances_) {
-      const bool is_due = instance.in_force != document->mark || loop.now() >= instance.next_call_at;
+      const bool is_due = instance.in_force != document->mark || fleet_now(loop) >= instance.next_call_at;
       if (is_due && !instance.call_pending) apply(name, instance, *document);
     }
   }
@@ -185,7 +186,7 @@
   if (at == instances_.end()) return;
   Instance& instance = at->second;
   instance.call_pending = false;
-  instance.next_call_at = loop_thread_.loop().now() + recheck_interval;
+  instance.next_call_at = fleet_now(loop_thread_.loop()) + recheck_interval;
   if (end == CallEnd::answered && reply.has_configured()) {
     instance.in_force = mark_in(reply.configured().in_force());
     instance.obstacle = obstacle_in(reply.configured());
@@ -208,7 +209,7 @@
   std::vector<fleet::InstanceConfig> reports;
   for (const auto& [name, instance] : instances_)
     reports.push_back({name, instance.in_force, instance.obstacle});
-  spread_.set_instances(loop_thread_.loop().now(), reports);
+  spread_.set_instances(fleet_now(loop_thread_.loop()), reports);
 }
 
 }  // namespace pearchute::agent
--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "agent/loop_time.h"
 #include "agent/wire.h"
 #include "net/log.h"
 
@@ -60,13 +61,13 @@
     std::unique_ptr<RolloutDriver>& driver = rollouts_[record.plan.id];
     driver =
         std::make_unique<RolloutDriver>(loop_thread_, peers_, store_, record.plan, record.started_unix_ms);
-    driver->rollout().restore(loop_thread_.loop().now(), record.stages);
+    driver->rollout().restore(fleet_now(loop_thread_.loop()), record.stages);
   }
 }
 
 void Coordinator::tick() {
   net::Loop& loop = loop_thread_.loop();
-  for (const auto& [id, driver] : rollouts_) driver->rollout().on_timer(loop.now());
+  for (const auto& [id, driver] : rollouts_) driver->rollout().on_timer(fleet_now(loop));
   loop.at(loop.now() + tick_interval, [this, alive = alive_] {
     if (*alive) tick();
   });
@@ -81,7 +82,7 @@
   if (!make_room()) return "as many rollouts are under way as may";
   std::unique_ptr<RolloutDriver>& driver = rollouts_[plan.id];
   driver = std::make_unique<RolloutDriver>(loop_thread_, peers_, store_, plan, unix_ms());
-  driver->rollout().begin(loop_thread_.loop().now());
+  driver->rollout().begin(fleet_now(loop_thread_.loop()));
   return "";
 }
 
@@ -100,7 +101,7 @@
   const auto at = rollouts_.find(id);
   if (at == rollouts_.end()) return "no such rollout under way here";
   Rollout& rollout = at->second->rollout();
-  const TimePoint now = loop_thread_.loop().now();
+  const TimePoint now = fleet_now(loop_thread_.loop());
   if (rollout.over()) return "it is over";
   if (command == "pause") rollout.pause(now);
   else if (command == "resume") rollout.resume(now);
--- a/src/agent/gossip_service.cpp
+++ b/src/agent/gossip_service.cpp
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include "agent/gossip_wire.h"
+#include "agent/loop_time.h"
 #include "net/log.h"
 
 namespace pearchute::agent {
@@ -55,18 +56,18 @@
 
 void GossipService::tick() {
   net::Loop& loop = loop_thread_.loop();
-  const TimePoint now = loop.now();
+  const TimePoint now = fleet_now(loop);
   if (supervisor_.has_observed_all()) gossip_state_.publish(reporter_.reports(now, supervisor_.instances()));
   gossip_state_.on_timer(now);
   for (const std::string& peer : scheduler_.due(now)) request_reports(peer);
-  loop.at(scheduler_.next(now), [this, alive = alive_] {
+  loop.at(loop_time(scheduler_.next(now)), [this, alive = alive_] {
     if (*alive) tick();
   });
 }
 
 void GossipService::request_reports(const std::string& peer) {
   const v1::Question request = report_request(gossip_state_.self(), gossip_state_.marks());
-  const TimePoint requested_at = loop_thread_.loop().now();
+  const TimePoint requested_at = fleet_now(loop_thread_.loop());
   peers_.call(peer, rpc::exchange_reports, response_timeout, request,
               [this, alive = alive_, peer, requested_at](bool ok, const v1::Bulletin& response) {
                 if (*alive) on_reports(peer, requested_at, ok, response);
@@ -75,7 +76,7 @@
 
 void GossipService::on_reports(const std::string& peer, TimePoint requested_at, bool ok,
                                const v1::Bulletin& response) {
-  const TimePoint now = loop_thread_.loop().now();
+  const TimePoint now = fleet_now(loop_thread_.loop());
   std::vector<fleet::ReportDelta> deltas;
   for (const v1::News& message : response.news()) {
     if (auto delta = from_wire(message)) deltas.push_back(std::move(*delta));
@@ -90,12 +91,12 @@
 
 void GossipService::answer(const v1::Question& request, v1::Bulletin& response) {
   for (const fleet::ReportDelta& delta :
-       gossip_state_.answer(loop_thread_.loop().now(), versions_in(request)))
+       gossip_state_.answer(fleet_now(loop_thread_.loop()), versions_in(request)))
     *response.add_news() = to_wire(delta);
 }
 
 void GossipService::show(v1::Shown& status) const {
-  const TimePoint now = loop_thread_.loop().now();
+  const TimePoint now = fleet_now(loop_thread_.loop());
   for (const std::string& agent : gossip_state_.agents()) {
     v1::Heard& to = *status.add_heard();
     to = to_wire(agent, gossip_state_.known(now, agent));
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -8,6 +8,7 @@
 #include <string_view>
 #include <thread>
 
+#include "agent/loop_time.h"
 #include "agent/wire.h"
 #include "net/log.h"
 #include "system/retries.h"
@@ -73,7 +74,7 @@
   if (!owned.commands.contains(state.version)) state.version = owned.initial_version;
   instance->running_version = state.version;
   if (const auto at = processes.find(name); at != processes.end()) adopt(name, at->second, *instance);
-  lease_owner_->add_instance(loop_.now(), name, state);
+  lease_owner_->add_instance(fleet_now(loop_), name, state);
 }
 
 void ProcessSupervisor::adopt(const std::string& name, const store::ProcessRecord& process,
@@ -102,7 +103,7 @@
     // The admin address identifies an instance: with another one it is another instance.
     const bool same = at != next.instances.end() && at->second.admin.text == owned.admin.text;
     if (same) continue;
-    if (lease_owner_ && !lease_owner_->remove_instance(loop_.now(), name)) {
+    if (lease_owner_ && !lease_owner_->remove_instance(fleet_now(loop_), name)) {
       config_.instances[name] = owned;
       changes.push_back("instance " + name + " stays as it was: it is claimed");
       continue;
@@ -123,7 +124,7 @@
 // ---- Requests of operators and coordinators
 
 fleet::LeaseTable::Answer ProcessSupervisor::acquire(const fleet::LeaseRequest& request) {
-  if (lease_owner_) return lease_owner_->acquire(loop_.now(), request);
+  if (lease_owner_) return lease_owner_->acquire(fleet_now(loop_), request);
   fleet::LeaseTable::Answer refusal;
   refusal.fault = store_error_;
   return refusal;
@@ -131,11 +132,11 @@
 
 bool ProcessSupervisor::renew(const std::string& operation, const std::vector<std::string>& instances,
                               fleet::Duration lease_duration) {
-  return lease_owner_ && lease_owner_->renew(loop_.now(), operation, instances, lease_duration);
+  return lease_owner_ && lease_owner_->renew(fleet_now(loop_), operation, instances, lease_duration);
 }
 
 void ProcessSupervisor::release(const std::string& operation) {
-  if (lease_owner_) lease_owner_->release(loop_.now(), operation);
+  if (lease_owner_) lease_owner_->release(fleet_now(loop_), operation);
 }
 
 bool ProcessSupervisor::step(const std::string& name, const fleet::Step& step, std::string& error) {
@@ -149,7 +150,7 @@
     error = "no command of version " + std::to_string(step.version);
     return false;
   }
-  return lease_owner_->step(loop_.now(), name, step, error);
+  return lease_owner_->step(fleet_now(loop_), name, step, error);
 }
 
 std::vector<ProcessSupervisor::InstanceStatus> ProcessSupervisor::instances() const {
@@ -177,7 +178,7 @@
   status.state = lifecycle.state();
   status.version = lifecycle.version();
   status.crashes = lifecycle.crash_count();
-  status.lease = lease_owner_->leases().lease_on(loop_.now(), name);
+  status.lease = lease_owner_->leases().lease_on(fleet_now(loop_), name);
   status.current_step = lifecycle.current_step();
   status.last_step = lifecycle.last_step();
   if (const auto process = processes_.process_of(name)) status.pid = process->pid;
@@ -201,7 +202,7 @@
 void ProcessSupervisor::on_status(const std::string& name) {
   if (!lease_owner_) return;
   const InstanceLifecycle::Observation observation = observe(name);
-  lease_owner_->observe(loop_.now(), name, observation);
+  lease_owner_->observe(fleet_now(loop_), name, observation);
 }
 
 InstanceLifecycle::Observation ProcessSupervisor::observe(const std::string& name) {
@@ -225,12 +226,12 @@
 // ---- What the lease owner decides
 
 void ProcessSupervisor::wake_at(TimePoint when) {
-  if (wake_at_ && *wake_at_ <= when && *wake_at_ > loop_.now()) return;
+  if (wake_at_ && *wake_at_ <= when && *wake_at_ > fleet_now(loop_)) return;
   wake_at_ = when;
-  loop_.at(when, [this, alive = alive_] {
+  loop_.at(loop_time(when), [this, alive = alive_] {
     if (!*alive) return;
     wake_at_.reset();
-    lease_owner_->on_timer(loop_.now());
+    lease_owner_->on_timer(fleet_now(loop_));
   });
 }
 
--- a/src/agent/rollout_driver.cpp
+++ b/src/agent/rollout_driver.cpp
@@ -1,5 +1,6 @@
 #include "agent/rollout_driver.h"
 
+#include "agent/loop_time.h"
 #include "agent/wire.h"
 #include "net/log.h"
 
@@ -39,10 +40,10 @@
       started_unix_ms_(started_unix_ms),
       rollout_(*this, plan) {}
 
-TimePoint RolloutDriver::now() const { return loop_thread_.loop().now(); }
+TimePoint RolloutDriver::now() const { return fleet_now(loop_thread_.loop()); }
 
 void RolloutDriver::resend_later(std::function<void()> send) {
-  loop_thread_.loop().at(now() + resend_delay, while_alive(std::move(send)));
+  loop_thread_.loop().at(loop_time(now() + resend_delay), while_alive(std::move(send)));
 }
 
 bool RolloutDriver::persist(Rollout::State state) {
--- a/src/agent/rpc_service.cpp
+++ b/src/agent/rpc_service.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 #include <vector>
 
+#include "agent/loop_time.h"
 #include "agent/wire.h"
 #include "errors/error.h"
 #include "net/log.h"
@@ -94,7 +95,7 @@
   to.set_pid(static_cast<std::uint64_t>(status.pid));
   to.set_done(status.done);
   to.set_answered(status.answered);
-  if (status.lease) *to.mutable_claim() = to_wire(*status.lease, loop_thread_.loop().now());
+  if (status.lease) *to.mutable_claim() = to_wire(*status.lease, fleet_now(loop_thread_.loop()));
   if (status.current_step) *to.mutable_under_way() = to_wire(*status.current_step);
   if (status.last_step) *to.mutable_last() = to_wire(*status.last_step);
   return to;
@@ -137,7 +138,7 @@
   const Action action = request->take_over() ? Action::take_over : Action::change;
   return authorize_and_run(*context, action, request->who(), [&] {
     const fleet::LeaseTable::Answer answer = components_.supervisor.acquire(from_wire(*request));
-    *response = to_wire(answer, loop_thread_.loop().now());
+    *response = to_wire(answer, fleet_now(loop_thread_.loop()));
   });
 }
 
