--- a/src/system/failures.h
+++ b/src/system/failures.h
@@ -8,6 +8,7 @@
 
 namespace pearchute {
 
+// Whether a call that has failed may succeed later without any change here.
 enum class Failure { not_now, never };
 
 // Shortages of descriptors, memory and local ports pass, as does a network that is not up yet; everything
