--- a/src/agent/gossip_service.h
+++ b/src/agent/gossip_service.h
@@ -1,6 +1,6 @@
-// An agent's part in the bulletin: says how its own instances are, asks the others when fleet/asking is due,
-// and answers them. What it says and believes, fleet/bulletin decides. Where its disk can't be used it
-// listens only.
+// An agent's part in the bulletin: says how its own instances are, asks the others when
+// fleet/anti_entropy_scheduler is due, and answers them. What it says and believes, fleet/gossip_state
+// decides. Where its disk can't be used it listens only.
 #pragma once
 
 #include <memory>
--- a/src/fleet/anti_entropy_scheduler.h
+++ b/src/fleet/anti_entropy_scheduler.h
@@ -48,6 +48,7 @@
   std::size_t in_flight() const;
 
  private:
+  // A peer, and how its queries went.
   struct Peer {
     bool in_flight = false;
     bool is_member = true;  // else it is dropped once its query is concluded
--- a/src/fleet/budget_leases.h
+++ b/src/fleet/budget_leases.h
@@ -122,6 +122,7 @@
 
  private:
   using ShareKey = std::pair<std::string, WarmingEngine>;  // a manager and an engine
+  // A lease that an own manager has granted, or is about to.
   struct GrantedLease {
     BudgetLease lease;
     std::optional<TimePoint> reduced_since;  // when its lender had acknowledged the reduced share
@@ -132,6 +133,7 @@
     BudgetLeaseRequest last_request;
     bool response_due = false;
   };
+  // A lease that an own manager has requested.
   struct BorrowedLease {
     BudgetLeaseRequest request;
     std::string lender_agent;
--- a/src/fleet/config_spread.cpp
+++ b/src/fleet/config_spread.cpp
@@ -16,6 +16,7 @@
 
 // Sizes in an encoded message, approximately.
 constexpr std::size_t digest_size = 34, hash_size = 9, number_size = 6;
+constexpr std::size_t hashes_in_message = 3;
 constexpr std::size_t name_overhead = 2, obstacle_overhead = 8, document_overhead = 16;
 constexpr std::uint32_t short_revision_limit = 64;  // below it a revision takes less
 constexpr std::size_t short_revision_size = 1, long_revision_size = 3;
@@ -60,7 +61,8 @@
 }  // namespace
 
 std::size_t bytes_of(const ConfigMessage& message) {
-  std::size_t sum = message.from.size() + name_overhead + 2 * number_size + digest_size + 3 * hash_size;
+  std::size_t sum =
+      message.from.size() + name_overhead + 2 * number_size + digest_size + hashes_in_message * hash_size;
   if (message.document) {
     const ConfigDocument& document = *message.document;
     sum += document.content.size() + document.author.size() + document_overhead +
--- a/src/fleet/config_spread.h
+++ b/src/fleet/config_spread.h
@@ -136,6 +136,7 @@
   ConfigReport report() const;
 
  private:
+  // Another agent.
   struct Peer {
     ConfigLocation location;
     bool in_flight = false;
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -117,10 +117,10 @@
   const auto common = holders.find(all_holders_key);
   for (const auto& other : {own, common}) {
     if (other == holders.end() || (directive.all_holders && other == own)) continue;
-    const DrainDirective& standing = other->second.order;
-    if (directive.generation < standing.generation) return DirectiveResult::stale;
+    const DrainDirective& present = other->second.order;
+    if (directive.generation < present.generation) return DirectiveResult::stale;
     // Of the same generation the one that drains stands, whichever comes first.
-    if (directive.generation == standing.generation && (standing.drains || !directive.drains))
+    if (directive.generation == present.generation && (present.drains || !directive.drains))
       return DirectiveResult::conflict;
   }
   if (own == holders.end() && directive_count() >= max_directives) return DirectiveResult::full;
--- a/src/fleet/drains.h
+++ b/src/fleet/drains.h
@@ -105,6 +105,7 @@
   std::uint64_t newest_generation() const { return newest_generation_; }
 
  private:
+  // An engine that discovery lists, and the state that was announced for it.
   struct ListedEngine {
     std::string address;
     AdminState discovered = AdminState::up;
--- a/src/fleet/gossip_state.cpp
+++ b/src/fleet/gossip_state.cpp
@@ -222,7 +222,7 @@
   return true;
 }
 
-bool GossipState::receive(TimePoint now, TimePoint asked, const std::vector<ReportDelta>& deltas) {
+bool GossipState::receive(TimePoint now, TimePoint queried_at, const std::vector<ReportDelta>& deltas) {
   bool of_use = false;
   for (const ReportDelta& delta : deltas) {
     if (delta.agent == self_) {
@@ -235,7 +235,7 @@
     if (!merge(record, delta)) continue;
     // The age counts only now that everything it is the age of is here.
     if (delta.age_known && !record.disputed) {
-      const TimePoint as_of = asked - std::max(delta.age, Duration(0));
+      const TimePoint as_of = queried_at - std::max(delta.age, Duration(0));
       if (!record.as_of || as_of > *record.as_of) record.as_of = as_of;
     }
     of_use = true;
--- a/src/fleet/gossip_state.h
+++ b/src/fleet/gossip_state.h
@@ -118,8 +118,8 @@
   std::map<std::string, ReportVersion> marks() const;
   // What an agent with these marks does not know yet.
   std::vector<ReportDelta> answer(TimePoint now, const std::map<std::string, ReportVersion>& marks);
-  // Merges the answer to a question that left at `asked`. Returns false where nothing in it was of use.
-  bool receive(TimePoint now, TimePoint asked, const std::vector<ReportDelta>& deltas);
+  // Merges the answer to a question that left at `queried_at`. Returns false where nothing in it was of use.
+  bool receive(TimePoint now, TimePoint queried_at, const std::vector<ReportDelta>& deltas);
 
   // How well one agent is known.
   struct Known {
@@ -146,6 +146,7 @@
     std::uint64_t target = 0;  // of everything up to this one
     std::vector<ReportEntry> entries;
   };
+  // What is known of one agent.
   struct AgentRecord {
     ReportVersion mark;  // exactly what the agent had published up to this version is in `by_instance`
     std::map<std::string, ReportEntry> by_instance;
--- a/src/fleet/instance_lifecycle.h
+++ b/src/fleet/instance_lifecycle.h
@@ -37,6 +37,7 @@
 // What becomes of a half-done step: the instance serves again, or the step is finished without its
 // coordinator.
 enum class Fallback { serve_again, finish };
+// How a step ended: in time, not in time, or by its fallback.
 enum class StepEnd { done, time_up, fell_back };
 
 // What a coordinator asks of one instance.
--- a/src/fleet/lease_table.h
+++ b/src/fleet/lease_table.h
@@ -74,6 +74,7 @@
     std::string instance;
     Lease lease;
   };
+  // To a request for leases.
   struct Answer {
     bool granted = false;
     std::map<std::string, std::uint64_t> fences;  // by instance, where it is granted
@@ -94,6 +95,7 @@
   std::uint64_t last_fence(const std::string& instance) const;
 
  private:
+  // An instance, and the lease on it.
   struct OwnedInstance {
     std::uint64_t last_fence = 0;
     std::optional<Lease> lease;
--- a/src/fleet/level_gossip.cpp
+++ b/src/fleet/level_gossip.cpp
@@ -205,23 +205,23 @@
   return result;
 }
 
-void LevelGossip::merge(TimePoint now, TimePoint asked, const std::string& reporter,
+void LevelGossip::merge(TimePoint now, TimePoint queried_at, const std::string& reporter,
                         const LevelAnswer& answer) {
-  state_.receive(now, asked, answer.reports);
+  state_.receive(now, queried_at, answer.reports);
   for (const SummaryDelta& delta : answer.summaries) {
-    if (delta.summary.writer == self_) go_beyond(now, asked, delta.summary.version);
-    else summaries_.merge(now, asked, reporter, delta);
+    if (delta.summary.writer == self_) go_beyond(now, queried_at, delta.summary.version);
+    else summaries_.merge(now, queried_at, reporter, delta);
   }
 }
 
 // A summary of the own past is of no use, but while its incarnation is the later one, others ignore the
 // present.
-void LevelGossip::go_beyond(TimePoint now, TimePoint asked, const SummaryVersion& past) {
+void LevelGossip::go_beyond(TimePoint now, TimePoint queried_at, const SummaryVersion& past) {
   if (past.incarnation <= incarnation(now)) return;
   ReportDelta own_past;
   own_past.agent = self_;
   own_past.upto.incarnation = past.incarnation;
-  state_.receive(now, asked, {own_past});
+  state_.receive(now, queried_at, {own_past});
 }
 
 void LevelGossip::completed(TimePoint now, const QuestionId& id) {
--- a/src/fleet/level_gossip.h
+++ b/src/fleet/level_gossip.h
@@ -74,6 +74,7 @@
   // Sets the own instances as they are now.
   void publish_instances(const std::vector<StatusReport>& reports);
 
+  // What is to be done after a tick.
   struct TickResult {
     std::vector<OutgoingQuestion> questions;
     std::vector<StatusSummary> written;  // by this agent in this tick, the smallest unit first
@@ -82,9 +83,9 @@
   // Writes due summaries, and begins due queries.
   TickResult tick(TimePoint now);
   LevelAnswer answer(TimePoint now, const LevelQuestion& question);
-  // Merges an answer to a question that left at `asked`. Each question has to be concluded once, by
+  // Merges an answer to a question that left at `queried_at`. Each question has to be concluded once, by
   // completed() or missed(); an answer that comes after that is merged all the same.
-  void merge(TimePoint now, TimePoint asked, const std::string& reporter, const LevelAnswer& answer);
+  void merge(TimePoint now, TimePoint queried_at, const std::string& reporter, const LevelAnswer& answer);
   void completed(TimePoint now, const QuestionId& id);
   void missed(TimePoint now, const QuestionId& id);
 
@@ -102,7 +103,7 @@
   static std::array<AntiEntropyScheduler, level_count> schedulers_for(std::uint64_t seed);
   std::vector<Unit> units_shared_with(const std::string& peer) const;
   std::uint64_t incarnation(TimePoint now) const { return state_.known(now, self_).mark.incarnation; }
-  void go_beyond(TimePoint now, TimePoint asked, const SummaryVersion& past);
+  void go_beyond(TimePoint now, TimePoint queried_at, const SummaryVersion& past);
   std::vector<SummaryMark> marks_for(TimePoint now, const std::string& peer) const;
   std::vector<std::string> aggregator_candidates(TimePoint now, Level level) const;
   std::vector<StatusSummary> publish(TimePoint now);
--- a/src/fleet/quiescence.h
+++ b/src/fleet/quiescence.h
@@ -13,6 +13,7 @@
 // The drain state of one manager.
 class Quiescence {
  public:
+  // Reported by name, to operators and agents.
   enum class State { serving, draining, drained };
 
   // Must outlive the Quiescence.
--- a/src/fleet/restart.h
+++ b/src/fleet/restart.h
@@ -20,7 +20,10 @@
 // One manager's restart, as the command line sees it.
 class Restart {
  public:
+  // What is awaited: the answer to the shutdown request, the end of the old process, the new process serving,
+  // the list of its directives; or nothing more.
   enum class State { shutdown_requested, ending, starting, checking, over };
+  // What a call to the manager showed.
   enum class ProbeResult {
     answered,
     gone,    // nothing listens at its address
@@ -34,6 +37,7 @@
     std::string build, digest;  // of its program and its configuration
   };
 
+  // How long each part may take.
   struct Limits {
     Duration drain_within{};      // until what is in flight has ended; it is ended then all the same
     Duration up_within{};         // from the end of the old process until the new one serves
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -108,6 +108,7 @@
   std::optional<TimePoint> lease_until(const std::string& agent) const;
 
  private:
+  // A target, and how its step goes.
   struct TargetState : Target {
     Stage stage = Stage::waiting;
     std::uint64_t fence = 0;
@@ -117,11 +118,13 @@
     void set(Stage next, std::string why);
     bool in_progress() const { return stage == Stage::requested || stage == Stage::warming; }
   };
+  // The leases of one agent's targets.
   struct AgentLeases {
     std::vector<std::string> instances;
     bool granted = false;
     TimePoint until{}, renew_at{};
   };
+  // The last report on an instance of the fleet.
   struct InstanceStatus {
     std::string zone;
     InstanceState state = InstanceState::unseen;
--- a/src/fleet/status_summary.cpp
+++ b/src/fleet/status_summary.cpp
@@ -131,12 +131,12 @@
   drop_excess_writers(writers, own.writer);
 }
 
-bool SummaryStore::merge(TimePoint now, TimePoint asked, const std::string& reporter,
+bool SummaryStore::merge(TimePoint now, TimePoint queried_at, const std::string& reporter,
                          const SummaryDelta& delta) {
   const StatusSummary& summary = delta.summary;
   if (!is_acceptable(summary)) return false;
   // By what the reporter states it was made then, or later.
-  const TimePoint made = asked - std::max(delta.age - summary.age_when_made, Duration(0));
+  const TimePoint made = queried_at - std::max(delta.age - summary.age_when_made, Duration(0));
   clocks_[summary.writer].add_bound(now, summary.version.incarnation, reporter, reporter == summary.writer,
                                     made - summary.made_at);
   auto& writers = units_[summary.unit];
--- a/src/fleet/status_summary.h
+++ b/src/fleet/status_summary.h
@@ -107,12 +107,14 @@
   // is selected: an agent that has just started, or is partitioned, writes a young summary of itself alone.
   static constexpr Duration coverage_window = std::chrono::seconds(2);
 
+  // One writer's summary.
   struct Entry {
     StatusSummary summary;
     TimePoint received{};   // when this version was received first
     bool own = false;       // written by this agent
     bool disputed = false;  // two contents under one version: neither is read
   };
+  // The summary that is used for a unit.
   struct Selected {
     const StatusSummary* summary = nullptr;  // valid until the store changes
     TimePoint as_of{};  // by this agent's clock: all that is counted was so then, or later
@@ -122,8 +124,9 @@
   void set_topology(std::shared_ptr<const Topology> topology);
   // Adds a summary written by this agent.
   void publish(TimePoint now, const StatusSummary& own);
-  // Merges what `reporter` answered to a question that left at `asked`. Returns true for a later version.
-  bool merge(TimePoint now, TimePoint asked, const std::string& reporter, const SummaryDelta& delta);
+  // Merges what `reporter` answered to a question that left at `queried_at`. Returns true for a later
+  // version.
+  bool merge(TimePoint now, TimePoint queried_at, const std::string& reporter, const SummaryDelta& delta);
   // Drops what has not been received for so long that it is no longer passed on.
   void expire(TimePoint now);
 
--- a/src/fleet/writer_clock.h
+++ b/src/fleet/writer_clock.h
@@ -37,6 +37,7 @@
   std::optional<Duration> offset(TimePoint now, std::uint64_t incarnation) const;
 
  private:
+  // What one reporter has shown about the offset.
   struct Bound {
     std::string reporter;
     bool is_writer = false;  // the reporter is the writer itself
--- a/src/lab/simulations/budget_lease_simulation.h
+++ b/src/lab/simulations/budget_lease_simulation.h
@@ -1,7 +1,7 @@
 // Agents that lend parts of cold engines' budgets, on a simulated clock and network, deterministic by its
-// seed: the real decisions of fleet/parts, with messages that are lost, doubled and late, agents and managers
-// that are killed (an agent's disk kept or lost) or stopped, and agents cut off from each other and from
-// their managers. What managers send is counted from outside, in every window.
+// seed: the real decisions of fleet/budget_leases, with messages that are lost, doubled and late, agents and
+// managers that are killed (an agent's disk kept or lost) or stopped, and agents cut off from each other and
+// from their managers. What managers send is counted from outside, in every window.
 #pragma once
 
 #include <cstdint>
--- a/src/lab/simulations/gossip_simulation.h
+++ b/src/lab/simulations/gossip_simulation.h
@@ -1,7 +1,8 @@
 // Agents that tell each other of their instances on a simulated clock and network, deterministic by its seed:
-// the real decisions of fleet/bulletin and fleet/asking, with messages that are lost, doubled, late and
-// overtaken, agents that are killed (their disk kept, lost, or put back from an older copy), stopped and cut
-// off, charters that differ. What breaks a rule is seen from outside, by what each agent really said when.
+// the real decisions of fleet/gossip_state and fleet/anti_entropy_scheduler, with messages that are lost,
+// doubled, late and overtaken, agents that are killed (their disk kept, lost, or put back from an older
+// copy), stopped and cut off, charters that differ. What breaks a rule is seen from outside, by what each
+// agent really said when.
 #pragma once
 
 #include <cstdint>
