--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 BUILD ?= build
 PACKAGES = cmake g++ make libpoco-dev libspdlog-dev nlohmann-json3-dev libcli11-dev libinih-dev libboost-dev \
   libprotobuf-dev protobuf-compiler libsqlitecpp-dev libsqlite3-dev spin \
-  libgrpc++-dev protobuf-compiler-grpc libssl-dev
+  libgrpc++-dev protobuf-compiler-grpc libssl-dev libgtest-dev
 # Headers of the module's and the network code's own; the libraries' are not ours to lint.
 SOURCES = $(shell find src tests -name '*.cpp')
 
