--- a/src/drill/session.cpp
+++ b/src/drill/session.cpp
@@ -266,10 +266,10 @@
   } else if (message == "MEMBERSHIP") {
     const std::string_view mode = fields_.required_text("mode");
     if (mode == "refused") return manager.on_endpoints_refused(now);
-    const EndpointUpdate news = one_of<EndpointUpdate>("mode", mode,
-                                                       {{"changes", EndpointUpdate::delta},
-                                                        {"all", EndpointUpdate::snapshot},
-                                                        {"remembered", EndpointUpdate::cached}});
+    const auto news = one_of<EndpointUpdate>("mode", mode,
+                                             {{"changes", EndpointUpdate::delta},
+                                              {"all", EndpointUpdate::snapshot},
+                                              {"remembered", EndpointUpdate::cached}});
     const std::int64_t bank = fields_.required_whole("bank");
     const auto pool = pools_.find(bank);
     if (pool == pools_.end()) throw Malformed("list " + std::to_string(bank) + " has not been given");
