--- a/src/ctl/agents.cpp
+++ b/src/ctl/agents.cpp
@@ -91,7 +91,6 @@
     }));
   }
   std::vector<Seen> all;
-  all.reserve(asked.size());
   for (auto& one : asked) all.push_back(one.get());
   return all;
 }
@@ -226,7 +225,6 @@
     }));
   }
   std::vector<Told> all;
-  all.reserve(asked.size());
   for (auto& one : asked) all.push_back(one.get());
   return all;
 }
--- a/src/ctl/changes.cpp
+++ b/src/ctl/changes.cpp
@@ -61,7 +61,6 @@
   return fleet::losses(serving, stopped);
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split by step (issue 49)
 Commands::OrderResults Commands::give(const std::string& subject, bool drains, const ChangeOptions& options) {
   OrderResults told;
   const std::vector<CallResult> known = executor_.ask(chosen_, orders_request({}));
@@ -122,7 +121,6 @@
   return told;
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split by step (issue 49)
 int Commands::drain(const ChangeOptions& options) {
   if (!options.dry_run && !confirmed(losses_of_managers(), "drain", options)) return fleet::not_confirmed;
   if (options.dry_run) {
@@ -190,9 +188,10 @@
       }
     }
     std::vector<fleet::Serving> serving;
-    serving.reserve(seen.size());
+    std::vector<std::string> stopped;
     for (const auto& [name, one] : seen) serving.push_back(one);
-    const auto losses = fleet::losses(serving, engines);
+    for (const std::string& name : engines) stopped.push_back(name);
+    const auto losses = fleet::losses(serving, stopped);
     if (options.dry_run) {
       for (const fleet::Loss& loss : losses)
         output_.line("zone " + loss.zone + ": " + std::to_string(loss.stopping) + " of " +
--- a/src/ctl/fleet_file.cpp
+++ b/src/ctl/fleet_file.cpp
@@ -7,12 +7,10 @@
 
 namespace pearchute::ctl {
 
-// NOLINTNEXTLINE(readability-function-*): one case a section
 Fleet read_fleet(const std::string& file) {
   constexpr std::size_t most_instances = 5000;  // far over the fleets that one person oversees
   Fleet fleet;
   std::map<std::string, std::size_t> places;
-  // NOLINTNEXTLINE(readability-function-cognitive-complexity): one case a section
   ini::read(file, [&](const std::string& section, const std::string& name, const std::string& text) {
     if (section == "fleet") {
       if (name == "timeout_ms")
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -39,7 +39,6 @@
          "complete -F _pearchutectl pearchutectl\n";
 }
 
-// NOLINTNEXTLINE(readability-function-*): one declaration an option, then one line a command
 int run(int argc, char** argv) {
   CLI::App app("pearchutectl: sees and governs many managers at once");
   app.require_subcommand(1);
--- a/src/ctl/restarts.cpp
+++ b/src/ctl/restarts.cpp
@@ -134,7 +134,6 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split by step (issue 49)
 int Commands::restart(const ChangeOptions& options) {
   // So many stop at once, not all that are chosen.
   if (options.at_once > 1 && !options.dry_run && !confirmed(losses_of_managers(), "restart", options))
--- a/src/keys/authority.cpp
+++ b/src/keys/authority.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-template <auto Free>
+template <auto release>
 struct Release {
   template <class Thing>
   void operator()(Thing* thing) const {
-    Free(thing);
+    release(thing);
   }
 };
 using Key = std::unique_ptr<EVP_PKEY, Release<EVP_PKEY_free>>;
