--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -37,12 +37,13 @@
 };
 
 ProcessSupervisor::ProcessSupervisor(net::Loop& loop, const AgentConfig& charter)
-    : loop_(loop), config_(charter), store_(charter.state) {
+    : loop_(loop), config_(charter), store_(charter.state_file) {
   const bool usable = open_store();
   if (usable) lease_owner_ = std::make_unique<fleet::LeaseOwner>(*this);
   else spdlog::error("{}; this agent observes and takes no orders until its state is mended", trouble_);
-  const auto kept = usable ? store_.instances() : std::map<std::string, fleet::LeaseOwner::Kept>();
-  const auto processes = usable ? store_.processes() : std::map<std::string, store::Process>();
+  const auto kept =
+      usable ? store_.instances() : std::map<std::string, fleet::LeaseOwner::PersistedInstance>();
+  const auto processes = usable ? store_.processes() : std::map<std::string, store::ProcessRecord>();
   for (const auto& [name, owned] : config_.instances) own(name, owned, kept, processes);
   look();
 }
@@ -50,20 +51,20 @@
 // Guards against an agent that takes no orders for good because its folder failed for a moment at its start.
 bool ProcessSupervisor::open_store() {
   const auto until = std::chrono::steady_clock::now() + shortages_pass_within;
-  store::Store::Opened opened = store_.open(trouble_);
-  while (opened == store::Store::Opened::not_now && std::chrono::steady_clock::now() < until) {
+  store::OpenStatus opened = store_.open(trouble_);
+  while (opened == store::OpenStatus::temporarily_unavailable && std::chrono::steady_clock::now() < until) {
     PEARCHUTE_LOG(spdlog::level::warn, "{}; tried again for some seconds", trouble_);
     std::this_thread::sleep_for(between_attempts);
     opened = store_.open(trouble_);
   }
-  return opened == store::Store::Opened::usable;
+  return opened == store::OpenStatus::usable;
 }
 
 ProcessSupervisor::~ProcessSupervisor() { *alive_ = false; }
 
 // Guards against a process that is taken for ended, and started a second time, because it could not be looked
 // at for a moment.
-bool ProcessSupervisor::adopt(const std::string& instance, const store::Process& process) {
+bool ProcessSupervisor::adopt(const std::string& instance, const store::ProcessRecord& process) {
   return retry_while_short([&] { return processes_.adopt(instance, process); },
                            [&](const ResourceShortage& shortage) {
                              PEARCHUTE_LOG(spdlog::level::warn,
@@ -72,25 +73,26 @@
                            });
 }
 
-void ProcessSupervisor::own(const std::string& name, const Owned& owned,
-                            const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
-                            const std::map<std::string, store::Process>& processes) {
+void ProcessSupervisor::own(const std::string& name, const OwnedInstance& owned,
+                            const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
+                            const std::map<std::string, store::ProcessRecord>& processes) {
   auto& eye = eyes_[name] = std::make_unique<Eye>();
   eye->caller = std::make_unique<admin::Caller>(loop_, owned.admin);
-  eye->version = owned.version;
+  eye->version = owned.initial_version;
   if (!lease_owner_) return;
-  fleet::LeaseOwner::Kept one;
-  one.wanted = owned.wanted, one.version = owned.version;
+  fleet::LeaseOwner::PersistedInstance one;
+  one.wanted = owned.starts;
+  one.version = owned.initial_version;
   if (const auto at = kept.find(name); at != kept.end()) one = at->second;
   // A version that the charter names no more can't be started: the charter's own is.
-  if (!owned.commands.contains(one.version)) one.version = owned.version;
+  if (!owned.commands.contains(one.version)) one.version = owned.initial_version;
   eye->version = one.version;
   if (const auto at = processes.find(name); at != processes.end()) {
     const bool ours = adopt(name, at->second);
-    if (ours && at->second.version > 0) eye->version = at->second.version;
+    if (ours && at->second.command_version > 0) eye->version = at->second.command_version;
     spdlog::info("instance {}: process {} {}", name, at->second.pid, ours ? "is adopted" : "has ended");
   }
-  lease_owner_->owns(loop_.now(), name, one);
+  lease_owner_->add_instance(loop_.now().time_since_epoch(), name, one);
 }
 
 std::vector<std::string> ProcessSupervisor::change(const AgentConfig& next) {
@@ -102,14 +104,14 @@
     // Where it is reached is what makes it this instance: another place is another one.
     const bool same = at != next.instances.end() && at->second.admin.text == owned.admin.text;
     if (same) continue;
-    if (lease_owner_ && !lease_owner_->disown(loop_.now(), name)) {
+    if (lease_owner_ && !lease_owner_->remove_instance(loop_.now().time_since_epoch(), name)) {
       config_.instances[name] = owned;
       told.push_back("instance " + name + " stays as it was: it is claimed");
       continue;
     }
-    processes_.let_go(name);
+    processes_.release(name);
     eyes_.erase(name);
-    if (lease_owner_) store_.forget(name);
+    if (lease_owner_) store_.erase_instance(name);
     told.push_back("instance " + name + " is not looked after any more; it runs on");
   }
   for (const auto& [name, owned] : config_.instances) {
@@ -122,20 +124,20 @@
 
 // ---- What operators ask
 
-fleet::Claims::Answer ProcessSupervisor::ask(const fleet::ClaimAsk& ask) {
-  if (lease_owner_) return lease_owner_->ask(loop_.now(), ask);
-  fleet::Claims::Answer answer;
+fleet::LeaseTable::Answer ProcessSupervisor::ask(const fleet::LeaseRequest& ask) {
+  if (lease_owner_) return lease_owner_->acquire(loop_.now().time_since_epoch(), ask);
+  fleet::LeaseTable::Answer answer;
   answer.fault = trouble_;
   return answer;
 }
 
 bool ProcessSupervisor::renew(const std::string& operation, const std::vector<std::string>& instances,
-                              Span lease) {
-  return lease_owner_ && lease_owner_->renew(loop_.now(), operation, instances, lease);
+                              Duration lease) {
+  return lease_owner_ && lease_owner_->renew(loop_.now().time_since_epoch(), operation, instances, lease);
 }
 
 void ProcessSupervisor::release(const std::string& operation) {
-  if (lease_owner_) lease_owner_->release(loop_.now(), operation);
+  if (lease_owner_) lease_owner_->release(loop_.now().time_since_epoch(), operation);
 }
 
 bool ProcessSupervisor::step(const std::string& instance, const fleet::Step& step, std::string& fault) {
@@ -144,7 +146,7 @@
   if (at != config_.instances.end() && step.kind == fleet::StepKind::change &&
       !at->second.commands.contains(step.version))
     return fault = "no command of version " + std::to_string(step.version), false;
-  return lease_owner_->step(loop_.now(), instance, step, fault);
+  return lease_owner_->step(loop_.now().time_since_epoch(), instance, step, fault);
 }
 
 std::vector<ProcessSupervisor::Seen> ProcessSupervisor::seen() const {
@@ -156,17 +158,17 @@
     one.pid = eye.pid, one.done = eye.done, one.answered = eye.answered;
     one.open = eye.open, one.life = eye.life;
     if (!lease_owner_) {
-      one.condition = !eye.answers             ? fleet::Condition::unseen
-                      : eye.rest == "drained"  ? fleet::Condition::drained
-                      : eye.rest == "draining" ? fleet::Condition::draining
-                      : eye.phase == "serving" ? fleet::Condition::serving
-                                               : fleet::Condition::starting;
+      one.condition = !eye.answers             ? fleet::InstanceState::unseen
+                      : eye.rest == "drained"  ? fleet::InstanceState::drained
+                      : eye.rest == "draining" ? fleet::InstanceState::draining
+                      : eye.phase == "serving" ? fleet::InstanceState::serving
+                                               : fleet::InstanceState::starting;
       continue;
     }
-    const fleet::Life& life = *lease_owner_->life(name);
-    one.condition = life.condition(), one.version = life.version(), one.falls = life.falls();
-    one.claim = lease_owner_->claims().claim_on(loop_.now(), name);
-    one.under_way = life.under_way(), one.last = life.last();
+    const fleet::InstanceLifecycle& life = *lease_owner_->lifecycle(name);
+    one.condition = life.condition(), one.version = life.version(), one.falls = life.crash_count();
+    one.claim = lease_owner_->leases().lease_on(loop_.now().time_since_epoch(), name);
+    one.under_way = life.current_step(), one.last = life.last_step();
     if (const auto process = processes_.process_of(name)) one.pid = process->pid;
   }
   return all;
@@ -210,7 +212,7 @@
 void ProcessSupervisor::looked(const std::string& name) {
   if (!lease_owner_) return;
   const Eye& eye = *eyes_.at(name);
-  fleet::Life::Look look;
+  fleet::InstanceLifecycle::Observation look;
   look.ours = processes_.alive(name);
   look.answers = eye.answers;
   // The shell that was started may have become the manager or be its parent: a session of ours holds both.
@@ -220,30 +222,30 @@
   look.serves = eye.phase == "serving";
   look.drains = eye.rest == "draining", look.drained = eye.rest == "drained";
   look.version = eye.version;
-  lease_owner_->looked(loop_.now(), name, look);
+  lease_owner_->observe(loop_.now().time_since_epoch(), name, look);
 }
 
-void ProcessSupervisor::wake_at(Span when) {
-  if (wake_ && *wake_ <= when && *wake_ > loop_.now()) return;
+void ProcessSupervisor::wake_at(Duration when) {
+  if (wake_ && *wake_ <= when && *wake_ > loop_.now().time_since_epoch()) return;
   wake_ = when;
-  loop_.at(when, [this, alive = alive_] {
+  loop_.at(TimePoint(when), [this, alive = alive_] {
     if (!*alive) return;
     wake_.reset();
-    lease_owner_->woken(loop_.now());
+    lease_owner_->on_timer(loop_.now().time_since_epoch());
   });
 }
 
 // ---- Hands
 
-bool ProcessSupervisor::write(const std::map<std::string, fleet::LeaseOwner::Kept>& kept,
+bool ProcessSupervisor::write(const std::map<std::string, fleet::LeaseOwner::PersistedInstance>& kept,
                               const std::string& why) {
-  if (store_.write(kept)) return true;
-  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.fault(), why);
+  if (store_.write_instances(kept)) return true;
+  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.last_error(), why);
   return false;
 }
 
 void ProcessSupervisor::start(const std::string& name, int version) {
-  const Owned& owned = config_.instances.at(name);
+  const OwnedInstance& owned = config_.instances.at(name);
   const auto command = owned.commands.find(version);
   if (command == owned.commands.end()) {
     PEARCHUTE_LOG(spdlog::level::err, "instance {}: no command of version {}", name, version);
@@ -252,8 +254,8 @@
   std::string fault;
   const bool started = processes_.start(
       name, command->second, owned.log,
-      [&](store::Process process) {
-        process.version = version;
+      [&](store::ProcessRecord process) {
+        process.command_version = version;
         return store_.write_process(name, process);
       },
       fault);
@@ -262,20 +264,20 @@
                 started ? "started, version " + std::to_string(version) : "can't be started: " + fault);
 }
 
-void ProcessSupervisor::ask_to_end(const std::string& name, Span within) {
+void ProcessSupervisor::request_shutdown(const std::string& name, Duration within) {
   admin::v1::Call call;
   call.mutable_end()->set_within_ms(static_cast<std::uint64_t>(duration_cast<milliseconds>(within).count()));
   eyes_.at(name)->caller->call(call, answers_within, {});
 }
 
-void ProcessSupervisor::call_off_end(const std::string& name) {
+void ProcessSupervisor::cancel_shutdown(const std::string& name) {
   admin::v1::Call call;
   call.mutable_end()->set_called_off(true);
   eyes_.at(name)->caller->call(call, answers_within, {});
 }
 
 // Under the operation's name, and with a generation over all that the manager knows.
-void ProcessSupervisor::order_drain(const std::string& name, bool drains, const fleet::Step& step) {
+void ProcessSupervisor::set_drain(const std::string& name, bool drains, const fleet::Step& step) {
   admin::v1::Call known;
   known.mutable_orders();
   eyes_.at(name)->caller->call(
@@ -306,11 +308,11 @@
 void ProcessSupervisor::step_ended(const std::string& name, const fleet::Step& step, fleet::StepEnd end,
                                    const std::string& word) {
   spdlog::info("instance {}: step of {} under fence {}: {}, {}", name, step.operation, step.fence,
-               word_for(end), word);
+               name_of(end), word);
 }
 
-void ProcessSupervisor::claim_over(const std::string& name, const fleet::Claim& claim,
-                                   fleet::Claims::Ended why) {
+void ProcessSupervisor::lease_ended(const std::string& name, const fleet::Lease& claim,
+                                    fleet::LeaseTable::EndReason why) {
   constexpr std::string_view words[] = {"has run out", "is given back", "is taken over"};
   spdlog::info("instance {}: the claim of {} for {} {}", name, claim.who, claim.operation,
                words[static_cast<int>(why)]);
--- a/src/lab/scale/hollow_hosts.cpp
+++ b/src/lab/scale/hollow_hosts.cpp
@@ -70,7 +70,7 @@
         return look(line);
       case HollowCommand::cut:
       case HollowCommand::heal:
-        set_cut(line.at("command") == word_for(HollowCommand::cut));
+        set_cut(line.at("command") == name_of(HollowCommand::cut));
         return json::object();
       case HollowCommand::restart:
         restart(line.at("agents").get<std::set<std::string>>());
@@ -99,23 +99,25 @@
 
   agent::AgentConfig config_of(const PlannedHost& host) const {
     agent::AgentConfig config;
-    config.name = host.agent, config.state = spec_.folder + "/" + host.agent + ".db";
-    config.exchanges = true, config.configures = true;
+    config.name = host.agent;
+    config.state_file = spec_.folder + "/" + host.agent + ".db";
+    config.gossips = true;
+    config.spreads_config = true;
     config.zone = host.zone.name;
-    config.control = keys::reach_in("unix:" + agent_socket(spec_.folder, host.agent));
-    agent::Owned& owned = config.instances[host.manager];
+    config.control = keys::parse_endpoint("unix:" + agent_socket(spec_.folder, host.agent));
+    agent::OwnedInstance& owned = config.instances[host.manager];
     owned.admin = admin::place_in("unix:" + manager_socket(spec_.folder, host.manager));
     owned.zone = host.zone.name;
     owned.commands[1] = "exec false";
-    owned.wanted = false;  // observed, never started
-    owned.configuration = configuration_file(host);
-    owned.configuration_base = spec_.manager_configuration;
+    owned.starts = false;  // observed, never started
+    owned.config_file = configuration_file(host);
+    owned.config_base_file = spec_.manager_configuration;
     for (const auto& [peer, region] : spec_.regions) {
       if (peer == host.agent) continue;
       config.peer_zones[peer] = spec_.zones.at(peer);
       const bool away = regions_cut_ && region != host.zone.region;
       config.peers[peer] =
-          keys::reach_in("unix:" + (away ? spec_.silent_socket : agent_socket(spec_.folder, peer)));
+          keys::parse_endpoint("unix:" + (away ? spec_.silent_socket : agent_socket(spec_.folder, peer)));
     }
     return config;
   }
@@ -189,7 +191,7 @@
 
 }  // namespace
 
-std::string_view word_for(HollowCommand command) {
+std::string_view name_of(HollowCommand command) {
   constexpr std::string_view words[] = {"look", "cut", "heal", "restart", "configuration"};
   return words[static_cast<int>(command)];
 }
--- a/tests/test_characterization_persistence.cpp
+++ b/tests/test_characterization_persistence.cpp
@@ -58,56 +58,57 @@
   return {"op-1", 7, fleet::StepKind::change, fleet::Fallback::finish, 4, seconds(5), seconds(6)};
 }
 
-fleet::LeaseOwner::Kept claimed_instance() {
-  fleet::LeaseOwner::Kept instance;
-  instance.wanted = true, instance.version = 3, instance.last_fence = 7, instance.lease = seconds(30);
-  instance.claim = fleet::Claim{"op-1", "ann", 7, {}, {}};
+fleet::LeaseOwner::PersistedInstance claimed_instance() {
+  fleet::LeaseOwner::PersistedInstance instance;
+  instance.wanted = true, instance.version = 3, instance.last_fence = 7,
+  instance.lease_duration = seconds(30);
+  instance.lease = fleet::Lease{"op-1", "ann", 7, {}, {}};
   instance.step = change_step();
-  fleet::Life::Past& past = instance.past.emplace();
+  fleet::InstanceLifecycle::CompletedStep& past = instance.last_step.emplace();
   past.step = {"op-0", 6, fleet::StepKind::drain, fleet::Fallback::serve_again, 0, seconds(2), seconds(3)};
-  past.end = fleet::StepEnd::time_up, past.word = "does not serve";
+  past.end = fleet::StepEnd::time_up, past.detail = "does not serve";
   return instance;
 }
 
-fleet::LeaseOwner::Kept stopped_instance() {
-  fleet::LeaseOwner::Kept instance;
+fleet::LeaseOwner::PersistedInstance stopped_instance() {
+  fleet::LeaseOwner::PersistedInstance instance;
   instance.wanted = false;
-  fleet::Life::Past& past = instance.past.emplace();
+  fleet::InstanceLifecycle::CompletedStep& past = instance.last_step.emplace();
   past.step = {"op-9", 2, fleet::StepKind::resume, fleet::Fallback::serve_again, 0, seconds(1), seconds(1)};
   past.end = fleet::StepEnd::fell_back;
   return instance;
 }
 
-store::KeptRollout paused_rollout() {
-  store::KeptRollout rollout;
+store::RolloutRecord paused_rollout() {
+  store::RolloutRecord rollout;
   rollout.plan.id = "r1", rollout.plan.who = "ann", rollout.plan.kind = fleet::StepKind::change;
   rollout.plan.fallback = fleet::Fallback::finish, rollout.plan.version = 4, rollout.plan.version_before = 3;
   rollout.plan.targets = {{"i1", "a1", "z1"}, {"i2", "a2", "z2"}};
-  rollout.plan.at_once = 2, rollout.plan.batch = 5, rollout.plan.least_serving = {{"z1", 2}, {"z2", 1}};
+  rollout.plan.max_concurrent = 2, rollout.plan.batch = 5, rollout.plan.min_serving = {{"z1", 2}, {"z2", 1}};
   rollout.plan.warm = seconds(7), rollout.plan.gate = seconds(8), rollout.plan.margin = 0.125;
   rollout.plan.failures = 1, rollout.plan.reverts = true, rollout.plan.take_over = true;
-  rollout.plan.lease = seconds(31), rollout.plan.drain_within = seconds(32);
+  rollout.plan.lease_duration = seconds(31), rollout.plan.drain_within = seconds(32);
   rollout.plan.up_within = seconds(33);
   rollout.state = fleet::Rollout::State::paused;
   rollout.stages = {{"i1", fleet::Rollout::Stage::warming}, {"i2", fleet::Rollout::Stage::waiting}};
-  rollout.word = "by an operator", rollout.begun_unix_ms = 1'700'000'000'001;
+  rollout.state_reason = "by an operator", rollout.started_unix_ms = 1'700'000'000'001;
   return rollout;
 }
 
 // One more, so that each state and stage is on disk once.
-store::KeptRollout rollout_in(fleet::Rollout::State state, int number) {
-  store::KeptRollout rollout;
+store::RolloutRecord rollout_in(fleet::Rollout::State state, int number) {
+  store::RolloutRecord rollout;
   rollout.plan.id = "s" + std::to_string(number), rollout.plan.who = "ben", rollout.state = state;
   rollout.plan.targets = {{"i1", "a1", "z1"}};
   rollout.stages = {{"i1", static_cast<fleet::Rollout::Stage>(number % 6)}};
-  rollout.begun_unix_ms = 1'600'000'000'000 + number;
+  rollout.started_unix_ms = 1'600'000'000'000 + number;
   return rollout;
 }
 
 constexpr fleet::Rollout::State all_states[] = {
-    fleet::Rollout::State::planned, fleet::Rollout::State::claiming, fleet::Rollout::State::running,
-    fleet::Rollout::State::gate,    fleet::Rollout::State::paused,   fleet::Rollout::State::aborting,
-    fleet::Rollout::State::done,    fleet::Rollout::State::aborted,  fleet::Rollout::State::failed};
+    fleet::Rollout::State::planned, fleet::Rollout::State::acquiring_leases, fleet::Rollout::State::running,
+    fleet::Rollout::State::gate,    fleet::Rollout::State::paused,           fleet::Rollout::State::aborting,
+    fleet::Rollout::State::done,    fleet::Rollout::State::aborted,          fleet::Rollout::State::failed};
 
 fleet::ConfigReplica::State configuration() {
   fleet::ConfigReplica::State state;
@@ -126,9 +127,9 @@
 void write_store(const std::string& file) {
   store::Store store(file);
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
-  ASSERT_TRUE(store.write({{"i1", claimed_instance()}, {"i2", stopped_instance()}}));
-  ASSERT_TRUE(store.write_process("i1", store::Process{1234, 567890, "boot-id", 3}));
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
+  ASSERT_TRUE(store.write_instances({{"i1", claimed_instance()}, {"i2", stopped_instance()}}));
+  ASSERT_TRUE(store.write_process("i1", store::ProcessRecord{1234, 567890, "boot-id", 3}));
   int number = 0;
   for (const fleet::Rollout::State state : all_states)
     ASSERT_TRUE(store.write_rollout(rollout_in(state, number++)));
@@ -180,19 +181,19 @@
 TEST_F(PersistenceTest, StoreWrittenBeforeIsRead) {
   store::Store store(copy_of(store_written_before));
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
 
   const auto instances = store.instances();
   ASSERT_EQ(instances.size(), 2u);
-  const fleet::LeaseOwner::Kept& first = instances.at("i1");
+  const fleet::LeaseOwner::PersistedInstance& first = instances.at("i1");
   EXPECT_TRUE(first.wanted);
   EXPECT_EQ(first.version, 3);
   EXPECT_EQ(first.last_fence, 7u);
-  EXPECT_EQ(first.lease, seconds(30));
-  ASSERT_TRUE(first.claim && first.step && first.past);
-  EXPECT_EQ(first.claim->operation, "op-1");
-  EXPECT_EQ(first.claim->who, "ann");
-  EXPECT_EQ(first.claim->fence, 7u);
+  EXPECT_EQ(first.lease_duration, seconds(30));
+  ASSERT_TRUE(first.lease && first.step && first.last_step);
+  EXPECT_EQ(first.lease->operation, "op-1");
+  EXPECT_EQ(first.lease->who, "ann");
+  EXPECT_EQ(first.lease->fence, 7u);
   EXPECT_EQ(first.step->operation, "op-1");
   EXPECT_EQ(first.step->fence, 7u);
   EXPECT_EQ(first.step->kind, fleet::StepKind::change);
@@ -200,30 +201,30 @@
   EXPECT_EQ(first.step->version, 4);
   EXPECT_EQ(first.step->drain_within, seconds(5));
   EXPECT_EQ(first.step->up_within, seconds(6));
-  EXPECT_EQ(first.past->step.operation, "op-0");
-  EXPECT_EQ(first.past->step.kind, fleet::StepKind::drain);
-  EXPECT_EQ(first.past->step.fallback, fleet::Fallback::serve_again);
-  EXPECT_EQ(first.past->end, fleet::StepEnd::time_up);
-  EXPECT_EQ(first.past->word, "does not serve");
-  const fleet::LeaseOwner::Kept& second = instances.at("i2");
-  EXPECT_FALSE(second.wanted || second.claim || second.step);
-  ASSERT_TRUE(second.past);
-  EXPECT_EQ(second.past->step.kind, fleet::StepKind::resume);
-  EXPECT_EQ(second.past->end, fleet::StepEnd::fell_back);
+  EXPECT_EQ(first.last_step->step.operation, "op-0");
+  EXPECT_EQ(first.last_step->step.kind, fleet::StepKind::drain);
+  EXPECT_EQ(first.last_step->step.fallback, fleet::Fallback::serve_again);
+  EXPECT_EQ(first.last_step->end, fleet::StepEnd::time_up);
+  EXPECT_EQ(first.last_step->detail, "does not serve");
+  const fleet::LeaseOwner::PersistedInstance& second = instances.at("i2");
+  EXPECT_FALSE(second.wanted || second.lease || second.step);
+  ASSERT_TRUE(second.last_step);
+  EXPECT_EQ(second.last_step->step.kind, fleet::StepKind::resume);
+  EXPECT_EQ(second.last_step->end, fleet::StepEnd::fell_back);
 
   const auto processes = store.processes();
   ASSERT_EQ(processes.size(), 1u);
-  EXPECT_EQ(processes.at("i1"), (store::Process{1234, 567890, "boot-id", 3}));
+  EXPECT_EQ(processes.at("i1"), (store::ProcessRecord{1234, 567890, "boot-id", 3}));
   EXPECT_EQ(store.incarnation(), 42u);
 }
 
 TEST_F(PersistenceTest, RolloutsWrittenBeforeAreRead) {
   store::Store store(copy_of(store_written_before));
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
   const auto rollouts = store.rollouts(100);
   ASSERT_EQ(rollouts.size(), 10u);
-  const store::KeptRollout& newest = rollouts[0];
+  const store::RolloutRecord& newest = rollouts[0];
   EXPECT_EQ(newest.plan.id, "r1");
   EXPECT_EQ(newest.plan.who, "ann");
   EXPECT_EQ(newest.plan.kind, fleet::StepKind::change);
@@ -234,25 +235,25 @@
   EXPECT_EQ(newest.plan.targets[1].instance, "i2");
   EXPECT_EQ(newest.plan.targets[1].agent, "a2");
   EXPECT_EQ(newest.plan.targets[1].zone, "z2");
-  EXPECT_EQ(newest.plan.at_once, 2);
+  EXPECT_EQ(newest.plan.max_concurrent, 2);
   EXPECT_EQ(newest.plan.batch, 5);
-  EXPECT_EQ(newest.plan.least_serving, (std::map<std::string, int>{{"z1", 2}, {"z2", 1}}));
+  EXPECT_EQ(newest.plan.min_serving, (std::map<std::string, int>{{"z1", 2}, {"z2", 1}}));
   EXPECT_EQ(newest.plan.warm, seconds(7));
   EXPECT_EQ(newest.plan.gate, seconds(8));
   EXPECT_EQ(newest.plan.margin, 0.125);
   EXPECT_EQ(newest.plan.failures, 1);
   EXPECT_TRUE(newest.plan.reverts);
   EXPECT_TRUE(newest.plan.take_over);
-  EXPECT_EQ(newest.plan.lease, seconds(31));
+  EXPECT_EQ(newest.plan.lease_duration, seconds(31));
   EXPECT_EQ(newest.plan.drain_within, seconds(32));
   EXPECT_EQ(newest.plan.up_within, seconds(33));
   EXPECT_EQ(newest.state, fleet::Rollout::State::paused);
-  EXPECT_EQ(newest.word, "by an operator");
-  EXPECT_EQ(newest.begun_unix_ms, 1'700'000'000'001);
+  EXPECT_EQ(newest.state_reason, "by an operator");
+  EXPECT_EQ(newest.started_unix_ms, 1'700'000'000'001);
   EXPECT_EQ(newest.stages.at("i1"), fleet::Rollout::Stage::warming);
   EXPECT_EQ(newest.stages.at("i2"), fleet::Rollout::Stage::waiting);
   for (std::size_t number = 0; number < std::size(all_states); ++number) {
-    const store::KeptRollout& one = rollouts[rollouts.size() - 1 - number];  // the newest first
+    const store::RolloutRecord& one = rollouts[rollouts.size() - 1 - number];  // the newest first
     EXPECT_EQ(one.plan.id, "s" + std::to_string(number));
     EXPECT_EQ(one.state, all_states[number]);
     EXPECT_EQ(one.stages.at("i1"), static_cast<fleet::Rollout::Stage>(number % 6));
@@ -262,7 +263,7 @@
 TEST_F(PersistenceTest, ConfigurationWrittenBeforeIsRead) {
   store::Store store(copy_of(store_written_before));
   std::string fault;
-  ASSERT_EQ(store.open(fault), store::Store::Opened::usable) << fault;
+  ASSERT_EQ(store.open(fault), store::OpenStatus::usable) << fault;
   const fleet::ConfigReplica::State state = store.config();
   ASSERT_TRUE(state.current);
   EXPECT_EQ(state.current->mark.epoch, 2u);
@@ -281,8 +282,8 @@
 
 // ---- The manager's file of orders
 
-std::vector<fleet::Held> orders() {
-  fleet::Held engine, manager;
+std::vector<fleet::ActiveDirective> orders() {
+  fleet::ActiveDirective engine, manager;
   engine.order = {"id-1", "s-1", "ann", 9, true, false, seconds(3600), "disk swap"};
   engine.since = seconds(100), engine.until = seconds(100) + hours(1);
   manager.order = {"id-2", "", "ben", 10, false, true, {}, ""};
@@ -313,7 +314,7 @@
   EXPECT_EQ(engine.holder, "ann");
   EXPECT_EQ(engine.generation, 9u);
   EXPECT_TRUE(engine.drains);
-  EXPECT_FALSE(engine.everyone);
+  EXPECT_FALSE(engine.all_holders);
   EXPECT_EQ(engine.reason, "disk swap");
   EXPECT_EQ(engine_left, seconds(3500));
   const auto& [manager, manager_left] = found.orders[1];
@@ -322,7 +323,7 @@
   EXPECT_EQ(manager.holder, "ben");
   EXPECT_EQ(manager.generation, 10u);
   EXPECT_FALSE(manager.drains);
-  EXPECT_TRUE(manager.everyone);
+  EXPECT_TRUE(manager.all_holders);
   EXPECT_EQ(manager.reason, "");
   EXPECT_EQ(manager_left, seconds(7101));
 }
