--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -144,7 +144,7 @@
   void request_next_lease(TimePoint now);
   void continue_under_leases(TimePoint now, State state, const std::string& detail);
   void renew_or_expire_leases(TimePoint now);
-  void on_lease_expired(const std::string& agent, AgentLeases& leases);
+  void on_lease_expired(const std::string& name, AgentLeases& agent);
   static bool has_usable_leases(TimePoint now, const AgentLeases& agent);
 
   // Steps and their limits: rollout_steps.cpp
