--- a/src/agent/agent_config.cpp
+++ b/src/agent/agent_config.cpp
@@ -103,7 +103,7 @@
   }
 
   admin::Endpoint unique_admin_address(const std::string& text) {
-    const admin::Endpoint place = admin::parse_endpoint(text);
+    admin::Endpoint place = admin::parse_endpoint(text);
     if (!admin_addresses_.insert(text).second)
       throw ini::Error("another instance has the admin address " + text);
     return place;
--- a/src/agent/peers.h
+++ b/src/agent/peers.h
@@ -67,7 +67,7 @@
     open->context.set_deadline(deadline_in(timeout));
     open_calls_->add(&open->context);
     std::function<void(grpc::Status)> on_done = [loop_thread = &loop_thread_, open, on_response,
-                                                 open_calls = open_calls_](grpc::Status status) {
+                                                 open_calls = open_calls_](const grpc::Status& status) {
       loop_thread->post([open, on_response, ok = status.ok()] { on_response(ok, open->response); });
       open_calls->remove(&open->context);
     };
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -152,12 +152,13 @@
 void Drains::on_timer(TimePoint now) {
   bool changed = false;
   for (auto& [subject, holders] : subjects_) {
+    const std::string& name = subject;  // a lambda of clang 14 can't capture a structured binding
     std::erase_if(holders, [&](const auto& holder) {
       const ActiveDirective& active = holder.second;
       if (active.until > now) return false;
       changed = true;
       if (active.order.drains)
-        host_.log("the lease of " + active.order.holder + " on " + subject_text(subject) + " has run out");
+        host_.log("the lease of " + active.order.holder + " on " + subject_text(name) + " has run out");
       return true;
     });
   }
--- a/src/keys/openssl_handles.h
+++ b/src/keys/openssl_handles.h
@@ -11,11 +11,11 @@
 
 namespace pearchute::keys {
 
-template <auto release>
+template <auto Release>
 struct OpenSslDeleter {
   template <class T>
   void operator()(T* object) const {
-    release(object);
+    Release(object);
   }
 };
 
