--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -14,20 +14,20 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class AdminServer::Line final : public net::Wire::User {
+class AdminServer::Line final : public net::Connection::Listener {
  public:
   Line(AdminServer& admin_server, const Poco::Net::StreamSocket& socket)
       : admin_server_(admin_server),
         session_(admin_server.desk_),
         since_(admin_server.loop_.now()),
         stuck_since_(since_) {
-    wire_ = std::make_unique<net::Wire>(admin_server.loop_, socket, *this);
+    wire_ = std::make_unique<net::Connection>(admin_server.loop_, socket, *this);
   }
-  net::Wire& wire() { return *wire_; }
-  std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
+  net::Connection& wire() { return *wire_; }
+  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
   Session& session() { return session_; }
 
-  void wire_brought(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     const bool within = session_.within();
     if (!session_.feed(bytes)) {
       PEARCHUTE_LOG(spdlog::level::warn, "admin channel: bytes that are no calls; connection closed");
@@ -36,7 +36,7 @@
     if (!within || !session_.within()) since_ = admin_server_.loop_.now();
     turn();
   }
-  void wire_ended() override { admin_server_.drop(*this); }
+  void on_closed() override { admin_server_.drop(*this); }
   void turn() {
     if (!wire_) return;
     std::string out;
@@ -63,7 +63,7 @@
  private:
   AdminServer& admin_server_;
   Session session_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   TimePoint since_, stuck_since_;
   std::uint64_t written_ = 0;
 };
@@ -71,8 +71,9 @@
 AdminServer::AdminServer(net::Loop& loop, const Terms& terms, Desk& desk)
     : loop_(loop), terms_(terms), desk_(desk), gone_(loop) {
   const auto came_here = [this](const Poco::Net::StreamSocket& socket) { came(socket); };
-  if (terms_.listen.path.empty()) door_ = std::make_unique<net::Door>(loop, terms_.listen.address, came_here);
-  else door_ = net::open_owner_door(loop, terms_.listen.path, came_here);
+  if (terms_.listen.path.empty())
+    door_ = std::make_unique<net::ListeningSocket>(loop, terms_.listen.address, came_here);
+  else door_ = net::open_owner_socket(loop, terms_.listen.path, came_here);
   spdlog::info("admin channel at {}", terms_.listen.text);
   sweep();
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -35,7 +35,7 @@
   Desk& desk_;
   std::vector<std::unique_ptr<Line>> lines_;
   net::DeferredDeletion<Line> gone_;
-  std::unique_ptr<net::Door> door_;
+  std::unique_ptr<net::ListeningSocket> door_;
   std::uint64_t turned_away_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/admin/caller.cpp
+++ b/src/admin/caller.cpp
@@ -32,7 +32,7 @@
   if (wire_) loop_.retire(std::move(wire_));
   reader_ = {};
   opened_ = false;
-  wire_ = std::make_unique<net::Wire>(loop_, place_.address, *this);
+  wire_ = std::make_unique<net::Connection>(loop_, place_.address, *this);
 }
 
 std::uint64_t Caller::send(v1::Call& call, Duration within, Waiting waiting) {
@@ -53,7 +53,7 @@
   return number;
 }
 
-void Caller::wire_brought(std::string_view bytes) {
+void Caller::on_data(std::string_view bytes) {
   const bool sound = reader_.feed(bytes, [&](std::string_view message) {
     v1::Reply reply;
     if (!reply.ParseFromArray(message.data(), static_cast<int>(message.size()))) return false;
@@ -73,7 +73,7 @@
   end_all(CallEnd::broken);
 }
 
-void Caller::wire_ended() { end_all(opened_ ? CallEnd::broken : CallEnd::unreachable); }
+void Caller::on_closed() { end_all(opened_ ? CallEnd::broken : CallEnd::unreachable); }
 
 void Caller::end_all(CallEnd how) {
   while (!waiting_.empty()) end(waiting_.begin()->first, how, {});
--- a/src/admin/caller.h
+++ b/src/admin/caller.h
@@ -22,7 +22,7 @@
 };
 std::string_view name_of(CallEnd end);
 
-class Caller final : public net::Wire::User {
+class Caller final : public net::Connection::Listener {
  public:
   using Heard = std::function<void(CallEnd end, const v1::Reply& reply)>;
   // Connects with the first call, and anew after a connection has ended.
@@ -41,21 +41,21 @@
   };
   void connect();  // unless a connection is there, or on its way
   std::uint64_t send(v1::Call& call, Duration within, Waiting waiting);
-  void wire_brought(std::string_view bytes) override;
-  void wire_ended() override;
+  void on_data(std::string_view bytes) override;
+  void on_closed() override;
   void end_all(CallEnd end);
   void end(std::uint64_t number, CallEnd end, const v1::Reply& reply);
 
   net::Loop& loop_;
   const Place place_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   FrameReader reader_;
   std::map<std::uint64_t, Waiting> waiting_;
   std::uint64_t next_number_ = 1;
   bool opened_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 
-  void wire_opened() override { opened_ = true; }
+  void on_opened() override { opened_ = true; }
 };
 
 }  // namespace pearchute::admin
--- a/src/agent/call_server.cpp
+++ b/src/agent/call_server.cpp
@@ -83,12 +83,12 @@
   const auto accept_control = [this](const Poco::Net::StreamSocket& socket) {
     hand_over(*control_acceptor_, socket);
   };
-  listeners_.push_back(net::open_owner_door(loop_thread_.loop(), control_path_, accept_control));
+  listeners_.push_back(net::open_owner_socket(loop_thread_.loop(), control_path_, accept_control));
   if (!tls_acceptor_) return;
   const auto accept_tls = [this](const Poco::Net::StreamSocket& socket) {
     hand_over(*tls_acceptor_, socket);
   };
-  listeners_.push_back(std::make_unique<net::Door>(
+  listeners_.push_back(std::make_unique<net::ListeningSocket>(
       loop_thread_.loop(), net::resolved_address(config.listen.target, "listen"), accept_tls));
 }
 
--- a/src/agent/call_server.h
+++ b/src/agent/call_server.h
@@ -37,7 +37,7 @@
   std::unique_ptr<Acceptor> control_acceptor_;
   std::unique_ptr<Acceptor> tls_acceptor_;  // none where no TLS address is configured
   std::unique_ptr<grpc::Server> server_;
-  std::vector<std::unique_ptr<net::Door>> listeners_;  // used on the loop only
+  std::vector<std::unique_ptr<net::ListeningSocket>> listeners_;  // used on the loop only
 };
 
 }  // namespace pearchute::agent
--- a/src/ctl/batch_executor.cpp
+++ b/src/ctl/batch_executor.cpp
@@ -44,7 +44,7 @@
                                      round->heard[number].end = end, round->heard[number].reply = reply;
                                      // Its connection goes once this event is over, and the next instance has
                                      // its turn.
-                                     loop_thread_.loop().soon([&, round, number] {
+                                     loop_thread_.loop().post([&, round, number] {
                                        round->callers[number].reset();
                                        if (--round->left == 0) round->done.set_value();
                                        else round->go_on();
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 using fleet::AdminState;
-using net::Member;
+using net::DiscoveredEndpoint;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 using QueuedFor = WorkloadManager::QueuedFor;
@@ -94,41 +94,41 @@
         quiescence_(*this, terms.notice),
         configuration_(file),
         admin_server_(parts.loop, terms, *this) {
-    parts_.front.on_remark([this](std::string_view text) { tell("remark", "", text); });
+    parts_.front.set_trace_listener([this](std::string_view text) { tell("remark", "", text); });
     if (!terms.orders_file.empty()) remember();
   }
-  ~AdminBinding() override { parts_.front.on_remark({}); }
+  ~AdminBinding() override { parts_.front.set_trace_listener({}); }
 
   // ---- The program and the list of engines
 
-  void list_changed(EndpointUpdate news, const std::vector<Member>& members) override {
+  void on_endpoints_changed(EndpointUpdate news, const std::vector<DiscoveredEndpoint>& endpoints) override {
     const Duration now = now_since_start();
-    std::vector<Member> merged = members;
+    std::vector<DiscoveredEndpoint> merged = endpoints;
     std::set<std::string> named;
-    for (Member& member : merged) {
-      named.insert(member.name);
-      const Member* before = nullptr;
-      if (const auto at = members_.find(member.name); at != members_.end()) before = &at->second;
-      const EngineState said = member.engine.state;
+    for (DiscoveredEndpoint& endpoint : merged) {
+      named.insert(endpoint.name);
+      const DiscoveredEndpoint* before = nullptr;
+      if (const auto at = endpoints_.find(endpoint.name); at != endpoints_.end()) before = &at->second;
+      const EngineState said = endpoint.engine.state;
       const AdminState standing =
-          drains_.on_discovery_update(now, member.name, member.address, standing_of(said));
+          drains_.on_discovery_update(now, endpoint.name, endpoint.address, standing_of(said));
       if (!before || before->engine.state != said)
-        tell("engine", member.name, "the channel says " + std::string(fleet::name_of(standing_of(said))));
+        tell("engine", endpoint.name, "the channel says " + std::string(fleet::name_of(standing_of(said))));
       if (said == EngineState::removed) {
-        members_.erase(member.name);
+        endpoints_.erase(endpoint.name);
       } else {
-        Member& kept = members_[member.name];
+        DiscoveredEndpoint& kept = endpoints_[endpoint.name];
         const std::string address = kept.address;
-        kept = member;
+        kept = endpoint;
         if (kept.address.empty()) kept.address = address;
       }
-      member.engine.state = state_of(standing);
+      endpoint.engine.state = state_of(standing);
     }
     if (news != EndpointUpdate::delta) {
-      std::erase_if(members_, [&](const auto& one) { return !named.contains(one.first); });
+      std::erase_if(endpoints_, [&](const auto& one) { return !named.contains(one.first); });
       drains_.on_discovery_snapshot(now, named);
     }
-    parts_.front.list_changed(news, merged);
+    parts_.front.on_endpoints_changed(news, merged);
   }
   void entered(net::Program::Phase phase) override {
     phase_ = phase;
@@ -143,12 +143,12 @@
   // ---- What orders do
 
   void engine_state_changed(const std::string& engine, AdminState standing) override {
-    const auto at = members_.find(engine);
-    if (at == members_.end()) return;
-    Member member = at->second;
-    member.engine.state = state_of(standing);
+    const auto at = endpoints_.find(engine);
+    if (at == endpoints_.end()) return;
+    DiscoveredEndpoint endpoint = at->second;
+    endpoint.engine.state = state_of(standing);
     tell("engine", engine, "by orders it is " + std::string(fleet::name_of(standing)));
-    parts_.front.list_changed(EndpointUpdate::delta, {member});
+    parts_.front.on_endpoints_changed(EndpointUpdate::delta, {endpoint});
   }
   void manager_drains(bool drains) override {
     quiescence_.set_drain_ordered(now_since_start(), drains, parts_.front.idle());
@@ -177,7 +177,7 @@
     PEARCHUTE_LOG(spdlog::level::info, "{}", text);
     tell("order", "", text);
   }
-  void reject_requests(bool away) override { parts_.front.turn_away(away); }
+  void reject_requests(bool away) override { parts_.front.set_draining(away); }
   void end() override { parts_.end(); }
   void state_changed(fleet::Quiescence::State state) override {
     spdlog::info("the manager is {}", name_of(state));
@@ -243,13 +243,13 @@
   void tell_status(admin::v1::Status& status) {
     identify(*status.mutable_identity());
     status.set_counters(parts_.counters());
-    status.set_open_jobs(parts_.front.open_jobs());
+    status.set_open_jobs(parts_.front.open_requests());
     status.set_held_jobs(parts_.front.queued_requests());
-    for (const auto& [waits, count] : parts_.front.tell_waits())
+    for (const auto& [waits, count] : parts_.front.count_queued_by_cause())
       (*status.mutable_held_by_reason())[std::string(name_of(waits))] = count;
     std::uint64_t up = 0, draining = 0, left_out = 0;
     const Duration now = now_since_start();
-    parts_.front.tell_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
+    parts_.front.visit_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
       up += engine.known_up;
       draining += engine.listed.state == EngineState::draining;
       left_out += engine.known_up && TimePoint(now) < engine.closed_until;
@@ -273,8 +273,8 @@
     // By name, a page at a time, as many as fit.
     constexpr std::uint32_t most = 200;
     const std::uint32_t wanted = page.most() == 0 ? most : std::min(page.most(), most);
-    std::map<EngineId, const Member*> shown;
-    for (auto at = members_.upper_bound(page.after()); at != members_.end(); ++at) {
+    std::map<EngineId, const DiscoveredEndpoint*> shown;
+    for (auto at = endpoints_.upper_bound(page.after()); at != endpoints_.end(); ++at) {
       if (shown.size() == wanted) {
         engines.set_more(true);
         break;
@@ -283,20 +283,20 @@
     }
     const Duration now = now_since_start();
     std::map<std::string, admin::v1::Engine> by_name;
-    parts_.front.tell_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& belief,
-                                  const net::Engines::Shown& sockets, Duration oldest) {
+    parts_.front.visit_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& belief,
+                                   const net::EnginePool::SocketStats& sockets, Duration oldest) {
       const auto at = shown.find(engine.listed.id);
       if (at == shown.end()) return;
-      const Member& member = *at->second;
-      admin::v1::Engine& to = by_name[member.name];
-      to.set_name(member.name), to.set_address(member.address);
+      const DiscoveredEndpoint& endpoint = *at->second;
+      admin::v1::Engine& to = by_name[endpoint.name];
+      to.set_name(endpoint.name), to.set_address(endpoint.address);
       const auto name_at = [](const std::vector<std::string>& names, int position) {
         return position >= 0 ? names[static_cast<std::size_t>(position)] : std::string();
       };
-      to.set_zone(name_at(parts_.deployment.zones, member.engine.zone.value));
-      to.set_kind(name_at(parts_.deployment.kinds, member.engine.kind.value));
-      to.set_said(std::string(fleet::name_of(standing_of(member.engine.state))));
-      to.set_state(std::string(fleet::name_of(drains_.state_of(member.name))));
+      to.set_zone(name_at(parts_.deployment.zones, endpoint.engine.zone.value));
+      to.set_kind(name_at(parts_.deployment.kinds, endpoint.engine.kind.value));
+      to.set_said(std::string(fleet::name_of(standing_of(endpoint.engine.state))));
+      to.set_state(std::string(fleet::name_of(drains_.state_of(endpoint.name))));
       to.set_cold(belief.is_cold), to.set_live_mb(engine.live_bytes), to.set_capacity_mb(belief.capacity_mb);
       to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.live_threads, 0)));
       to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.closed_until - TimePoint(now)));
@@ -306,9 +306,9 @@
           to.set_error_rate(engine.error_rate);
       to.set_connections(static_cast<std::uint32_t>(sockets.connections));
       to.set_dispatches(static_cast<std::uint32_t>(sockets.dispatches));
-      to.set_kept_back(static_cast<std::uint32_t>(sockets.kept_back));
+      to.set_kept_back(static_cast<std::uint32_t>(sockets.unsent_requests));
       to.set_oldest_ms(in_ms(oldest));
-      for (const fleet::ActiveDirective& held : drains_.in_force(member.name)) {
+      for (const fleet::ActiveDirective& held : drains_.in_force(endpoint.name)) {
         if (to.orders_size() < 4) fill(*to.add_orders(), held, now);
       }
     });
@@ -322,19 +322,19 @@
   void tell_jobs(const admin::v1::Page& page, admin::v1::Jobs& jobs) {
     constexpr std::uint32_t most = 200;
     std::map<EngineId, std::string> names;
-    for (const auto& [name, member] : members_) names[member.engine.id] = name;
-    jobs.set_all(parts_.front.open_jobs());
+    for (const auto& [name, endpoint] : endpoints_) names[endpoint.engine.id] = name;
+    jobs.set_all(parts_.front.open_requests());
     Room room;
-    parts_.front.tell_jobs(page.most() == 0 ? most : std::min(page.most(), most),
-                           [&](const net::Front::JobSeen& job) {
-                             admin::v1::Job to;
-                             to.set_id(job.id), to.set_type(job.type);
-                             to.set_age_ms(in_ms(job.age)), to.set_left_ms(job.left.count() / 1000);
-                             to.set_dispatches(static_cast<std::uint32_t>(job.dispatches));
-                             for (const EngineId engine : job.out) to.add_out(names[engine]);
-                             to.set_waits_for(std::string(name_of(job.waits)));
-                             if (room.takes(to)) *jobs.add_jobs() = std::move(to);
-                           });
+    parts_.front.visit_requests(page.most() == 0 ? most : std::min(page.most(), most),
+                                [&](const net::Front::RequestView& job) {
+                                  admin::v1::Job to;
+                                  to.set_id(job.id), to.set_type(job.type);
+                                  to.set_age_ms(in_ms(job.age)), to.set_left_ms(job.left.count() / 1000);
+                                  to.set_dispatches(static_cast<std::uint32_t>(job.dispatches));
+                                  for (const EngineId engine : job.out) to.add_out(names[engine]);
+                                  to.set_waits_for(std::string(name_of(job.waits)));
+                                  if (room.takes(to)) *jobs.add_jobs() = std::move(to);
+                                });
   }
 
   void take_order(const admin::v1::Order& from, admin::v1::Reply& reply) {
@@ -358,7 +358,7 @@
     const bool own = order.subject.empty();
     ordered.set_standing(
         std::string(own ? name_of(quiescence_.state()) : fleet::name_of(drains_.state_of(order.subject))));
-    ordered.set_listed(own || members_.contains(order.subject));
+    ordered.set_listed(own || endpoints_.contains(order.subject));
     ordered.set_came_monotonic_us(
         static_cast<std::uint64_t>(duration_cast<std::chrono::microseconds>(came).count()));
     ordered.set_newest_generation(drains_.newest_generation());
@@ -436,7 +436,7 @@
   const admin::Terms terms_;
   const milliseconds started_unix_;
   net::Program::Phase phase_ = net::Program::Phase::starting;
-  std::map<std::string, Member> members_;  // as the channel says
+  std::map<std::string, DiscoveredEndpoint> endpoints_;  // as the channel says
   std::deque<admin::v1::Event> events_;
   std::uint64_t last_event_ = 0;
   std::optional<Duration> wake_;
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -109,8 +109,8 @@
   if (const std::string channel = configuration.value("channel", ""); !channel.empty())
     resolved_address(channel, "channel");
   if (const auto known = configuration.find("known"); known != configuration.end()) {
-    const EngineList::Change change = EngineList(deployment, milliseconds(0)).known(*known);
-    if (change.taken != EngineList::Taken::applied) throw ConfigurationError(change.fault, "known");
+    const EndpointList::Change change = EndpointList(deployment, milliseconds(0)).known(*known);
+    if (change.result != EndpointList::EventResult::applied) throw ConfigurationError(change.fault, "known");
   }
 }
 
@@ -145,7 +145,7 @@
   }
   const Duration unix_now =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
-  list_ = std::make_unique<EngineList>(
+  list_ = std::make_unique<EndpointList>(
       deployment_, std::chrono::duration_cast<milliseconds>(unix_now - loop_.now().time_since_epoch()));
   front_ = std::make_unique<Front>(loop_, deployment_, seed_in(configuration), descriptors, memory_mb << 20,
                                    counters_);
@@ -155,26 +155,27 @@
   }
   list_->heard(loop_.now(), false);
   if (const auto known = configuration.find("known"); known != configuration.end()) {
-    const EngineList::Change change = list_->known(*known);
-    if (change.taken == EngineList::Taken::applied) list_listener().list_changed(change.news, change.members);
+    const EndpointList::Change change = list_->known(*known);
+    if (change.result == EndpointList::EventResult::applied)
+      list_listener().on_endpoints_changed(change.update, change.endpoints);
     else spdlog::warn("what is known of the engines can't be read: {}", change.fault);
     list_->heard(loop_.now(), true);
   }
-  door_ =
-      std::make_unique<Door>(loop_, resolved_address(address, "listen"),
-                             [this](const Poco::Net::StreamSocket& socket) { front_->client_came(socket); });
+  door_ = std::make_unique<ListeningSocket>(
+      loop_, resolved_address(address, "listen"),
+      [this](const Poco::Net::StreamSocket& socket) { front_->on_client_accepted(socket); });
   if (const std::string channel = configuration.value("channel", ""); !channel.empty()) {
-    feed_ = std::make_unique<ListFeed>(loop_, channel, *list_, list_listener(), counters_);
+    feed_ = std::make_unique<EndpointWatch>(loop_, channel, *list_, list_listener(), counters_);
     feed_->open();
   }
   before_ = fixed_part(configuration);
-  enter(list_->has_list() ? Phase::serving : Phase::listing);
+  enter(list_->has_endpoints() ? Phase::serving : Phase::listing);
   watch();
 }
 
 Program::~Program() = default;
 
-ListFeed::Listener& Program::list_listener() {
+EndpointWatch::Listener& Program::list_listener() {
   if (annex_) return *annex_;
   return *front_;
 }
@@ -215,9 +216,9 @@
   if (fixed_part(configuration) != before_)
     spdlog::warn("what else has changed in the configuration takes effect at the next start only");
   if (feed_) {
-    feed_->move_to(channel);
+    feed_->set_address(channel);
   } else {
-    feed_ = std::make_unique<ListFeed>(loop_, channel, *list_, list_listener(), counters_);
+    feed_ = std::make_unique<EndpointWatch>(loop_, channel, *list_, list_listener(), counters_);
     feed_->open();
   }
   take_newer_events(configuration);
@@ -230,8 +231,8 @@
   if (known == configuration.end()) return;
   try {
     list_->heard(loop_.now(), false);
-    list_->take_newer(*known, [this](const EngineList::Change& change) {
-      list_listener().list_changed(change.news, change.members);
+    list_->apply_newer(*known, [this](const EndpointList::Change& change) {
+      list_listener().on_endpoints_changed(change.update, change.endpoints);
     });
   } catch (const json::exception& error) {
     PEARCHUTE_LOG(spdlog::level::warn, "what is known of the engines can't be read: {}", error.what());
@@ -253,7 +254,7 @@
   } else if (reload_until_ && now >= reload_at_ && phase_ < Phase::finishing) {
     read_again();
   }
-  if (phase_ == Phase::listing && list_->has_list()) enter(Phase::serving);
+  if (phase_ == Phase::listing && list_->has_endpoints()) enter(Phase::serving);
   if (asked_to_end && phase_ < Phase::leaving) {
     asked_at_ = now;
     enter(Phase::leaving);
@@ -264,7 +265,7 @@
     // Nothing leaves shortly before, lest it come to its engine after the final answer.
     if (now - asked_at_ > give_up_after_ - milliseconds(100)) front_->send_nothing();
     if (now - asked_at_ > give_up_after_) front_->answer_all();
-    if (all_came) front_->send_home();
+    if (all_came) front_->close_idle_connections();
     // Who has lost its connection may still come for its answer, within what the platform leaves.
     if (all_came && (front_->idle() || now - asked_at_ > give_up_after_ + milliseconds(50))) {
       door_->shut();
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -26,7 +26,7 @@
   };
   // What governs a running program, where anything does. It stands between the list of engines and the front,
   // and hears of the program's steps.
-  class Annex : public ListFeed::Listener {
+  class Annex : public EndpointWatch::Listener {
    public:
     virtual void entered(Phase phase) = 0;
     virtual void looked(TimePoint now) = 0;  // some fifty times a second, and fewer once it ends
@@ -55,18 +55,18 @@
   void read_again();
   void apply_configuration();  // throws std::exception where it can't be used
   void take_newer_events(const nlohmann::json& configuration);
-  ListFeed::Listener& list_listener();
+  EndpointWatch::Listener& list_listener();
 
   Phase phase_ = Phase::starting;
   Counters counters_;
   Loop loop_;
   std::string file_, name_, before_;  // its configuration, less what may change
   service::Deployment deployment_;
-  std::unique_ptr<EngineList> list_;
+  std::unique_ptr<EndpointList> list_;
   std::unique_ptr<Front> front_;
   std::unique_ptr<Annex> annex_;  // ends before the front that it governs
-  std::unique_ptr<ListFeed> feed_;
-  std::unique_ptr<Door> door_;
+  std::unique_ptr<EndpointWatch> feed_;
+  std::unique_ptr<ListeningSocket> door_;
   TimePoint counters_at_{}, asked_at_{}, finishing_since_{}, reload_at_{};
   Duration give_up_after_{};               // from the order to end to the last answers
   std::optional<TimePoint> reload_until_;  // while a configuration is to be read again
--- a/src/engines/feed.cpp
+++ b/src/engines/feed.cpp
@@ -6,7 +6,7 @@
 constexpr std::size_t longest_event = 1 << 20;  // a whole list of a large fleet is a few hundred kilobytes
 }
 
-bool EventFeed::feed(std::string_view bytes) {
+bool EventStreamReader::feed(std::string_view bytes) {
   while (!bytes.empty()) {
     const std::string_view before = bytes;
     const std::string_view part = bytes.substr(0, 4096);  // keeps what the reader holds small
@@ -32,7 +32,7 @@
   return true;
 }
 
-bool EventFeed::take(std::string_view text) {
+bool EventStreamReader::take(std::string_view text) {
   for (const char c : text) {
     const bool second_of_pair = c == '\n' && after_cr_;
     after_cr_ = c == '\r';
@@ -44,11 +44,11 @@
   return true;
 }
 
-void EventFeed::line_done() {
+void EventStreamReader::line_done() {
   std::string line;
   line.swap(line_);
   if (line.empty()) {
-    if (has_data_) listener_.event_came(id_, data_);
+    if (has_data_) listener_.on_event(id_, data_);
     data_.clear();
     has_data_ = false;
     return;
--- a/src/engines/feed.h
+++ b/src/engines/feed.h
@@ -9,14 +9,14 @@
 
 namespace pearchute::net {
 
-class EventFeed {
+class EventStreamReader {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
-    virtual void event_came(std::string_view id, std::string_view data) = 0;
+    virtual void on_event(std::string_view id, std::string_view data) = 0;
   };
-  explicit EventFeed(Listener& listener) : listener_(listener) {}
+  explicit EventStreamReader(Listener& listener) : listener_(listener) {}
   // False once the response is not a stream of events.
   bool feed(std::string_view bytes);
 
--- a/src/engines/resp.cpp
+++ b/src/engines/resp.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t largest_result = 48000;
 constexpr std::size_t most_pages = 64;  // whole rows may leave pages far from full
 constexpr double most_figure = 1e9;     // of a note; its largest are megabytes
-constexpr std::size_t most_past = 64;   // ids remembered on a connection; late and second answers come soon
+constexpr std::size_t max_ended_ids =
+    64;  // ids remembered on a connection; late and second answers come soon
 
 template <class Number>
 bool read_number(std::string_view text, Number& number) {
@@ -109,30 +110,30 @@
   }
 }
 
-void EngineTalk::put(std::string& out, std::initializer_list<std::string_view> words) {
+void EngineSession::put(std::string& out, std::initializer_list<std::string_view> words) {
   const std::size_t before = out.size();
   append_command(out, words);
   put_ += out.size() - before;
 }
 
-void EngineTalk::want(AttemptId key, const Want& want, std::string& out) {
-  std::string fields = "kind=" + std::string(want.kind) + ",ms=" + std::to_string(want.wait_ms);
-  if (!want.token.empty()) fields.append(",token=").append(want.token);
-  if (want.grant_mb > 0) fields.append(",workmem=").append(std::to_string(want.grant_mb));
-  fields.append(",weight=").append(std::to_string(want.priority));
-  Open& open = open_[std::string(want.id)];
+void EngineSession::submit(AttemptId key, const EngineRequest& request, std::string& out) {
+  std::string fields = "kind=" + std::string(request.kind) + ",ms=" + std::to_string(request.wait_ms);
+  if (!request.token.empty()) fields.append(",token=").append(request.token);
+  if (request.grant_mb > 0) fields.append(",workmem=").append(std::to_string(request.grant_mb));
+  fields.append(",weight=").append(std::to_string(request.priority));
+  OpenAttempt& open = open_[std::string(request.id)];
   open = {};
   open.key = key;
   open.starts_at = put_;
-  ids_[key] = want.id;
-  put(out, {"want", want.id, fields, want.statement});
+  ids_[key] = request.id;
+  put(out, {"want", request.id, fields, request.statement});
   open.length = static_cast<std::size_t>(put_ - open.starts_at);
 }
 
-std::optional<std::pair<AttemptId, std::size_t>> EngineTalk::take_back(std::uint64_t bytes_left,
-                                                                       std::optional<AttemptId> only) {
+std::optional<std::pair<AttemptId, std::size_t>> EngineSession::retract_unsent(
+    std::uint64_t bytes_left, std::optional<AttemptId> only) {
   const auto it = std::ranges::find_if(open_, [&](const auto& one) {
-    return one.second.starts_at == bytes_left && one.second.farewell.empty() &&
+    return one.second.starts_at == bytes_left && one.second.cancel_tag.empty() &&
            (!only || one.second.key == *only);
   });
   if (it == open_.end()) return std::nullopt;
@@ -144,61 +145,61 @@
 
 // Guards against two dispatches of a job that overlap: one given up is over only when its engine has heard,
 // which the echo of a tag sent right behind shows, whatever the way to the next engine takes.
-void EngineTalk::never_mind(AttemptId key, std::string& out) {
+void EngineSession::cancel(AttemptId key, std::string& out) {
   const auto id = ids_.find(key);
   if (id == ids_.end()) return;
-  Open& open = open_.find(id->second)->second;
-  if (!open.farewell.empty()) return;
-  open.farewell = std::to_string(next_tag_++);
+  OpenAttempt& open = open_.find(id->second)->second;
+  if (!open.cancel_tag.empty()) return;
+  open.cancel_tag = std::to_string(next_tag_++);
   put(out, {"never_mind", id->second});
-  put(out, {"there", open.farewell});
+  put(out, {"there", open.cancel_tag});
 }
 
-void EngineTalk::heard(std::string_view tag) {
-  const auto it = std::ranges::find_if(open_, [&](const auto& one) { return one.second.farewell == tag; });
+void EngineSession::on_echo(std::string_view tag) {
+  const auto it = std::ranges::find_if(open_, [&](const auto& one) { return one.second.cancel_tag == tag; });
   if (it != open_.end() && !tag.empty()) end(it, Outcome::cancelled);
 }
 
-void EngineTalk::lose_patience(AttemptId key) {
+void EngineSession::abandon(AttemptId key) {
   const auto id = ids_.find(key);
   if (id == ids_.end()) return;
   end(open_.find(id->second), Outcome::cancelled);
 }
 
-void EngineTalk::hurry(AttemptId key, int priority, std::string& out) {
+void EngineSession::reprioritize(AttemptId key, int priority, std::string& out) {
   const auto id = ids_.find(key);
   if (id != ids_.end()) put(out, {"hurry", id->second, std::to_string(priority)});
 }
 
-bool EngineTalk::knows(std::string_view id) const {
-  return open_.contains(id) || std::ranges::count(past_, id) > 0;
+bool EngineSession::knows(std::string_view id) const {
+  return open_.contains(id) || std::ranges::count(ended_ids_, id) > 0;
 }
 
-bool EngineTalk::owes_the_rest() const {
+bool EngineSession::has_partial_answer() const {
   return reader_.within_answer() || std::ranges::any_of(open_, [](const auto& one) {
-           return !one.second.pages.empty() && one.second.farewell.empty();
+           return !one.second.pages.empty() && one.second.cancel_tag.empty();
          });
 }
 
 // Any answer to it shows that the connection works.
-void EngineTalk::ask_for_a_sign(std::string& out) { put(out, {"there", std::to_string(next_tag_++)}); }
+void EngineSession::probe_liveness(std::string& out) { put(out, {"there", std::to_string(next_tag_++)}); }
 
-bool EngineTalk::feed(std::string_view bytes, std::string& out) {
+bool EngineSession::feed(std::string_view bytes, std::string& out) {
   bool sound = true;
   const bool read =
       reader_.feed(bytes, [&](std::vector<std::string>& words) { sound = sound && answer(words, out); });
   return read && sound;
 }
 
-bool EngineTalk::answer(std::vector<std::string>& words, std::string& out) {
+bool EngineSession::answer(std::vector<std::string>& words, std::string& out) {
   ++whole_answers_;
   if (words.size() < 2) return false;
-  if (words[1] == "PONG") return heard(words[0]), true;
+  if (words[1] == "PONG") return on_echo(words[0]), true;
   if (words.size() != 4) return false;
   const auto it = open_.find(words[0]);
   if (it == open_.end()) return true;  // late, of a dispatch that has ended, or of none
-  Open& open = it->second;
-  if (!open.farewell.empty()) listener_.talk_crossed(open.key, words[1]);
+  OpenAttempt& open = it->second;
+  if (!open.cancel_tag.empty()) listener_.on_late_answer(open.key, words[1]);
   service::NamedValues fields;
   try {
     if (words[2] != "-" && !words[2].empty()) {
@@ -212,7 +213,7 @@
       open.pages.resize(static_cast<std::size_t>(pages));
       open.here.resize(open.pages.size());
       // Its further pages went with the request where that is given up.
-      for (std::int64_t page = 1; page < pages && open.farewell.empty(); ++page)
+      for (std::int64_t page = 1; page < pages && open.cancel_tag.empty(); ++page)
         put(out, {"turn", it->first, std::to_string(page)});
     } else if (words[1] == "PART") {
       at = fields.required_whole("fetch_no");
@@ -222,15 +223,15 @@
       const double figure = fields.number("figure").value_or(0);
       if (!(figure >= 0 && figure <= most_figure)) return false;
       const AttemptId key = open.key;
-      if (note == "progress") listener_.talk_progress(key, std::min(figure, 1.0));
-      else if (note == "spill_mb") listener_.talk_spill(key, figure);
+      if (note == "progress") listener_.on_attempt_progress(key, std::min(figure, 1.0));
+      else if (note == "spill_mb") listener_.on_attempt_spill(key, figure);
       else if (note == "blocked")
-        listener_.talk_wait(key, figure == 2 ? WaitCause::data_load : WaitCause::memory);
+        listener_.on_attempt_wait(key, figure == 2 ? WaitCause::data_load : WaitCause::memory);
       return true;
     } else if (words[1] == "SHED" || words[1] == "FAULT" || words[1] == "LATE") {
       // Guards against a word that is taken for the answer to what was asked before the give-up: it may be
       // the engine's way of heeding it, so that the attempt's end stays unsure.
-      if (!open.farewell.empty()) return true;
+      if (!open.cancel_tag.empty()) return true;
       const Outcome outcome = words[1] == "SHED"    ? Outcome::engine_full
                               : words[1] == "FAULT" ? Outcome::engine_error
                                                     : Outcome::not_sent;
@@ -254,21 +255,21 @@
   return true;
 }
 
-void EngineTalk::end(std::map<std::string, Open, std::less<>>::iterator it, Outcome outcome) {
+void EngineSession::end(std::map<std::string, OpenAttempt, std::less<>>::iterator it, Outcome outcome) {
   const AttemptId key = it->second.key;
   std::vector<std::string> pages;
   if (outcome == Outcome::succeeded) pages = std::move(it->second.pages);
   ids_.erase(key);
-  past_.push_back(it->first);
-  if (past_.size() > most_past) past_.pop_front();
+  ended_ids_.push_back(it->first);
+  if (ended_ids_.size() > max_ended_ids) ended_ids_.pop_front();
   open_.erase(it);
-  listener_.talk_ended(key, outcome, std::move(pages));
+  listener_.on_attempt_ended(key, outcome, std::move(pages));
 }
 
-void EngineTalk::broke(std::uint64_t bytes_left) {
+void EngineSession::on_connection_lost(std::uint64_t bytes_left) {
   while (!open_.empty()) {
     // What has not left whole has not come whole, so it never ran.
-    const Open& open = open_.begin()->second;
+    const OpenAttempt& open = open_.begin()->second;
     const bool unsent = open.starts_at + open.length > bytes_left;
     end(open_.begin(), unsent ? Outcome::unreachable : Outcome::connection_reset);
   }
--- a/src/front/client.h
+++ b/src/front/client.h
@@ -11,7 +11,7 @@
 
 namespace pearchute::net {
 
-class Front::Client final : public Wire::User, public HttpServerSide::Listener {
+class Front::Client final : public Connection::Listener, public HttpServerSide::Listener {
  public:
   Client(Front& front, ClientId id, const Poco::Net::StreamSocket& socket)
       : front_(front),
@@ -20,14 +20,14 @@
         since_(front.loop_.now()),
         stuck_since_(since_),
         came_since_(front.loop_.unread_since()) {
-    wire_ = std::make_unique<Wire>(front.loop_, socket, *this);
+    connection_ = std::make_unique<Connection>(front.loop_, socket, *this);
   }
   ClientId id() const { return id_; }
   HttpServerSide& http() { return http_; }
-  Wire& wire() { return *wire_; }
-  const Wire& wire() const { return *wire_; }
-  std::unique_ptr<Wire> give_wire() { return std::move(wire_); }
-  void wire_brought(std::string_view bytes) override {
+  Connection& connection() { return *connection_; }
+  const Connection& connection() const { return *connection_; }
+  std::unique_ptr<Connection> release_connection() { return std::move(connection_); }
+  void on_data(std::string_view bytes) override {
     const bool idle = !http_.call_open() && !http_.within_call();
     // The time to a whole call runs from the connection's start or the call's first byte, whatever comes
     // next.
@@ -39,11 +39,11 @@
     const TimePoint now = front_.loop_.now();
     arrivals_.came(http_.bytes_fed() + bytes.size(), std::min(at, now), now);
     http_.feed(bytes);
-    if (!wire_->paused()) paused_since_.reset();
-    heed_bounds();
-    if (http_.held() >= BufferPool::buffer_size) front_.shed_unread();
+    if (!connection_->paused()) paused_since_.reset();
+    apply_backpressure();
+    if (http_.held() >= BufferPool::buffer_size) front_.evict_unparsed_request();
   }
-  void wire_ended() override { front_.client_left(*this, ClientCloseReason::client_left); }
+  void on_closed() override { front_.on_client_left(*this, ClientCloseReason::client_left); }
   void called(const std::string& method, const std::string& path, Message& message) override {
     ++front_.counters_.calls, ++calls_;
     owes_answer_ = true;
@@ -59,7 +59,7 @@
   void end_with(int status, std::string_view what, ClientCloseReason reason) {
     std::string out;
     append_response(out, status, "", error_body(what), false);
-    wire_->send(out);
+    connection_->send(out);
     front_.drop(*this, reason);
   }
   bool owes_answer() const { return owes_answer_; }
@@ -69,9 +69,10 @@
   std::pair<TimePoint, TimePoint> call_came_between() {
     constexpr std::chrono::milliseconds close_enough(5);
     const TimePoint now = front_.loop_.now();
-    const bool is_last = http_.bytes_taken() == http_.bytes_fed() && wire_ && !wire_->has_unread();
+    const bool is_last =
+        http_.bytes_taken() == http_.bytes_fed() && connection_ && !connection_->has_unread();
     if (call_came_by_ - call_came_ <= close_enough || !is_last) return {call_came_, call_came_by_};
-    const auto age = wire_->age_of_last_data();
+    const auto age = connection_->age_of_last_data();
     if (!age) return {call_came_, call_came_by_};
     const TimePoint earliest = std::max<TimePoint>(call_came_, now - *age - data_age_resolution);
     const TimePoint latest = std::min<TimePoint>(call_came_by_, now - *age + data_age_resolution);
@@ -83,26 +84,26 @@
   void answered() {
     since_ = front_.loop_.now();
     http_.answered();
-    heed_bounds();
+    apply_backpressure();
   }
   // Guards against clients that send on without reading, or many calls at once: what is not read stays with
   // them. Their calls get their answers in turn.
-  void heed_bounds() {
-    if (!wire_) return;                             // dropped
+  void apply_backpressure() {
+    if (!connection_) return;                       // dropped
     constexpr std::size_t most_unread = 64 * 1024;  // more than the largest answer's usual size
-    const bool out_of_sight = http_.has_enough() || wire_->waiting() > most_unread;
-    const bool was = wire_->paused();
+    const bool out_of_sight = http_.has_enough() || connection_->waiting() > most_unread;
+    const bool was = connection_->paused();
     if (out_of_sight && !was) paused_since_ = front_.loop_.now();
-    wire_->pause(out_of_sight);
+    connection_->pause(out_of_sight);
     // Guards against a client that leaves behind what is not read: its end is not seen, so nothing new begins
     // for it. Clients that make one call at a time and read its answer are never out of sight.
-    if (waits_for && out_of_sight) front_.lose_sight(*waits_for);
+    if (waits_for && out_of_sight) front_.on_client_unreachable(*waits_for);
     else if (waits_for && was) front_.manager_.on_client_reconnected(front_.loop_.now(), *waits_for);
   }
 
   // It holds its connection for nothing: no call is open, none has come whole.
-  bool useless() const { return !http_.call_open() && !waits_for; }
-  bool stranger() const { return calls_ == 0; }
+  bool is_evictable() const { return !http_.call_open() && !waits_for; }
+  bool has_made_no_call() const { return calls_ == 0; }
   // The lower, the sooner it goes where places run short, and then the longest at it: one that has said
   // nothing since it came, one that is idle between calls, and last one that may just be about to call.
   std::pair<int, TimePoint> usefulness(TimePoint now) const {
@@ -114,20 +115,20 @@
 
   // Whether its time is up, and with what status; 0: without a word.
   std::optional<int> overdue(TimePoint now) {
-    if (wire_->waiting() > 0) {
-      if (wire_->written() != written_) written_ = wire_->written(), stuck_since_ = now;
+    if (connection_->waiting() > 0) {
+      if (connection_->written() != written_) written_ = connection_->written(), stuck_since_ = now;
       // An answer that is read by nobody; a usual client reads at once.
       if (now - stuck_since_ > std::chrono::seconds(3)) return 0;
     } else {
       stuck_since_ = now;
-      if (wire_->paused()) heed_bounds();
+      if (connection_->paused()) apply_backpressure();
     }
-    if (!useless()) return std::nullopt;
+    if (!is_evictable()) return std::nullopt;
     // Usual clients send their call as soon as they are connected, in one piece. Clients that keep their
     // connection for longer than usual ones do, four seconds, don't need it to ask again.
     constexpr std::chrono::milliseconds whole_call_within(2000), idle_at_most(5500);
     const bool within = http_.within_call();
-    if (now - since_ < (stranger() || within ? whole_call_within : idle_at_most)) return std::nullopt;
+    if (now - since_ < (has_made_no_call() || within ? whole_call_within : idle_at_most)) return std::nullopt;
     return within ? 408 : 0;
   }
 
@@ -138,7 +139,7 @@
   Front& front_;
   ClientId id_;
   HttpServerSide http_;
-  std::unique_ptr<Wire> wire_;
+  std::unique_ptr<Connection> connection_;
   TimePoint since_, stuck_since_, came_since_, call_came_{}, call_came_by_{};
   std::optional<TimePoint> paused_since_;  // what came since then was not read at once
   ArrivalTimes arrivals_;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -47,37 +47,37 @@
       counters_(counters),
       // Clients hold a third at most; half leaves room for strangers, and for what is on its way out. Of the
       // rest, a few are for the log, the list and the like.
-      most_clients_(std::max<std::size_t>(descriptors / 2, 2 * most_turned_away) - most_turned_away),
-      most_unread_(memory / 8),
+      max_clients_(std::max<std::size_t>(descriptors / 2, 2 * most_turned_away) - most_turned_away),
+      max_unparsed_bytes_(memory / 8),
       engines_(loop, deployment.links, descriptors > 40 ? descriptors - descriptors / 2 - 20 : 1, *this,
                counters),
       manager_(deployment_.service, seed, *this) {
   counters_.rules.serve(deployment_.service);
-  loop.after_each_look([this] { return !arrivals_.empty(); }, [this] { hand_over_what_is_settled(); });
+  loop.after_each_look([this] { return !arrivals_.empty(); }, [this] { submit_settled(); });
   sweep();
 }
 
 Front::~Front() = default;
 
-void Front::settle_account(RequestId id, OpenJob& job) {
-  if (!job.answered) owed_ -= 1;
-  job.answered = true;
+void Front::finish_request(RequestId id, OpenRequest& request) {
+  if (!request.answered) unanswered_requests_ -= 1;
+  request.answered = true;
   counters_.rules.over(id);
   // Guards against a dispatch that leaves after the final answer, once its connection is up: where nothing
   // can be called off the module leaves alone what is out, and only the sockets know that this never went
   // out.
-  take_back_unsent(id, job);
-  statement_bytes_ -= job.statement.size();
-  job.statement = {};
-  if (arriving_.erase(id) > 0) arrivals_.withdrawn(id);
+  retract_unsent_attempts(id, request);
+  statement_bytes_ -= request.statement.size();
+  request.statement = {};
+  if (awaiting_order_.erase(id) > 0) arrivals_.withdrawn(id);
 }
 
 std::string Front::counters_now() {
-  counters_.open_jobs = jobs_.size(), counters_.open_clients = clients_.size();
+  counters_.open_jobs = requests_.size(), counters_.open_clients = clients_.size();
   counters_.open_engine_connections = engines_.connections();
   counters_.failed_events = loop_.failed_events();
   counters_.open_dispatches = 0;
-  for (const auto& [id, job] : jobs_) counters_.open_dispatches += job.out.size();
+  for (const auto& [id, request] : requests_) counters_.open_dispatches += request.out.size();
   return counters_.as_json();
 }
 
@@ -86,20 +86,21 @@
 // Guards against connections that are held for nothing, of whatever kind: what waits outside a full table
 // would be taken late and out of turn. The least useful one goes, see usefulness; where all have a call open,
 // the newcomer itself.
-void Front::client_came(const Poco::Net::StreamSocket& socket) {
+void Front::on_client_accepted(const Poco::Net::StreamSocket& socket) {
   ++counters_.connections;
-  while (loop_.finishing() > 0 && clients_.size() + loop_.finishing() >= most_clients_ + most_turned_away)
+  while (loop_.finishing() > 0 && clients_.size() + loop_.finishing() >= max_clients_ + most_turned_away)
     loop_.cut_finishing();
-  if (clients_.size() >= most_clients_) {
+  if (clients_.size() >= max_clients_) {
     ++counters_.shed;
     const TimePoint now = loop_.now();
     Client* least = nullptr;
     for (const auto& [id, client] : clients_) {
-      const bool is_less = client->useless() && (!least || client->usefulness(now) < least->usefulness(now));
+      const bool is_less =
+          client->is_evictable() && (!least || client->usefulness(now) < least->usefulness(now));
       if (is_less && may_close(*client)) least = client.get();
     }
-    if (!least) return turn_away(socket);
-    least->wire().close();  // at once: many may come before the next event
+    if (!least) return reject_connection(socket);
+    least->connection().close();  // at once: many may come before the next event
     drop(*least, ClientCloseReason::table_full);
   }
   const ClientId id{next_client_++};
@@ -108,27 +109,27 @@
 
 // Guards against the close of a connection on which a call has come that was not read yet.
 bool Front::may_close(const Client& client) {
-  return !counters_.rules.forbids_closing({client.owes_answer(), false, client.wire().has_unread()});
+  return !counters_.rules.forbids_closing({client.owes_answer(), false, client.connection().has_unread()});
 }
 
-void Front::turn_away(const Poco::Net::StreamSocket& socket) {
+void Front::reject_connection(const Poco::Net::StreamSocket& socket) {
   counters_.clients_closed.add(ClientCloseReason::no_place);
-  auto wire = std::make_unique<Wire>(loop_, socket, nobody_);
+  auto connection = std::make_unique<Connection>(loop_, socket, ignored_);
   std::string out;
   append_response(out, 503, "", R"({"abort":"TryLater"})", false);
-  wire->send(out);
-  loop_.finish(std::move(wire));
+  connection->send(out);
+  loop_.finish(std::move(connection));
 }
 
 // Guards against calls that are never whole, many at once: the largest goes where all together hold too much.
-void Front::shed_unread() {
+void Front::evict_unparsed_request() {
   std::size_t held = statement_bytes_;
   Client* largest = nullptr;
   for (const auto& [id, client] : clients_) {
     held += client->held();
-    if (client->useless() && (!largest || client->held() > largest->held())) largest = client.get();
+    if (client->is_evictable() && (!largest || client->held() > largest->held())) largest = client.get();
   }
-  if (held <= most_unread_ || !largest || largest->held() == 0) return;
+  if (held <= max_unparsed_bytes_ || !largest || largest->held() == 0) return;
   ++counters_.shed;
   largest->end_with(503, "too much is unread", ClientCloseReason::too_much_unread);
 }
@@ -142,72 +143,73 @@
   if (!has_left && reason != ClientCloseReason::last_answer && reason != ClientCloseReason::idle)
     PEARCHUTE_LOG(spdlog::level::info, "client connection {} is closed: {}", client.id().value,
                   client_close_names[static_cast<std::size_t>(reason)]);
-  if (const auto id = std::exchange(client.may_call, std::nullopt)) left_alone(*id);
-  gone_.push_back(std::move(it->second));
+  if (const auto id = std::exchange(client.may_call, std::nullopt)) disconnect_if_unattended(*id);
+  closed_clients_.push_back(std::move(it->second));
   clients_.erase(it);
-  loop_.soon([this] {
-    for (auto& one : gone_) {
-      if (one->wire().closed()) loop_.retire(one->give_wire());
-      else loop_.finish(one->give_wire());
+  loop_.post([this] {
+    for (auto& one : closed_clients_) {
+      if (one->connection().closed()) loop_.retire(one->release_connection());
+      else loop_.finish(one->release_connection());
     }
-    gone_.clear();
+    closed_clients_.clear();
   });
 }
 
-void Front::client_left(Client& client, ClientCloseReason reason) {
+void Front::on_client_left(Client& client, ClientCloseReason reason) {
   const std::optional<RequestId> id = client.waits_for;
   client.waits_for.reset();
   drop(client, reason);
   if (!id) return;
-  const auto it = jobs_.find(*id);
-  if (it == jobs_.end()) return;
+  const auto it = requests_.find(*id);
+  if (it == requests_.end()) return;
   it->second.caller.reset();
   if (it->second.answered) return;
-  if (it->second.has_path) return left_alone(*id);  // it may call the path again
+  if (it->second.has_path) return disconnect_if_unattended(*id);  // it may call the path again
   log_.withdrawn(it->second.id, client_close_names[static_cast<std::size_t>(reason)],
                  loop_.now() - it->second.taken);
-  settle_account(*id, it->second);
+  finish_request(*id, it->second);
   ++counters_.withdrawn;
   manager_.on_request_cancelled(loop_.now(), *id);
   forget_if_done(*id);
 }
 
 // Guards against dispatches for clients that have gone: what has not left for an engine is taken back.
-void Front::lose_sight(RequestId id) {
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end() || it->second.answered) return;
+void Front::on_client_unreachable(RequestId id) {
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.answered) return;
   manager_.on_client_disconnected(loop_.now(), id);
-  take_back_unsent(id, it->second);
+  retract_unsent_attempts(id, it->second);
 }
 
-void Front::take_back_unsent(RequestId id, OpenJob& job) {
-  for (Sent& sent : job.out) {
-    if (engines_.take_back({id, sent.number}, Outcome::not_sent)) note_taken_back(id, sent);
+void Front::retract_unsent_attempts(RequestId id, OpenRequest& request) {
+  for (SentAttempt& sent : request.out) {
+    if (engines_.retract_unsent({id, sent.index}, Outcome::not_sent)) record_retraction(id, sent);
   }
 }
 
-void Front::note_taken_back(RequestId id, Sent& sent) {
+void Front::record_retraction(RequestId id, SentAttempt& sent) {
   if (!std::exchange(sent.has_left, false)) return;
   counters_.rules.attempt_taken_back(id);
 }
 
-void Front::left_alone(RequestId id) {
-  const auto it = jobs_.find(id);
-  if (it != jobs_.end() && !it->second.caller) lose_sight(id);
+void Front::disconnect_if_unattended(RequestId id) {
+  const auto it = requests_.find(id);
+  if (it != requests_.end() && !it->second.caller) on_client_unreachable(id);
 }
 
 bool Front::idle() const {
-  if (owed_ > 0) return false;
+  if (unanswered_requests_ > 0) return false;
   const TimePoint now = loop_.now();
-  return std::ranges::none_of(jobs_, [&](const auto& one) {
-    const OpenJob& job = one.second;
-    return job.status != 0 && !job.fetched && now - job.answered_at <= long_enough_to_call_again;
+  return std::ranges::none_of(requests_, [&](const auto& one) {
+    const OpenRequest& request = one.second;
+    return request.status != 0 && !request.fetched && now - request.answered_at <= long_enough_to_call_again;
   });
 }
 
 bool Front::all_written() const {
-  return loop_.all_written() &&
-         std::ranges::all_of(clients_, [](const auto& one) { return one.second->wire().waiting() == 0; });
+  return loop_.all_written() && std::ranges::all_of(clients_, [](const auto& one) {
+           return one.second->connection().waiting() == 0;
+         });
 }
 
 void Front::respond(ClientId id, int status, std::string_view headers, std::string_view body) {
@@ -218,51 +220,51 @@
   client.note_answered();
   std::string out;
   // A client that is given a path calls it on the same connection.
-  const bool keep =
-      client.http().keeps_alive() && ((!sending_home_ && !away_) || body.starts_with("{\"link\""));
+  const bool keep = client.http().keeps_alive() &&
+                    ((!closing_idle_connections_ && !draining_) || body.starts_with("{\"link\""));
   append_response(out, status, headers, body, keep);
-  client.wire().send(out);
+  client.connection().send(out);
   if (!keep) return drop(client, ClientCloseReason::last_answer);
   // Later, since a further call may wait there, and the module may be at work on this one.
-  loop_.soon([this, id] {
+  loop_.post([this, id] {
     if (const auto at = clients_.find(id); at != clients_.end()) at->second->answered();
   });
 }
 
-std::optional<RequestId> Front::job_of_path(std::string_view path) const {
+std::optional<RequestId> Front::request_of_path(std::string_view path) const {
   if (!path.starts_with(job_path)) return std::nullopt;
   const auto number = hex_in(path.substr(job_path.size()));
-  if (!number || !jobs_.contains(RequestId{*number})) return std::nullopt;
+  if (!number || !requests_.contains(RequestId{*number})) return std::nullopt;
   return RequestId{*number};
 }
 
 void Front::called(Client& client, const std::string& method, const std::string& path, Message& message) {
   const std::string_view whole(path);
   const auto promised = std::exchange(client.may_call, std::nullopt);
-  if (promised && job_of_path(whole) != promised) left_alone(*promised);
+  if (promised && request_of_path(whole) != promised) disconnect_if_unattended(*promised);
   if (whole == "/check") {
-    const bool up = ready_ && !away_;
+    const bool up = ready_ && !draining_;
     return respond(client.id(), up ? 200 : 503, "", up ? R"({"up":true})" : R"({"up":false})");
   }
   if (whole == "/counters" && method == "GET") return respond(client.id(), 200, "", counters_now());
   if (whole.starts_with(work_path)) {
     if (method == "POST")
-      return take_job(client, percent_decoded(whole.substr(whole.rfind('/') + 1)), message);
+      return accept_request(client, percent_decoded(whole.substr(whole.rfind('/') + 1)), message);
     ++counters_.bad_calls;
     return respond(client.id(), 405, "", error_body("work is posted"));
   }
-  const std::optional<RequestId> id = job_of_path(whole);
+  const std::optional<RequestId> id = request_of_path(whole);
   if (!id || (method != "GET" && method != "DELETE")) {
     ++counters_.bad_calls;
     return respond(client.id(), id ? 405 : 404, "", error_body("nothing is here"));
   }
-  OpenJob& job = jobs_.at(*id);
+  OpenRequest& request = requests_.at(*id);
   if (method == "DELETE") {
-    if (job.caller) respond(*job.caller, 404, "", error_body("withdrawn"));
-    job.caller.reset();
-    const bool open = !job.answered;
-    if (open) log_.withdrawn(job.id, "DELETE", loop_.now() - job.taken);
-    settle_account(*id, job), job.status = 0;
+    if (request.caller) respond(*request.caller, 404, "", error_body("withdrawn"));
+    request.caller.reset();
+    const bool open = !request.answered;
+    if (open) log_.withdrawn(request.id, "DELETE", loop_.now() - request.taken);
+    finish_request(*id, request), request.status = 0;
     respond(client.id(), 200, "", "{}");
     if (open) {
       ++counters_.withdrawn;
@@ -271,20 +273,20 @@
     return forget_if_done(*id);
   }
   ++counters_.fetched_again;
-  if (job.caller) {  // the connection that the client left has not been seen to end yet
-    const auto old = clients_.find(*job.caller);
+  if (request.caller) {  // the connection that the client left has not been seen to end yet
+    const auto old = clients_.find(*request.caller);
     if (old != clients_.end())
       old->second->waits_for.reset(), drop(*old->second, ClientCloseReason::came_again);
   }
-  job.caller = client.id();
-  job.path_given_to.reset();
+  request.caller = client.id();
+  request.path_given_to.reset();
   client.waits_for = *id;
-  if (job.answered) {
-    job.caller.reset();
-    if (job.status == 0) return respond(client.id(), 404, "", error_body("withdrawn"));
-    job.fetched = true;
-    respond(client.id(), job.status, job.headers, job.body);
-    forget_answer_at(loop_.now() + long_enough_to_call_again, *id);
+  if (request.answered) {
+    request.caller.reset();
+    if (request.status == 0) return respond(client.id(), 404, "", error_body("withdrawn"));
+    request.fetched = true;
+    respond(client.id(), request.status, request.headers, request.body);
+    expire_answer_at(loop_.now() + long_enough_to_call_again, *id);
     return;
   }
   manager_.on_client_reconnected(loop_.now(), *id);
@@ -292,27 +294,27 @@
 
 // ---- Jobs ----
 
-void Front::take_job(Client& client, std::string_view kind, Message& message) {
+void Front::accept_request(Client& client, std::string_view kind, Message& message) {
   const TimePoint now = loop_.now();
   const RequestTypeId type = deployment_.type(service::plain_name(std::string(kind)));
-  const std::variant<Request, BadRequest> read = job_in(deployment_, type, message);
+  const std::variant<Request, BadRequest> read = parse_request(deployment_, type, message);
   if (const auto* refusal = std::get_if<BadRequest>(&read))
-    return refuse(client, RefusalReason::unusable, refusal->status, refusal->what);
-  Request job = std::get<Request>(read);
+    return reject(client, RefusalReason::unusable, refusal->status, refusal->what);
+  Request request = std::get<Request>(read);
   // The client's time runs from when its call came, which a busy loop reads late.
-  job.time_left -= now - std::min(now, client.call_came());
-  if (jobs_.contains(job.id))
-    return refuse(client, RefusalReason::id_in_use, 409, "this request is being served");
-  if (counters_.rules.forbids_taking(closing_)) return refuse_for_now(client, RefusalReason::ending);
-  if (away_) return refuse_for_now(client, RefusalReason::draining);
+  request.time_left -= now - std::min(now, client.call_came());
+  if (requests_.contains(request.id))
+    return reject(client, RefusalReason::id_in_use, 409, "this request is being served");
+  if (counters_.rules.forbids_taking(closing_)) return reject_temporarily(client, RefusalReason::ending);
+  if (draining_) return reject_temporarily(client, RefusalReason::draining);
   // A connection's last job may not be forgotten yet when its next one comes: a few over the limit are taken.
-  if (owed_ >= 2 * static_cast<std::size_t>(deployment_.service.max_open_requests))
-    return refuse_for_now(client, RefusalReason::too_many_open);
-  if (statement_bytes_ + message.body.size() > most_unread_)
-    return refuse_for_now(client, RefusalReason::too_much_unread);
-  job.data_set = DataSetId{table_group(message.body).value_or(0)};
-  ++counters_.jobs, ++owed_;
-  OpenJob& open = jobs_[job.id];
+  if (unanswered_requests_ >= 2 * static_cast<std::size_t>(deployment_.service.max_open_requests))
+    return reject_temporarily(client, RefusalReason::too_many_open);
+  if (statement_bytes_ + message.body.size() > max_unparsed_bytes_)
+    return reject_temporarily(client, RefusalReason::too_much_unread);
+  request.data_set = DataSetId{table_group(message.body).value_or(0)};
+  ++counters_.jobs, ++unanswered_requests_;
+  OpenRequest& open = requests_[request.id];
   open.id = message.header("x-request-id");
   open.kind = kind;
   std::ranges::replace(open.kind, ',', '_');  // it goes on in a list that commas set apart
@@ -320,76 +322,77 @@
   open.statement = std::move(message.body);
   statement_bytes_ += open.statement.size();
   open.type = type;
-  open.estimate_ms = job.work_ms;
-  open.taken = now, open.end = now + std::max(job.time_left, Duration(0));
+  open.estimate_ms = request.work_ms;
+  open.taken = now, open.end = now + std::max(request.time_left, Duration(0));
   open.caller = client.id();
-  client.waits_for = job.id;
-  if (job.key && deployment_.service.types[static_cast<std::size_t>(type.value)].ordered_by_key) {
-    open.order_key = job.key;
-    await_earlier_calls(client, job, message.header("x-object"));
+  client.waits_for = request.id;
+  if (request.key && deployment_.service.types[static_cast<std::size_t>(type.value)].ordered_by_key) {
+    open.order_key = request.key;
+    submit_in_order(client, request, message.header("x-object"));
   } else {
-    hand_over(job);
+    submit(request);
   }
   // Guards long jobs against the loss of their connection: with a path, the client can call again.
   constexpr milliseconds long_hold(2000);  // most jobs are over by then, without a call more
-  if (job.time_left > long_hold) loop_.at(now + long_hold, [this, id = job.id] { give_path(id); });
+  if (request.time_left > long_hold)
+    loop_.at(now + long_hold, [this, id = request.id] { send_result_path(id); });
 }
 
 // Guards against calls of a key that are taken in the order in which they are read, where several lie unread
 // or one waits behind an open call: the module hears of them as they came.
-void Front::await_earlier_calls(Client& client, const Request& job, std::string_view key) {
+void Front::submit_in_order(Client& client, const Request& request, std::string_view key) {
   const TimePoint now = loop_.now();
   const auto [earliest, latest] = client.call_came_between();
-  log_.taken(jobs_.at(job.id).id, jobs_.at(job.id).kind, *job.key, job.time_left, now - earliest,
-             now - latest);
-  Request arriving = job;
+  log_.taken(requests_.at(request.id).id, requests_.at(request.id).kind, *request.key, request.time_left,
+             now - earliest, now - latest);
+  Request arriving = request;
   arriving.arrival_order_known = std::ranges::none_of(clients_, [&](const auto& one) {
     return one.second.get() != &client && one.second->may_hold_call_of(key);
   });
-  arriving_.emplace(job.id, arriving);
-  arrivals_.came({job.id, *job.key, earliest, latest, now});
+  awaiting_order_.emplace(request.id, arriving);
+  arrivals_.came({request.id, *request.key, earliest, latest, now});
 }
 
-void Front::hand_over_what_is_settled() {
+void Front::submit_settled() {
   for (const ArrivalOrder::Settled& settled : arrivals_.settle(loop_.now(), loop_.read_up_to())) {
-    const auto at = arriving_.find(settled.id);
-    Request job = at->second;
-    arriving_.erase(at);
-    job.arrival_order_known &= settled.arrival_order_known;
-    hand_over(job);
+    const auto at = awaiting_order_.find(settled.id);
+    Request request = at->second;
+    awaiting_order_.erase(at);
+    request.arrival_order_known &= settled.arrival_order_known;
+    submit(request);
   }
 }
 
 // Its client may have left meanwhile.
-void Front::hand_over(const Request& job) {
-  const auto it = jobs_.find(job.id);
-  if (it == jobs_.end() || it->second.answered) return;
+void Front::submit(const Request& request) {
+  const auto it = requests_.find(request.id);
+  if (it == requests_.end() || it->second.answered) return;
   const TimePoint now = loop_.now();
-  Request taken = job;
+  Request taken = request;
   taken.time_left = it->second.end - now;
-  counters_.rules.taken(now, {job.id, job.type, it->second.order_key});
+  counters_.rules.taken(now, {request.id, request.type, it->second.order_key});
   manager_.on_request(now, taken);
-  log_what_it_waits_for(job.id);
+  log_queue_cause(request.id);
 }
 
-void Front::log_what_it_waits_for(RequestId id) {
+void Front::log_queue_cause(RequestId id) {
   constexpr std::string_view words[] = {"", "for its turn of its key", "for its key's rest", "for the ration",
                                         "for room"};
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end() || !it->second.order_key) return;
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || !it->second.order_key) return;
   const WorkloadManager::QueuedFor what = manager_.queued_for(loop_.now(), id);
   if (what != WorkloadManager::QueuedFor::not_queued)
     log_.waits(it->second.id, words[static_cast<int>(what)]);
 }
 
-void Front::refuse(Client& client, RefusalReason reason, int status, std::string_view what) {
+void Front::reject(Client& client, RefusalReason reason, int status, std::string_view what) {
   ++counters_.bad_calls;
   counters_.refused.add(reason);
   PEARCHUTE_LOG(spdlog::level::warn, "a job is not taken: {}", what);
   respond(client.id(), status, "", error_body(what));
 }
 
-void Front::refuse_for_now(Client& client, RefusalReason reason) {
+void Front::reject_temporarily(Client& client, RefusalReason reason) {
   ++counters_.throttled;
   counters_.refused.add(reason);
   PEARCHUTE_LOG(spdlog::level::info, "a job is refused for now: {}",
@@ -399,66 +402,69 @@
   respond(client.id(), 503, retry_after_header(advice), R"({"abort":"TryLater"})");
 }
 
-void Front::give_path(RequestId id) {
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end() || it->second.answered || it->second.has_path || !it->second.caller) return;
-  OpenJob& job = it->second;
-  job.has_path = true;
-  const ClientId caller = *job.caller;
-  job.caller.reset();
-  respond(caller, 200, "", "{\"link\":\"" + std::string(job_path) + job.id + "\"}");
-  forget_answer_at(job.end + milliseconds(100), id);
+void Front::send_result_path(RequestId id) {
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.answered || it->second.has_path || !it->second.caller) return;
+  OpenRequest& request = it->second;
+  request.has_path = true;
+  const ClientId caller = *request.caller;
+  request.caller.reset();
+  respond(caller, 200, "", "{\"link\":\"" + std::string(job_path) + request.id + "\"}");
+  expire_answer_at(request.end + milliseconds(100), id);
   const auto at = clients_.find(caller);
-  if (at == clients_.end()) return left_alone(id);
+  if (at == clients_.end()) return disconnect_if_unattended(id);
   at->second->may_call = id;
-  job.path_given_to = caller;
+  request.path_given_to = caller;
 }
 
-void Front::forget_answer_at(TimePoint when, RequestId id) {
+void Front::expire_answer_at(TimePoint when, RequestId id) {
   loop_.at(when, [this, id] {
-    const auto at = jobs_.find(id);
-    if (at == jobs_.end() || !at->second.answered) return;
+    const auto at = requests_.find(id);
+    if (at == requests_.end() || !at->second.answered) return;
     at->second.status = 0;
     forget_if_done(id);
   });
 }
 
-void Front::answer(RequestId id, OpenJob& job, int status, std::string headers, std::string body) {
-  if (job.answered) return;
-  counters_.rules.answering({loop_.now(), job.end, job.answered});
-  settle_account(id, job);
-  job.answered_at = loop_.now();
-  log_.answered(job.id, job.order_key.has_value(), status,
-                job.given_up ? rejection_reason_keys[static_cast<std::size_t>(*job.given_up)] : "done",
-                job.answered_at - job.taken);
-  if (const Duration late = loop_.now() - job.end; late > Duration(0)) {
-    PEARCHUTE_LOG(spdlog::level::warn, "job {} is answered {} ms after its end", job.id, late.count() / 1000);
+void Front::answer(RequestId id, OpenRequest& request, int status, std::string headers, std::string body) {
+  if (request.answered) return;
+  counters_.rules.answering({loop_.now(), request.end, request.answered});
+  finish_request(id, request);
+  request.answered_at = loop_.now();
+  log_.answered(
+      request.id, request.order_key.has_value(), status,
+      request.given_up ? rejection_reason_keys[static_cast<std::size_t>(*request.given_up)] : "done",
+      request.answered_at - request.taken);
+  if (const Duration late = loop_.now() - request.end; late > Duration(0)) {
+    PEARCHUTE_LOG(spdlog::level::warn, "job {} is answered {} ms after its end", request.id,
+                  late.count() / 1000);
   }
-  if (job.caller) {
-    job.fetched = true;
-    respond(*job.caller, status, headers, body);
-    if (job.has_path) forget_answer_at(loop_.now() + long_enough_to_call_again, id);
+  if (request.caller) {
+    request.fetched = true;
+    respond(*request.caller, status, headers, body);
+    if (request.has_path) expire_answer_at(loop_.now() + long_enough_to_call_again, id);
   }
-  job.caller.reset();
+  request.caller.reset();
   // Kept a while where the client has a path: should its connection break, it calls that again.
-  if (job.has_path) job.status = status, job.headers = std::move(headers), job.body = std::move(body);
+  if (request.has_path)
+    request.status = status, request.headers = std::move(headers), request.body = std::move(body);
   // The module may still be at work on it.
-  loop_.soon([this, id] { forget_if_done(id); });
+  loop_.post([this, id] { forget_if_done(id); });
 }
 
 void Front::forget_if_done(RequestId id) {
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end()) return;
-  const OpenJob& job = it->second;
-  if (job.answered && job.status == 0 && job.out.empty()) jobs_.erase(it);
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return;
+  const OpenRequest& request = it->second;
+  if (request.answered && request.status == 0 && request.out.empty()) requests_.erase(it);
 }
 
-void Front::send_home() {
-  if (sending_home_) return;
-  sending_home_ = true;
+void Front::close_idle_connections() {
+  if (closing_idle_connections_) return;
+  closing_idle_connections_ = true;
   std::vector<Client*> idle;
   for (const auto& [id, client] : clients_) {
-    if (client->useless() && !client->http().within_call() && may_close(*client))
+    if (client->is_evictable() && !client->http().within_call() && may_close(*client))
       idle.push_back(client.get());
   }
   for (Client* client : idle) drop(*client, ClientCloseReason::manager_ends);
@@ -468,9 +474,9 @@
   if (closing_) return;
   closing_ = true;
   // What still waits for its place in the order has to be answered, too.
-  const auto arriving = std::exchange(arriving_, {});
-  for (const auto& [id, job] : arriving) arrivals_.withdrawn(id);
-  for (const auto& [id, job] : std::map(arriving.begin(), arriving.end())) hand_over(job);
+  const auto arriving = std::exchange(awaiting_order_, {});
+  for (const auto& [id, request] : arriving) arrivals_.withdrawn(id);
+  for (const auto& [id, request] : std::map(arriving.begin(), arriving.end())) submit(request);
   manager_.closing(loop_.now());
 }
 
@@ -482,11 +488,11 @@
     if (const auto status = client->overdue(now)) overdue.emplace_back(client.get(), *status);
   }
   for (const auto& [client, status] : overdue) {
-    const bool reads_nothing = client->wire().waiting() > 0;
+    const bool reads_nothing = client->connection().waiting() > 0;
     if (status > 0)
       client->end_with(status, "the call is not whole in time", ClientCloseReason::call_incomplete);
-    else if (!client->useless())
-      client->wire().close(), client_left(*client, ClientCloseReason::answer_unread);
+    else if (!client->is_evictable())
+      client->connection().close(), on_client_left(*client, ClientCloseReason::answer_unread);
     else if (reads_nothing) drop(*client, ClientCloseReason::answer_unread);
     else if (may_close(*client)) drop(*client, ClientCloseReason::idle);
   }
--- a/src/front/job_request.cpp
+++ b/src/front/job_request.cpp
@@ -45,8 +45,8 @@
   return number;
 }
 
-std::variant<Request, BadRequest> job_in(const service::Deployment& deployment, RequestTypeId type,
-                                         const Message& message) {
+std::variant<Request, BadRequest> parse_request(const service::Deployment& deployment, RequestTypeId type,
+                                                const Message& message) {
   if (type.value < 0) return BadRequest{404, "no such reservation type"};
   const auto id = hex_in(message.header("x-request-id"));
   if (!id) return BadRequest{400, "X-Request-Id is not 16 hex digits"};
@@ -57,11 +57,11 @@
   const auto patience = number_in(message.header("x-timeout-ms"));
   if (!patience || *patience <= 0 || *patience > longest)
     return BadRequest{400, "X-Timeout-Ms is not usable"};
-  Request job;
-  job.id = RequestId{*id};
-  job.type = type;
-  job.tenant = deployment.tenant(service::plain_name(std::string(message.header("x-tenant"))));
-  job.time_left = Duration(static_cast<Duration::rep>(*patience * 1000));
+  Request request;
+  request.id = RequestId{*id};
+  request.type = type;
+  request.tenant = deployment.tenant(service::plain_name(std::string(message.header("x-tenant"))));
+  request.time_left = Duration(static_cast<Duration::rep>(*patience * 1000));
   const auto estimate = [&](const char* name, std::optional<double>& value, double most) {
     const std::string_view text = message.header(name);
     if (text.empty()) return true;
@@ -77,20 +77,20 @@
     largest.cores = std::max(largest.cores, one.cores);
     largest.memory_mb = std::max(largest.memory_mb, one.memory_mb);
   }
-  if (!estimate("x-cost-ms", job.work_ms, largest.cores > 0 ? longest * largest.cores : any))
+  if (!estimate("x-cost-ms", request.work_ms, largest.cores > 0 ? longest * largest.cores : any))
     return BadRequest{400, "X-Cost-Ms is not usable"};
-  if (!estimate("x-est-mb", job.memory_mb, largest.memory_mb > 0 ? 4 * largest.memory_mb : any))
+  if (!estimate("x-est-mb", request.memory_mb, largest.memory_mb > 0 ? 4 * largest.memory_mb : any))
     return BadRequest{400, "X-Est-Mb is not usable"};
   if (const std::string_view key = message.header("x-object"); !key.empty()) {
     const auto number = hex_in(key);
     if (!number) return BadRequest{400, "X-Object is not 16 hex digits"};
-    job.key = OrderKey{*number};
+    request.key = OrderKey{*number};
   }
   const std::string_view token = message.header("idempotency-key");
   if (!token_fits(token) || (traits.idempotency == Idempotency::idempotent_by_key && token.empty()))
     return BadRequest{400, "Idempotency-Key is not usable"};
   if (!is_statement(message.body)) return BadRequest{400, "the body is no statement"};
-  return job;
+  return request;
 }
 
 }  // namespace pearchute::net
--- a/src/front/job_request.h
+++ b/src/front/job_request.h
@@ -23,7 +23,7 @@
 std::optional<std::uint64_t> hex_in(std::string_view text);
 
 // Its data set is not looked up yet: that takes a walk over the statement.
-std::variant<Request, BadRequest> job_in(const service::Deployment& deployment, RequestTypeId type,
-                                         const Message& message);
+std::variant<Request, BadRequest> parse_request(const service::Deployment& deployment, RequestTypeId type,
+                                                const Message& message);
 
 }  // namespace pearchute::net
--- a/src/front/request_log.cpp
+++ b/src/front/request_log.cpp
@@ -34,9 +34,9 @@
         attempt.engine, why);
 }
 
-void RequestLog::called_off(const AttemptName& attempt, CallOffReason reason) {
+void RequestLog::called_off(const AttemptName& attempt, CancelReason reason) {
   write(notable_, "request {} attempt {} at {} is called off: {}", attempt.request, attempt.number,
-        attempt.engine, call_off_names[static_cast<std::size_t>(reason)]);
+        attempt.engine, cancel_reason_names[static_cast<std::size_t>(reason)]);
 }
 
 void RequestLog::crossed(const AttemptName& attempt, std::string_view word) {
--- a/src/front/request_log.h
+++ b/src/front/request_log.h
@@ -14,15 +14,15 @@
 namespace pearchute::net {
 
 // Why an attempt that has left is called off.
-enum class CallOffReason : std::size_t {
+enum class CancelReason : std::size_t {
   client_left,
   time_is_up,
   answered,  // its request has its final answer
   moved,     // the module has something better for the request
   count
 };
-inline constexpr std::array<std::string_view, static_cast<std::size_t>(CallOffReason::count)> call_off_names =
-    {"client_left", "time_is_up", "answered", "moved"};
+inline constexpr std::array<std::string_view, static_cast<std::size_t>(CancelReason::count)>
+    cancel_reason_names = {"client_left", "time_is_up", "answered", "moved"};
 
 // Which attempt of which request, in the words that clients and engines use.
 struct AttemptName {
@@ -40,7 +40,7 @@
   void waits(std::string_view request, std::string_view what);
   void leaves(const AttemptName& attempt, Duration told);
   void held_back(const AttemptName& attempt, std::string_view why);
-  void called_off(const AttemptName& attempt, CallOffReason reason);
+  void called_off(const AttemptName& attempt, CancelReason reason);
   // An engine has said something about an attempt that had been called off by then.
   void crossed(const AttemptName& attempt, std::string_view word);
   void ended(const AttemptName& attempt, Outcome outcome, Duration elapsed);
--- a/src/lab/load/client_connection.cpp
+++ b/src/lab/load/client_connection.cpp
@@ -25,7 +25,7 @@
   was_idle_ = false;
   reader_ = net::MessageReader(net::MessageReader::Side::requests);
   loop_.retire(std::move(wire_));
-  wire_ = std::make_unique<net::Wire>(loop_, manager_, *this);
+  wire_ = std::make_unique<net::Connection>(loop_, manager_, *this);
 }
 
 void ClientConnection::send(ClientStatement statement) {
@@ -39,7 +39,7 @@
   if (opened_) put_out();
 }
 
-void ClientConnection::wire_opened() {
+void ClientConnection::on_opened() {
   opened_ = true;
   if (!busy_) return owner_.connection_idle(*this);
   if (!sent_ && !owner_.worth_sending(statement_)) {
@@ -58,12 +58,12 @@
 
 std::string ClientConnection::link_request() const { return "GET " + link_ + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
 
-void ClientConnection::wire_brought(std::string_view bytes) {
+void ClientConnection::on_data(std::string_view bytes) {
   while (!bytes.empty()) {
     answer_begun_ = busy_;
     const auto status = reader_.feed(bytes);
     if (status == net::MessageReader::Status::more) return;
-    if (status != net::MessageReader::Status::whole) return wire_ended();
+    if (status != net::MessageReader::Status::whole) return on_closed();
     const net::Message message = std::move(reader_.message());
     reader_.next();
     received(message);
@@ -108,7 +108,7 @@
   else owner_.connection_idle(*this);
 }
 
-void ClientConnection::wire_ended() {
+void ClientConnection::on_closed() {
   if (!busy_) return owner_.connection_over(*this);
   if (!opened_ && link_.empty()) {
     busy_ = false;
--- a/src/lab/load/client_connection.h
+++ b/src/lab/load/client_connection.h
@@ -25,7 +25,7 @@
   std::string request;
 };
 
-class ClientConnection final : public net::Wire::User {
+class ClientConnection final : public net::Connection::Listener {
  public:
   class Owner {
    public:
@@ -49,11 +49,11 @@
   bool busy() const { return busy_; }
   bool was_sent() const { return sent_; }  // the statement, over an open connection
   const ClientStatement& statement() const { return statement_; }
-  std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
+  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
 
-  void wire_opened() override;
-  void wire_brought(std::string_view bytes) override;
-  void wire_ended() override;
+  void on_opened() override;
+  void on_data(std::string_view bytes) override;
+  void on_closed() override;
 
   // For its owner: where it stands among the idle ones, while it is idle.
   std::list<ClientConnection*>::iterator idle_position;
@@ -69,7 +69,7 @@
   net::Loop& loop_;
   const Poco::Net::SocketAddress manager_;
   Owner& owner_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   net::MessageReader reader_{net::MessageReader::Side::requests};
   ClientStatement statement_;
   std::string link_;
--- a/src/lab/load/stand_in_engine_pool.cpp
+++ b/src/lab/load/stand_in_engine_pool.cpp
@@ -50,24 +50,24 @@
 }  // namespace
 
 // One connection of a manager, which carries many statements.
-class StandInEnginePool::Connection final : public net::Wire::User {
+class StandInEnginePool::Connection final : public net::Connection::Listener {
  public:
   Connection(Engine& engine, net::Loop& loop, const Poco::Net::StreamSocket& socket) : engine_(engine) {
-    wire_ = std::make_unique<net::Wire>(loop, socket, *this);
+    wire_ = std::make_unique<net::Connection>(loop, socket, *this);
   }
-  std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
+  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
   void send(std::initializer_list<std::string_view> words) {
     std::string out;
     net::append_command(out, words);
     if (wire_) wire_->send(out);
   }
-  void wire_brought(std::string_view bytes) override;
-  void wire_ended() override;
+  void on_data(std::string_view bytes) override;
+  void on_closed() override;
 
  private:
   Engine& engine_;
   net::RespReader reader_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
 };
 
 class StandInEnginePool::Engine {
@@ -205,16 +205,16 @@
   double granted_mb_ = 0;
   std::uint64_t next_run_ = 1;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  net::Door door_;  // last, so that all else is there before a connection comes
+  net::ListeningSocket door_;  // last, so that all else is there before a connection comes
 };
 
-void StandInEnginePool::Connection::wire_brought(std::string_view bytes) {
+void StandInEnginePool::Connection::on_data(std::string_view bytes) {
   const bool sound =
       reader_.feed(bytes, [&](std::vector<std::string>& words) { engine_.received(*this, words); });
   if (!sound) engine_.close(*this);
 }
 
-void StandInEnginePool::Connection::wire_ended() { engine_.close(*this); }
+void StandInEnginePool::Connection::on_closed() { engine_.close(*this); }
 
 StandInEnginePool::StandInEnginePool(const EnginePoolSpec& spec, ExecutionChecker& checker)
     : spec_(spec), checker_(checker) {
--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -32,7 +32,8 @@
 }  // namespace
 
 // A connection that asks its engine for a sign of life each second, and opens anew where it has ended.
-class HollowManager::EngineConnection final : public net::Wire::User, public net::EngineTalk::Listener {
+class HollowManager::EngineConnection final : public net::Connection::Listener,
+                                              public net::EngineSession::Listener {
  public:
   EngineConnection(net::Loop& loop, std::string address) : loop_(loop), address_(std::move(address)) {
     beat();
@@ -41,32 +42,32 @@
   bool open() const { return wire_ && wire_->opened(); }
 
  private:
-  void wire_brought(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     std::string out;
     if (!talk_->feed(bytes, out)) return close();
     wire_->send(out);
   }
-  void wire_ended() override { close(); }
-  void talk_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
-  void talk_progress(net::AttemptId, double) override {}
-  void talk_spill(net::AttemptId, double) override {}
-  void talk_wait(net::AttemptId, WaitCause) override {}
+  void on_closed() override { close(); }
+  void on_attempt_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
+  void on_attempt_progress(net::AttemptId, double) override {}
+  void on_attempt_spill(net::AttemptId, double) override {}
+  void on_attempt_wait(net::AttemptId, WaitCause) override {}
 
   void close() {
     if (wire_) loop_.retire(std::move(wire_));
   }
   void beat() {
     if (!wire_) {
-      talk_ = std::make_unique<net::EngineTalk>(*this);
+      talk_ = std::make_unique<net::EngineSession>(*this);
       try {
-        wire_ = std::make_unique<net::Wire>(loop_, Poco::Net::SocketAddress(address_), *this);
+        wire_ = std::make_unique<net::Connection>(loop_, Poco::Net::SocketAddress(address_), *this);
       } catch (const Poco::Exception&) {
         wire_.reset();
       }
     }
     if (wire_) {
       std::string out;
-      talk_->ask_for_a_sign(out);
+      talk_->probe_liveness(out);
       wire_->send(out);
     }
     loop_.at(loop_.now() + sign_every, [this, alive = std::weak_ptr<bool>(alive_)] {
@@ -76,8 +77,8 @@
 
   net::Loop& loop_;
   const std::string address_;
-  std::unique_ptr<net::EngineTalk> talk_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::EngineSession> talk_;
+  std::unique_ptr<net::Connection> wire_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -108,7 +109,7 @@
   channel_renamed_ = !channel_renamed_;
   std::string channel = spec_.channel;
   if (channel_renamed_) channel.insert(channel.rfind(':') + 1, "0");
-  feed_.move_to(channel);
+  feed_.set_address(channel);
   choose_engines();
 }
 
@@ -156,9 +157,10 @@
   reply.mutable_status()->set_engines_up(engines_.size());
 }
 
-void HollowManager::list_changed(EndpointUpdate news, const std::vector<net::Member>& members) {
+void HollowManager::on_endpoints_changed(EndpointUpdate news,
+                                         const std::vector<net::DiscoveredEndpoint>& members) {
   if (news == EndpointUpdate::snapshot) engines_.clear();
-  for (const net::Member& member : members) {
+  for (const net::DiscoveredEndpoint& member : members) {
     if (member.engine.state == EngineState::up) engines_[member.name] = member.address;
     else engines_.erase(member.name);
   }
--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -15,7 +15,7 @@
 
 namespace pearchute::lab {
 
-class HollowManager final : public admin::Desk, public net::ListFeed::Listener {
+class HollowManager final : public admin::Desk, public net::EndpointWatch::Listener {
  public:
   struct Spec {
     std::string name, admin_path;
@@ -38,7 +38,8 @@
  private:
   class EngineConnection;
   void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override;
-  void list_changed(EndpointUpdate news, const std::vector<net::Member>& members) override;
+  void on_endpoints_changed(EndpointUpdate news,
+                            const std::vector<net::DiscoveredEndpoint>& members) override;
   void identify(admin::v1::Identity& identity) const;
   void configure(const admin::v1::Configure& call, admin::v1::Reply& reply);
   void open_admin_channel();
@@ -50,8 +51,8 @@
   fleet::ConfigMark in_force_;
   bool channel_renamed_ = false;
   net::Counters counters_;
-  net::EngineList list_;
-  net::ListFeed feed_;
+  net::EndpointList list_;
+  net::EndpointWatch feed_;
   std::map<std::string, std::string> engines_;  // their addresses, by name
   std::map<std::string, std::unique_ptr<EngineConnection>> connections_;
   std::unique_ptr<admin::AdminServer> admin_server_;
--- a/src/lab/stand_ins/clients.cpp
+++ b/src/lab/stand_ins/clients.cpp
@@ -18,16 +18,16 @@
 }  // namespace
 
 // One connection to a manager, with one call at a time.
-class StandInClients::Line final : public net::Wire::User {
+class StandInClients::Line final : public net::Connection::Listener {
  public:
   Line(StandInClients& crowd, int manager) : crowd_(crowd), manager_(manager) { connect(); }
   int manager() const { return manager_; }
   bool busy() const { return !job_.empty() || is_reserved_; }
   void reserve(bool reserved) { is_reserved_ = reserved; }
   const std::string& job() const { return job_; }
-  std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
+  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
   bool is_open() const { return opened_; }
-  void wire_opened() override {
+  void on_opened() override {
     opened_ = true;
     if (!job_.empty() && path_.empty()) crowd_.wrote(job_, key_, true);
   }
@@ -58,7 +58,7 @@
     crowd_.drop(*this);
   }
 
-  void wire_brought(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     while (!bytes.empty()) {
       answer_begun_ = true;
       const auto status = reader_.feed(bytes);
@@ -70,7 +70,7 @@
       if (!wire_ || wire_->closed()) return;
     }
   }
-  void wire_ended() override {
+  void on_closed() override {
     if (job_.empty() || deleting_) return crowd_.drop(*this);
     if (!opened_ && path_.empty()) {
       crowd_.record_.unreached(job_);
@@ -93,7 +93,7 @@
  private:
   void connect() {
     opened_ = false;
-    wire_ = std::make_unique<net::Wire>(
+    wire_ = std::make_unique<net::Connection>(
         crowd_.loop_, Poco::Net::SocketAddress(crowd_.managers_[static_cast<std::size_t>(manager_)].address),
         *this);
   }
@@ -130,7 +130,7 @@
 
   StandInClients& crowd_;
   int manager_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   net::MessageReader reader_{net::MessageReader::Side::requests};
   std::string job_, call_, path_;
   std::uint64_t key_ = 0;
@@ -141,7 +141,7 @@
 };
 
 // What a front sees of one manager.
-class StandInClients::Check final : public net::Wire::User {
+class StandInClients::Check final : public net::Connection::Listener {
  public:
   Check(net::Loop& loop, std::string address) : loop_(loop), address_(std::move(address)) { ask(); }
   ~Check() override { loop_.retire(std::move(wire_)); }
@@ -150,7 +150,7 @@
     up_ = false, heard_ = true;
     over();
   }
-  void wire_brought(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     while (!bytes.empty() && reader_.feed(bytes) == net::MessageReader::Status::whole) {
       up_ = reader_.message().first_line.find(" 200") != std::string::npos;
       heard_ = true;
@@ -158,7 +158,7 @@
       reader_.next();
     }
   }
-  void wire_ended() override { over(), up_ = false; }
+  void on_closed() override { over(), up_ = false; }
 
  private:
   void over() {
@@ -169,7 +169,7 @@
     heard_ = false;
     if (!wire_) {
       reader_ = net::MessageReader(net::MessageReader::Side::requests);
-      wire_ = std::make_unique<net::Wire>(loop_, Poco::Net::SocketAddress(address_), *this);
+      wire_ = std::make_unique<net::Connection>(loop_, Poco::Net::SocketAddress(address_), *this);
     }
     wire_->send("GET /check HTTP/1.1\r\nHost: a\r\n\r\n");
     loop_.at(loop_.now() + milliseconds(200), [this, alive = std::weak_ptr<bool>(alive_)] {
@@ -179,7 +179,7 @@
 
   net::Loop& loop_;
   const std::string address_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   net::MessageReader reader_{net::MessageReader::Side::requests};
   bool up_ = false, heard_ = true;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/lab/stand_ins/engine.cpp
+++ b/src/lab/stand_ins/engine.cpp
@@ -28,15 +28,15 @@
 
 }  // namespace
 
-class StandInEngine::Line final : public net::Wire::User {
+class StandInEngine::Line final : public net::Connection::Listener {
  public:
   Line(StandInEngine& engine, const Poco::Net::StreamSocket& socket) : engine_(engine) {
-    wire_ = std::make_unique<net::Wire>(engine.loop_, socket, *this);
+    wire_ = std::make_unique<net::Connection>(engine.loop_, socket, *this);
     wire_->pause(engine.faults_.deaf);
   }
   ~Line() override { *alive_ = false; }
-  net::Wire& wire() { return *wire_; }
-  std::unique_ptr<net::Wire> give_wire() { return *alive_ = false, std::move(wire_); }
+  net::Connection& wire() { return *wire_; }
+  std::unique_ptr<net::Connection> release_connection() { return *alive_ = false, std::move(wire_); }
   void say(std::initializer_list<std::string_view> words, std::size_t cut = 0) {
     std::string out;
     net::append_command(out, words);
@@ -53,8 +53,8 @@
       if (*alive) say_on();
     });
   }
-  void wire_ended() override { engine_.forget(*this); }
-  void wire_brought(std::string_view bytes) override {
+  void on_closed() override { engine_.forget(*this); }
+  void on_data(std::string_view bytes) override {
     engine_.bytes_received_ += bytes.size();
     const bool sound = reader_.feed(bytes, [&](std::vector<std::string>& words) {
       if (mute_) return;
@@ -70,7 +70,7 @@
  private:
   StandInEngine& engine_;
   net::RespReader reader_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   bool mute_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -92,14 +92,15 @@
 
 void StandInEngine::live() {
   if (door_) return;
-  door_ = std::make_unique<net::Door>(loop_, Poco::Net::SocketAddress(address_),
-                                      [this](const Poco::Net::StreamSocket& socket) { came(socket); });
+  door_ =
+      std::make_unique<net::ListeningSocket>(loop_, Poco::Net::SocketAddress(address_),
+                                             [this](const Poco::Net::StreamSocket& socket) { came(socket); });
   address_ = door_->address().toString();
 }
 
 void StandInEngine::die() {
   if (door_) door_->shut();
-  loop_.soon([door = std::shared_ptr<net::Door>(std::move(door_))] {});
+  loop_.post([door = std::shared_ptr<net::ListeningSocket>(std::move(door_))] {});
   while (!lines_.empty()) {
     Line& line = *lines_.begin()->first;
     forget(line);
@@ -155,7 +156,7 @@
   });
   gone_.take(std::move(at->second));
   lines_.erase(at);
-  loop_.soon([this, alive = alive_] {
+  loop_.post([this, alive = alive_] {
     if (*alive) start_next();
   });
 }
--- a/src/lab/stand_ins/engine.h
+++ b/src/lab/stand_ins/engine.h
@@ -99,7 +99,7 @@
   HistoryChecker* record_;
   Faults faults_;
   std::string address_;
-  std::unique_ptr<net::Door> door_;
+  std::unique_ptr<net::ListeningSocket> door_;
   std::map<Line*, std::unique_ptr<Line>> lines_;
   net::DeferredDeletion<Line> gone_;
   std::map<std::uint64_t, Run> running_;
--- a/src/lab/stand_ins/engine_list_channel.cpp
+++ b/src/lab/stand_ins/engine_list_channel.cpp
@@ -4,17 +4,17 @@
 
 namespace pearchute::lab {
 
-class StandInChannel::Line final : public net::Wire::User, public net::HttpServerSide::Listener {
+class StandInChannel::Line final : public net::Connection::Listener, public net::HttpServerSide::Listener {
  public:
   Line(StandInChannel& channel, const Poco::Net::StreamSocket& socket) : channel_(channel) {
-    wire_ = std::make_unique<net::Wire>(channel.loop_, socket, *this);
+    wire_ = std::make_unique<net::Connection>(channel.loop_, socket, *this);
   }
-  std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
-  void wire_brought(std::string_view bytes) override {
+  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
+  void on_data(std::string_view bytes) override {
     channel_.bytes_received_ += bytes.size();
     http_.feed(bytes);
   }
-  void wire_ended() override { channel_.forget(*this); }
+  void on_closed() override { channel_.forget(*this); }
   void called(const std::string&, const std::string&, net::Message& message) override {
     told_ = static_cast<std::size_t>(std::atoll(std::string(message.header("last-event-id")).c_str()));
     channel_.asked_from_ = told_, ++channel_.asked_;
@@ -46,7 +46,7 @@
 
   StandInChannel& channel_;
   net::HttpServerSide http_{*this};
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   std::size_t told_ = 0;
   bool open_ = false, stranded_ = false;
 };
--- a/src/lab/stand_ins/engine_list_channel.h
+++ b/src/lab/stand_ins/engine_list_channel.h
@@ -42,7 +42,7 @@
   void forget(Line& line);
 
   net::Loop& loop_;
-  net::Door door_;
+  net::ListeningSocket door_;
   std::vector<std::string> events_;  // from number 1
   std::map<Line*, std::unique_ptr<Line>> lines_;
   net::DeferredDeletion<Line> gone_;
--- a/src/lab/stand_ins/relay.cpp
+++ b/src/lab/stand_ins/relay.cpp
@@ -18,18 +18,18 @@
 
 }  // namespace
 
-struct Relay::Side final : net::Wire::User {
+struct Relay::Side final : net::Connection::Listener {
   Side(Pair& p, Way w, const Poco::Net::StreamSocket& s) : pair(p), way(w), socket(s) {
-    wire = std::make_unique<net::Wire>(loop(), s, *this);
+    wire = std::make_unique<net::Connection>(loop(), s, *this);
   }
   net::Loop& loop() const;
-  void wire_brought(std::string_view bytes) override;
-  void wire_ended() override;
+  void on_data(std::string_view bytes) override;
+  void on_closed() override;
 
   Pair& pair;
   const Way way;  // of what it brings
   Poco::Net::StreamSocket socket;
-  std::unique_ptr<net::Wire> wire;
+  std::unique_ptr<net::Connection> wire;
 };
 
 struct Relay::Pair {
@@ -111,8 +111,8 @@
 };
 
 net::Loop& Relay::Side::loop() const { return pair.relay.loop_; }
-void Relay::Side::wire_brought(std::string_view bytes) { pair.brought(way, bytes); }
-void Relay::Side::wire_ended() { pair.ended(way); }
+void Relay::Side::on_data(std::string_view bytes) { pair.brought(way, bytes); }
+void Relay::Side::on_closed() { pair.ended(way); }
 
 Relay::Relay(net::Loop& loop, const std::string& listen, Poco::Net::SocketAddress target)
     : loop_(loop),
@@ -152,7 +152,7 @@
   }
   gone_.push_back(std::move(at->second));
   pairs_.erase(at);
-  loop_.soon([this, alive = alive_] {
+  loop_.post([this, alive = alive_] {
     if (*alive) gone_.clear();
   });
 }
--- a/src/lab/stand_ins/relay.h
+++ b/src/lab/stand_ins/relay.h
@@ -52,7 +52,7 @@
   void drop(Pair& pair);
 
   net::Loop& loop_;
-  net::Door door_;
+  net::ListeningSocket door_;
   const Poco::Net::SocketAddress target_;
   std::array<Flow, 2> flows_;
   std::array<std::uint64_t, 2> bytes_{};
--- a/src/net/deferred_deletion.h
+++ b/src/net/deferred_deletion.h
@@ -1,5 +1,5 @@
 // Connections that have ended while something may still be within them: they are let go once the event at
-// hand is over. Each is an object with `give_wire`.
+// hand is over. Each is an object with `release_connection`.
 #pragma once
 
 #include <memory>
@@ -18,9 +18,9 @@
   DeferredDeletion& operator=(const DeferredDeletion&) = delete;
   void take(std::unique_ptr<Line> line) {
     lines_.push_back(std::move(line));
-    loop_.soon([this, alive = alive_] {
+    loop_.post([this, alive = alive_] {
       if (!*alive) return;
-      for (auto& one : lines_) loop_.retire(one->give_wire());
+      for (auto& one : lines_) loop_.retire(one->release_connection());
       lines_.clear();
     });
   }
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-Door::Door(Loop& loop, const Poco::Net::SocketAddress& at,
-           std::function<void(const Poco::Net::StreamSocket&)> came)
-    : loop_(loop), came_(std::move(came)) {
+ListeningSocket::ListeningSocket(Loop& loop, const Poco::Net::SocketAddress& at,
+                                 std::function<void(const Poco::Net::StreamSocket&)> came)
+    : loop_(loop), on_accepted_(std::move(came)) {
   const Opened opened = listen_at(at, backlog);
   if (!opened.is_open()) {
     const std::string wrong = "can't be listened at: " + text_of_error(opened.error);
@@ -38,28 +38,28 @@
   }
 }
 
-Door::~Door() { close(); }
+ListeningSocket::~ListeningSocket() { close(); }
 
 // Guards against what the system took and nobody accepted: closed with the door, it would be reset.
-void Door::shut() {
+void ListeningSocket::shut() {
   if (shut_ || shutting_) return;
   shutting_ = true;
   if (watch_) loop_.unwatch(*watch_);
   watch_.reset();
   constexpr std::chrono::milliseconds at_most(100);
-  take_the_rest(loop_.now() + at_most);
+  accept_remaining(loop_.now() + at_most);
 }
 
-void Door::take_the_rest(TimePoint until) {
+void ListeningSocket::accept_remaining(TimePoint until) {
   if (shut_) return;
   if (take(backlog) == Taken::all || loop_.now() >= until) return close();
   constexpr std::chrono::milliseconds between(2);
   loop_.at(loop_.now() + between, [this, alive = alive_, until] {
-    if (*alive) take_the_rest(until);
+    if (*alive) accept_remaining(until);
   });
 }
 
-void Door::close() {
+void ListeningSocket::close() {
   if (shut_) return;
   shut_ = true;
   *alive_ = false;
@@ -70,7 +70,7 @@
 }
 
 // Guards against spinning on a connection that can't be accepted: those that wait stay in the backlog.
-void Door::rest() {
+void ListeningSocket::pause_accepting() {
   loop_.change_interest(*watch_, {});
   ++loop_.unwatched_;
   loop_.at(loop_.now() + std::chrono::milliseconds(20), [this, &loop = loop_, alive = alive_] {
@@ -79,13 +79,13 @@
   });
 }
 
-Door::Taken Door::take(int most) {
+ListeningSocket::Taken ListeningSocket::take(int most) {
   for (int count = 0; count < most; ++count) {
     const Accepted one = accept_one(descriptor_);
     switch (one.status) {
       case AcceptStatus::accepted:
         loop_.note_accepted();
-        came_(socket_of(one.descriptor));
+        on_accepted_(socket_of(one.descriptor));
         break;
       case AcceptStatus::none_waits:
       case AcceptStatus::broken:
@@ -99,7 +99,7 @@
 
 // Guards against a connection that is taken to have come just now: what is left for the next round, or waits
 // for a descriptor, has been there since the first of them.
-void Door::socket_ready(Readiness) {
+void ListeningSocket::socket_ready(Readiness) {
   const TimePoint found_since = loop_.unread_since_;
   const TimePoint waits_since = std::min(waits_since_.value_or(found_since), found_since);
   loop_.unread_since_ = waits_since;
@@ -110,7 +110,7 @@
   loop_.unread_since_ = found_since;
   waits_since_ = taken == Taken::all ? std::nullopt : std::optional(waits_since);
   if (taken != Taken::all) loop_.note_unread_left();
-  if (taken == Taken::shortage && !shut_) rest();
+  if (taken == Taken::shortage && !shut_) pause_accepting();
 }
 
 }  // namespace pearchute::net
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -40,7 +40,7 @@
   std::size_t out_ = 0;
 };
 
-class Wire;
+class Connection;
 
 // What a socket is watched for, and what it is ready for.
 struct Readiness {
@@ -77,8 +77,8 @@
   TimePoint unread_since() const { return unread_since_; }
   // From a wait that found events which may have lain there for long, or from when none was made for long,
   // until one that finds none, within bounds: what peers have said meanwhile may not have been read yet.
-  bool is_behind() const { return behind_since_ || now() - looked_at_ > stale_after; }
-  void when_caught_up(std::function<void()> what);  // after the event at hand, where it is not behind
+  bool has_input_backlog() const { return backlog_since_ || now() - looked_at_ > stale_after; }
+  void run_when_input_drained(std::function<void()> what);  // after the event at hand, where it is not behind
   // All that had come by then has been read, also from connections that waited to be accepted.
   TimePoint read_up_to() const { return read_up_to_; }
   // Heard after each look for what has come, while `needs` asks for one: the loop does not wait meanwhile.
@@ -87,10 +87,10 @@
   void note_unread_left() { unread_left_ = true; }
   void note_accepted() { accepted_ = true; }
   void at(TimePoint when, std::function<void()> what);
-  void soon(std::function<void()> what);    // after the event at hand, before the next
-  void retire(std::unique_ptr<Wire> wire);  // closes it; destroyed once no event can be within it
-  void finish(
-      std::unique_ptr<Wire> wire);  // the same once it has written what it was given and the peer has heard
+  void post(std::function<void()> what);                // after the event at hand, before the next
+  void retire(std::unique_ptr<Connection> connection);  // closes it; destroyed once no event can be within it
+  void finish(std::unique_ptr<Connection>
+                  connection);  // the same once it has written what it was given and the peer has heard
   std::size_t finishing() const { return finishing_.size(); }
   bool all_written() const;  // by those that finish
   void cut_finishing();      // the one that has been at it for longest
@@ -102,8 +102,8 @@
   std::uint64_t failed_events() const { return failed_events_; }
 
  private:
-  friend class Wire;
-  friend class Door;
+  friend class Connection;
+  friend class ListeningSocket;
   // Half of the tenth of a second within which an attempt may begin after its client has gone.
   static constexpr std::chrono::milliseconds stale_after{50};
   struct LookListener {
@@ -117,10 +117,10 @@
   void run_timers();
   int wait_ms() const;
   template <class What>
-  void guarded(What what);
+  void run_contained(What what);
   struct Watch;
-  std::optional<Failure> tell_interest(WatchId id, Watch& watch);
-  void tell_interest_later(WatchId id, Watch& watch);
+  std::optional<Failure> register_interest(WatchId id, Watch& watch);
+  void register_interest_later(WatchId id, Watch& watch);
 
   // What one descriptor is watched for, and whether the system has been told so.
   struct Watch {
@@ -142,17 +142,17 @@
   std::vector<Timer> timers_;
   std::uint64_t next_order_ = 0;
   TimePoint polled_{}, unread_since_{};
-  std::optional<TimePoint> behind_since_;
-  std::vector<std::function<void()>> when_caught_up_;
-  std::deque<std::function<void()>> soon_;
-  std::vector<std::unique_ptr<Wire>> retired_;
+  std::optional<TimePoint> backlog_since_;
+  std::vector<std::function<void()>> when_input_drained_;
+  std::deque<std::function<void()>> posted_;
+  std::vector<std::unique_ptr<Connection>> retired_;
   // A connection that has all it is to send, until that has gone and the peer has ended, too.
   struct Finishing {
-    std::unique_ptr<Wire> wire;
+    std::unique_ptr<Connection> connection;
     TimePoint since{}, moved_at{};  // when bytes last went
     std::uint64_t written = 0;
   };
-  void close_those_that_stand_still();
+  void close_stalled();
   std::deque<Finishing> finishing_;  // oldest first
   BufferPool buffers_;
   std::size_t descriptors_ = 0;
@@ -168,23 +168,24 @@
 };
 
 // One TCP connection.
-class Wire final : private Watcher {
+class Connection final : private Watcher {
  public:
-  class User {
+  class Listener {
    public:
-    virtual ~User() = default;
-    virtual void wire_opened() {}
-    virtual void wire_free() {}  // nothing waits to be written; what is sent now goes out at once
-    virtual void wire_brought(std::string_view bytes) = 0;
-    virtual void wire_ended() = 0;  // by the peer, by an error, or never opened; the wire is closed by then
+    virtual ~Listener() = default;
+    virtual void on_opened() {}
+    virtual void on_writable() {}  // nothing waits to be written; what is sent now goes out at once
+    virtual void on_data(std::string_view bytes) = 0;
+    virtual void
+    on_closed() = 0;  // by the peer, by an error, or never opened; the connection is closed by then
   };
-  Wire(Loop& loop, const Poco::Net::StreamSocket& accepted, User& user);
-  Wire(Loop& loop, const Poco::Net::SocketAddress& to, User& user);
-  ~Wire() override;
-  Wire(const Wire&) = delete;
-  Wire& operator=(const Wire&) = delete;
+  Connection(Loop& loop, const Poco::Net::StreamSocket& accepted, Listener& listener);
+  Connection(Loop& loop, const Poco::Net::SocketAddress& to, Listener& listener);
+  ~Connection() override;
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
   void send(std::string_view bytes);
-  void offer();  // wire_free comes before this event is over, or as soon as the socket has taken what waits
+  void offer();  // on_writable comes before this event is over, or as soon as the socket has taken what waits
   // Drops so many bytes of the front of what waits, and counts them as written.
   void skip(std::size_t bytes);
   void close();  // at once; the user hears no more
@@ -225,18 +226,18 @@
   void flush();
   void ended();
   void update_interest();
-  void say_the_end();
+  void shut_down_writing();
   void discard();
   int descriptor() const { return socket_.impl()->sockfd(); }
 
   Loop& loop_;
   Poco::Net::StreamSocket socket_;
-  User* user_;
+  Listener* listener_;
   std::deque<std::unique_ptr<BufferPool::Buffer>> out_;
   std::size_t waiting_ = 0;
   std::uint64_t written_ = 0;
   bool opened_ = false, closed_ = false, closing_ = false, writable_wanted_ = false, flush_due_ = false;
-  bool flushing_ = false, has_socket_ = false, paused_ = false, told_end_ = false;
+  bool flushing_ = false, has_socket_ = false, paused_ = false, writing_shut_down_ = false;
   std::optional<WatchId> watch_;
   Readiness interest_;
   std::size_t discarded_ = 0;
@@ -246,12 +247,12 @@
 };
 
 // The listening socket.
-class Door final : private Watcher {
+class ListeningSocket final : private Watcher {
  public:
   // Throws ResourceShortage where it can't be had now, ListeningError where it can't be had.
-  Door(Loop& loop, const Poco::Net::SocketAddress& at,
-       std::function<void(const Poco::Net::StreamSocket&)> came);
-  ~Door() override;
+  ListeningSocket(Loop& loop, const Poco::Net::SocketAddress& at,
+                  std::function<void(const Poco::Net::StreamSocket&)> came);
+  ~ListeningSocket() override;
   // What has come by then is taken, over a tenth of a second at most where the system is short of something.
   void shut();
   bool is_shut() const { return shut_; }
@@ -261,14 +262,14 @@
   enum class Taken { all, some, shortage };
   void socket_ready(Readiness what) override;
   Taken take(int most);
-  void take_the_rest(TimePoint until);
+  void accept_remaining(TimePoint until);
   void close();
-  void rest();
+  void pause_accepting();
 
   Loop& loop_;
   int descriptor_ = -1;
   Poco::Net::SocketAddress address_;
-  std::function<void(const Poco::Net::StreamSocket&)> came_;
+  std::function<void(const Poco::Net::StreamSocket&)> on_accepted_;
   std::optional<WatchId> watch_;
   std::optional<TimePoint>
       waits_since_;  // the oldest connection that may be in the queue, where one is left there
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -59,7 +59,7 @@
 
 // What was put off would reach into what is gone by now.
 Loop::~Loop() {
-  soon_.clear(), timers_.clear(), when_caught_up_.clear();
+  posted_.clear(), timers_.clear(), when_input_drained_.clear();
   retired_.clear(), finishing_.clear();
   ::close(poll_descriptor_);
 }
@@ -68,7 +68,7 @@
   const WatchId id{next_watch_++};
   Watch& watch = watches_[id.value];
   watch.watcher = &watcher, watch.descriptor = descriptor, watch.interest = interest;
-  if (tell_interest(id, watch) != Failure::never) return id;
+  if (register_interest(id, watch) != Failure::never) return id;
   watches_.erase(id.value);
   return std::nullopt;
 }
@@ -77,7 +77,7 @@
   const auto found = watches_.find(id.value);
   if (found == watches_.end()) return;
   found->second.interest = interest;
-  tell_interest(id, found->second);
+  register_interest(id, found->second);
 }
 
 void Loop::unwatch(WatchId id) {
@@ -89,7 +89,7 @@
 }
 
 // Why the system did not take it, if it did not.
-std::optional<Failure> Loop::tell_interest(WatchId id, Watch& watch) {
+std::optional<Failure> Loop::register_interest(WatchId id, Watch& watch) {
   epoll_event event = event_for(watch.interest, id);
   const int operation = watch.is_known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
   if (::epoll_ctl(poll_descriptor_, operation, watch.descriptor, &event) == 0) {
@@ -97,13 +97,13 @@
     return std::nullopt;
   }
   const Failure failure = last_failure();
-  if (failure == Failure::not_now) tell_interest_later(id, watch);
+  if (failure == Failure::not_now) register_interest_later(id, watch);
   return failure;
 }
 
 // Guards against a socket that is never heard again because the system was short of memory for a moment: it
 // is told later what the socket is watched for by then.
-void Loop::tell_interest_later(WatchId id, Watch& watch) {
+void Loop::register_interest_later(WatchId id, Watch& watch) {
   if (std::exchange(watch.is_later, true)) return;
   ++unwatched_;
   constexpr std::chrono::milliseconds later(10);
@@ -112,13 +112,13 @@
     const auto found = watches_.find(id.value);
     if (found == watches_.end()) return;
     found->second.is_later = false;
-    tell_interest(id, found->second);
+    register_interest(id, found->second);
   });
 }
 
 // Guards the other events against an error within one of them, which is logged and counted.
 template <class What>
-void Loop::guarded(What what) {
+void Loop::run_contained(What what) {
   try {
     what();
   } catch (const std::exception& error) {
@@ -157,16 +157,16 @@
 void Loop::note_backlog(int found) {
   constexpr std::chrono::milliseconds at_most(50);
   looked_at_ = now();
-  if (!behind_since_ && found > 0 && looked_at_ - unread_since_ > stale_after) behind_since_ = looked_at_;
-  if (behind_since_ && found != 0 && looked_at_ - *behind_since_ <= at_most) return;
-  behind_since_.reset();
-  for (auto& what : when_caught_up_) soon(std::move(what));
-  when_caught_up_.clear();
+  if (!backlog_since_ && found > 0 && looked_at_ - unread_since_ > stale_after) backlog_since_ = looked_at_;
+  if (backlog_since_ && found != 0 && looked_at_ - *backlog_since_ <= at_most) return;
+  backlog_since_.reset();
+  for (auto& what : when_input_drained_) post(std::move(what));
+  when_input_drained_.clear();
 }
 
-void Loop::when_caught_up(std::function<void()> what) {
-  if (is_behind()) when_caught_up_.push_back(std::move(what));
-  else soon(std::move(what));
+void Loop::run_when_input_drained(std::function<void()> what) {
+  if (has_input_backlog()) when_input_drained_.push_back(std::move(what));
+  else post(std::move(what));
 }
 
 // Sockets before timers: where the process had no turn for a while, what has come meanwhile counts before
@@ -188,7 +188,7 @@
     const Watch watch = found_watch->second;
     const Readiness ready = readiness_in(event, watch.interest);
     if (ready == Readiness{}) continue;
-    guarded([&] { watch.watcher->socket_ready(ready); });
+    run_contained([&] { watch.watcher->socket_ready(ready); });
     settle();
   }
   note_look(begun);
@@ -205,7 +205,7 @@
     last_whole_look_ = begun;
   }
   if (!look_listener_ || !look_listener_->needs()) return;
-  guarded(look_listener_->what);
+  run_contained(look_listener_->what);
   settle();
 }
 
@@ -225,7 +225,7 @@
 int Loop::wait_ms() const {
   // To the next timer, a tenth of a second at most. Rounded up to whole milliseconds, which is what the wait
   // counts in: rounded down, it would spin through the last one.
-  if (is_behind()) return 0;
+  if (has_input_backlog()) return 0;
   Duration wait = std::chrono::milliseconds(100);
   // While something can't be read yet, looking at once would find the same again.
   constexpr Duration between_looks = std::chrono::milliseconds(2);
@@ -235,53 +235,53 @@
   return static_cast<int>(std::chrono::ceil<std::chrono::milliseconds>(wait).count());
 }
 
-void Loop::soon(std::function<void()> what) { soon_.push_back(std::move(what)); }
+void Loop::post(std::function<void()> what) { posted_.push_back(std::move(what)); }
 
-void Loop::retire(std::unique_ptr<Wire> wire) {
-  if (!wire) return;
-  wire->close();
-  retired_.push_back(std::move(wire));
+void Loop::retire(std::unique_ptr<Connection> connection) {
+  if (!connection) return;
+  connection->close();
+  retired_.push_back(std::move(connection));
 }
 
-void Loop::finish(std::unique_ptr<Wire> wire) {
-  if (!wire) return;
-  wire->close_when_written();
-  const std::uint64_t written = wire->written();
-  finishing_.push_back({std::move(wire), now(), now(), written});
+void Loop::finish(std::unique_ptr<Connection> connection) {
+  if (!connection) return;
+  connection->close_when_written();
+  const std::uint64_t written = connection->written();
+  finishing_.push_back({std::move(connection), now(), now(), written});
 }
 
 // Guards against peers that neither read nor end, or read so slowly that it comes to the same. One that reads
 // on gets all that it was sent.
-void Loop::close_those_that_stand_still() {
+void Loop::close_stalled() {
   constexpr std::chrono::seconds stands_still_after(1), at_most(10);
   const TimePoint at = now();
   for (Finishing& one : finishing_) {
-    if (one.wire->written() != one.written) one.written = one.wire->written(), one.moved_at = at;
-    if (at - one.moved_at >= stands_still_after || at - one.since >= at_most) one.wire->close();
+    if (one.connection->written() != one.written) one.written = one.connection->written(), one.moved_at = at;
+    if (at - one.moved_at >= stands_still_after || at - one.since >= at_most) one.connection->close();
   }
-  std::erase_if(finishing_, [](const Finishing& one) { return one.wire->closed(); });
+  std::erase_if(finishing_, [](const Finishing& one) { return one.connection->closed(); });
 }
 
 bool Loop::all_written() const {
-  return std::ranges::all_of(finishing_, [](const Finishing& one) { return one.wire->waiting() == 0; });
+  return std::ranges::all_of(finishing_, [](const Finishing& one) { return one.connection->waiting() == 0; });
 }
 
 void Loop::cut_finishing() {
   if (finishing_.empty()) return;
-  retire(std::move(finishing_.front().wire));
+  retire(std::move(finishing_.front().connection));
   finishing_.pop_front();
 }
 
 void Loop::settle() {
   if (settling_) return;
   settling_ = true;
-  while (!soon_.empty()) {
-    const std::function<void()> what = std::move(soon_.front());
-    soon_.pop_front();
-    guarded(what);  // else nothing that is put off would ever come up again
+  while (!posted_.empty()) {
+    const std::function<void()> what = std::move(posted_.front());
+    posted_.pop_front();
+    run_contained(what);  // else nothing that is put off would ever come up again
   }
   retired_.clear();
-  close_those_that_stand_still();
+  close_stalled();
   settling_ = false;
 }
 
@@ -294,7 +294,7 @@
     std::pop_heap(timers_.begin(), timers_.end());
     const std::function<void()> what = std::move(timers_.back().what);
     timers_.pop_back();
-    guarded(what);
+    run_contained(what);
     settle();
   }
   settle();
--- a/src/net/owner_door.cpp
+++ b/src/net/owner_door.cpp
@@ -35,12 +35,12 @@
 
 }  // namespace
 
-std::unique_ptr<Door> open_owner_door(Loop& loop, const std::string& path,
-                                      std::function<void(const Poco::Net::StreamSocket&)> came) {
+std::unique_ptr<ListeningSocket> open_owner_socket(Loop& loop, const std::string& path,
+                                                   std::function<void(const Poco::Net::StreamSocket&)> came) {
   const Poco::Net::SocketAddress address(Poco::Net::SocketAddress::UNIX_LOCAL, path);
   remove_left_over(path, address);
   const OwnerOnly rights;
-  return std::make_unique<Door>(loop, address, std::move(came));
+  return std::make_unique<ListeningSocket>(loop, address, std::move(came));
 }
 
 }  // namespace pearchute::net
--- a/src/net/owner_door.h
+++ b/src/net/owner_door.h
@@ -12,7 +12,7 @@
 
 // Throws ListeningError where somebody listens there or the path is something else, ResourceShortage where
 // that can't be told now, and as Door does.
-std::unique_ptr<Door> open_owner_door(Loop& loop, const std::string& path,
-                                      std::function<void(const Poco::Net::StreamSocket&)> came);
+std::unique_ptr<ListeningSocket> open_owner_socket(Loop& loop, const std::string& path,
+                                                   std::function<void(const Poco::Net::StreamSocket&)> came);
 
 }  // namespace pearchute::net
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -7,19 +7,20 @@
 
 namespace pearchute::net {
 
-Wire::Wire(Loop& loop, const Poco::Net::StreamSocket& accepted, User& user)
-    : loop_(loop), socket_(accepted), user_(&user), opened_(true) {
+Connection::Connection(Loop& loop, const Poco::Net::StreamSocket& accepted, Listener& listener)
+    : loop_(loop), socket_(accepted), listener_(&listener), opened_(true) {
   ++loop_.descriptors_;
   set_no_delay(descriptor());
   start();
 }
 
-Wire::Wire(Loop& loop, const Poco::Net::SocketAddress& to, User& user) : loop_(loop), user_(&user), to_(to) {
+Connection::Connection(Loop& loop, const Poco::Net::SocketAddress& to, Listener& listener)
+    : loop_(loop), listener_(&listener), to_(to) {
   ++loop_.descriptors_;
   connect();
 }
 
-void Wire::connect() {
+void Connection::connect() {
   ++connects_;
   const Opened opened = begin_connect(*to_);
   error_ = opened.error;
@@ -29,7 +30,7 @@
 }
 
 // Guards against shortages of this machine's that are taken for the peer's absence: a few are sat out.
-void Wire::connect_again() {
+void Connection::connect_again() {
   constexpr int most_connects = 20;
   constexpr std::chrono::milliseconds between(10);
   const bool passes = failure_of(error_) == Failure::not_now && connects_ < most_connects;
@@ -39,26 +40,26 @@
     passes ? connect() : ended();
   };
   if (passes) loop_.at(loop_.now() + between, next);
-  else loop_.soon(next);
+  else loop_.post(next);
 }
 
 // Nothing waits for a socket that can't ever be watched: it is as good as broken.
-void Wire::start() {
+void Connection::start() {
   has_socket_ = true;
   interest_ = {!paused_, !opened_ || writable_wanted_, false};
   watch_ = loop_.watch(descriptor(), interest_, *this);
   if (watch_) return;
-  loop_.soon([this, alive = alive_] {
+  loop_.post([this, alive = alive_] {
     if (*alive) ended();
   });
 }
 
-Wire::~Wire() {
+Connection::~Connection() {
   close();
   *alive_ = false;
 }
 
-void Wire::leave_socket() {
+void Connection::leave_socket() {
   if (!has_socket_) return;
   has_socket_ = false;
   if (watch_) loop_.unwatch(*watch_);
@@ -66,12 +67,12 @@
   socket_.close();
 }
 
-void Wire::close() {
+void Connection::close() {
   if (closed_) return;
   closed_ = true;
-  user_ = nullptr;
+  listener_ = nullptr;
   --loop_.descriptors_;
-  if (has_socket_ && told_end_) discard();
+  if (has_socket_ && writing_shut_down_) discard();
   leave_socket();
   for (auto& buffer : out_) loop_.buffers_.give_back(std::move(buffer));
   out_.clear();
@@ -80,36 +81,38 @@
 
 // Guards against bytes that lie with the system while the peer takes nothing, and would come to it long after
 // they have lost their meaning.
-void Wire::abort() {
+void Connection::abort() {
   if (!closed_ && has_socket_) reset_at_close(descriptor());
   close();
 }
 
-bool Wire::peer_has_ended() const { return closed_ || (has_socket_ && net::peer_has_ended(descriptor())); }
+bool Connection::peer_has_ended() const {
+  return closed_ || (has_socket_ && net::peer_has_ended(descriptor()));
+}
 
-std::size_t Wire::unsent() const {
+std::size_t Connection::unsent() const {
   return waiting_ + (has_socket_ && opened_ ? unsent_bytes(descriptor()) : 0);
 }
 
-bool Wire::reset_as_it_opened() const { return !opened_ && is_reset(error_); }
+bool Connection::reset_as_it_opened() const { return !opened_ && is_reset(error_); }
 
-void Wire::close_when_written() {
-  user_ = nullptr;
+void Connection::close_when_written() {
+  listener_ = nullptr;
   closing_ = true;
   pause(false);
-  if (waiting_ == 0) say_the_end();
+  if (waiting_ == 0) shut_down_writing();
 }
 
 // Guards against a last answer that is lost because its reader is still sending: closed at once, the system
 // would answer what comes with a reset. So the end is said, and what comes is thrown away, within bounds.
-void Wire::say_the_end() {
-  if (closed_ || told_end_) return;
-  told_end_ = true;
+void Connection::shut_down_writing() {
+  if (closed_ || writing_shut_down_) return;
+  writing_shut_down_ = true;
   if (!has_socket_ || !say_end(descriptor())) close();
 }
 
 // Guards against the reset that a close over unread bytes would be: it would take the last answer along.
-void Wire::discard() {
+void Connection::discard() {
   std::array<char, 4096> bytes;
   constexpr int most = 64;  // a flood goes on all the same
   for (int i = 0; i < most; ++i) {
@@ -117,7 +120,7 @@
   }
 }
 
-void Wire::update_interest() {
+void Connection::update_interest() {
   if (closed_ || !watch_) return;
   const Readiness wanted{!paused_, !opened_ || writable_wanted_, false};
   if (wanted == interest_) return;
@@ -125,13 +128,13 @@
   loop_.change_interest(*watch_, wanted);
 }
 
-void Wire::pause(bool paused) {
+void Connection::pause(bool paused) {
   if (closed_ || paused == paused_) return;
   paused_ = paused;
   update_interest();
 }
 
-void Wire::send(std::string_view bytes) {
+void Connection::send(std::string_view bytes) {
   if (closed_ || closing_) return;
   waiting_ += bytes.size();
   while (!bytes.empty()) {
@@ -145,17 +148,17 @@
   offer();
 }
 
-void Wire::offer() {
+void Connection::offer() {
   if (closed_ || closing_ || !opened_ || flush_due_ || flushing_ || writable_wanted_) return;
   flush_due_ = true;  // what one event makes for a peer goes out together
-  loop_.soon([this, alive = alive_] {
+  loop_.post([this, alive = alive_] {
     if (!*alive) return;
     flush_due_ = false;
     flush();
   });
 }
 
-void Wire::skip(std::size_t bytes) {
+void Connection::skip(std::size_t bytes) {
   while (bytes > 0 && !out_.empty()) {
     BufferPool::Buffer& buffer = *out_.front();
     const std::size_t part = std::min(bytes, buffer.end - buffer.begin);
@@ -166,11 +169,11 @@
   }
 }
 
-void Wire::flush() {
+void Connection::flush() {
   while (!closed_) {
-    if (out_.empty() && user_) {
+    if (out_.empty() && listener_) {
       flushing_ = true;
-      user_->wire_free();
+      listener_->on_writable();
       flushing_ = false;
     }
     if (closed_ || out_.empty()) break;
@@ -194,17 +197,17 @@
   if (closed_) return;
   writable_wanted_ = false;
   update_interest();
-  if (closing_) say_the_end();
+  if (closing_) shut_down_writing();
 }
 
-void Wire::ended() {
+void Connection::ended() {
   if (closed_) return;
-  User* user = user_;
+  Listener* listener = listener_;
   close();
-  if (user) user->wire_ended();
+  if (listener) listener->on_closed();
 }
 
-void Wire::check_opened() {
+void Connection::check_opened() {
   error_ = pending_error(descriptor());
   if (error_ != 0) {
     if (failure_of(error_) == Failure::never) return ended();
@@ -215,10 +218,10 @@
   to_.reset();
   set_no_delay(descriptor());
   update_interest();
-  if (user_) user_->wire_opened();
+  if (listener_) listener_->on_opened();
 }
 
-void Wire::socket_ready(Readiness what) {
+void Connection::socket_ready(Readiness what) {
   if (!opened_) check_opened();
   if (!opened_ || closed_) return;
   const bool was_paused = paused_;
@@ -231,13 +234,13 @@
   ended();
 }
 
-void Wire::read() {
+void Connection::read() {
   auto buffer = loop_.buffers_.take();
   // A few rounds at most: others wait for their turn, and what is left is told again.
   constexpr int most_rounds = 4;
   // Of one that is only read to be thrown away nothing can matter any more, however much it still sends.
   const auto note_unread_left = [this] {
-    if (user_) loop_.note_unread_left();
+    if (listener_) loop_.note_unread_left();
   };
   for (int round = 0; round < most_rounds && !closed_ && !paused_; ++round) {
     const Transfer got = receive_some(descriptor(), buffer->bytes.data(), BufferPool::buffer_size);
@@ -253,7 +256,7 @@
     }
     constexpr std::size_t most_discarded = 1 << 20;  // more is a flood that no reader of the answer sends
     if (closing_ && (discarded_ += got.bytes) > most_discarded) close();
-    if (user_) user_->wire_brought({buffer->bytes.data(), got.bytes});
+    if (listener_) listener_->on_data({buffer->bytes.data(), got.bytes});
     if (got.bytes == BufferPool::buffer_size) continue;
     if (!closed_ && !paused_ && net::has_unread(descriptor())) note_unread_left();  // a read that fell short
     break;
--- a/tests/test_characterization_wire.cpp
+++ b/tests/test_characterization_wire.cpp
@@ -35,11 +35,11 @@
 
 // ---- The engine protocol, by its state machine
 
-struct NoListener final : net::EngineTalk::Listener {
-  void talk_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
-  void talk_progress(net::AttemptId, double) override {}
-  void talk_spill(net::AttemptId, double) override {}
-  void talk_wait(net::AttemptId, WaitCause) override {}
+struct NoListener final : net::EngineSession::Listener {
+  void on_attempt_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
+  void on_attempt_progress(net::AttemptId, double) override {}
+  void on_attempt_spill(net::AttemptId, double) override {}
+  void on_attempt_wait(net::AttemptId, WaitCause) override {}
 };
 
 std::string resp(std::initializer_list<std::string_view> words) {
@@ -50,31 +50,31 @@
 
 TEST(EngineProtocol, CommandsAreAsTheyWere) {
   NoListener listener;
-  net::EngineTalk talk(listener);
+  net::EngineSession talk(listener);
   std::string out;
   const net::AttemptId first{RequestId{1}, 0}, second{RequestId{2}, 1};
-  net::Want plain;
+  net::EngineRequest plain;
   plain.id = "000000000000000a", plain.kind = "quick", plain.statement = "SELECT 1", plain.wait_ms = 250;
-  talk.want(first, plain, out);
+  talk.submit(first, plain, out);
   EXPECT_EQ(out,
             "*4\r\n$4\r\nwant\r\n$16\r\n000000000000000a\r\n$26\r\nkind=quick,ms=250,weight=1\r\n"
             "$8\r\nSELECT 1\r\n");
   out.clear();
-  net::Want whole;
+  net::EngineRequest whole;
   whole.id = "000000000000000b", whole.kind = "marked", whole.token = "key-1", whole.statement = "x";
   whole.wait_ms = 9, whole.grant_mb = 64, whole.priority = 3;
-  talk.want(second, whole, out);
+  talk.submit(second, whole, out);
   EXPECT_EQ(out,
             "*4\r\n$4\r\nwant\r\n$16\r\n000000000000000b\r\n$48\r\n"
             "kind=marked,ms=9,token=key-1,workmem=64,weight=3\r\n$1\r\nx\r\n");
   out.clear();
-  talk.hurry(second, 2, out);
+  talk.reprioritize(second, 2, out);
   EXPECT_EQ(out, "*3\r\n$5\r\nhurry\r\n$16\r\n000000000000000b\r\n$1\r\n2\r\n");
   out.clear();
-  talk.ask_for_a_sign(out);
+  talk.probe_liveness(out);
   EXPECT_EQ(out, "*2\r\n$5\r\nthere\r\n$1\r\n0\r\n");
   out.clear();
-  talk.never_mind(first, out);
+  talk.cancel(first, out);
   EXPECT_EQ(out, "*2\r\n$10\r\nnever_mind\r\n$16\r\n000000000000000a\r\n*2\r\n$5\r\nthere\r\n$1\r\n1\r\n");
   out.clear();
   ASSERT_TRUE(talk.feed(resp({"000000000000000b", "HIT", "fetches=2", "a\tb\tc\n"}), out));
--- a/tests/test_daemon.cpp
+++ b/tests/test_daemon.cpp
@@ -19,9 +19,9 @@
 
 // A reader that takes its time gets all of it, whatever the system's buffers hold.
 void slow_reader() {
-  struct Nothing final : Wire::User {
-    void wire_brought(std::string_view) override {}
-    void wire_ended() override { assert(false); }
+  struct Nothing final : Connection::Listener {
+    void on_data(std::string_view) override {}
+    void on_closed() override { assert(false); }
   } nothing;
   int port = 0;
   const int fd = listen_on(port);
@@ -39,7 +39,7 @@
       got += static_cast<std::size_t>(part);
     }
   });
-  auto wire = std::make_unique<Wire>(
+  auto wire = std::make_unique<Connection>(
       loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<std::uint16_t>(port)), nothing);
   wire->send(text);
   const std::function<void()> look = [&] {
@@ -55,14 +55,14 @@
   close(peer), close(fd);  // not before: the loop may see the end sooner than that all is written
 }
 
-struct Ends final : Engines::Listener {
+struct Ends final : EnginePool::Listener {
   std::vector<std::pair<std::uint64_t, Outcome>> ends;
-  void talk_ended(AttemptId key, Outcome outcome, std::vector<std::string>) override {
-    ends.emplace_back(key.job.value, outcome);
+  void on_attempt_ended(AttemptId key, Outcome outcome, std::vector<std::string>) override {
+    ends.emplace_back(key.request.value, outcome);
   }
-  void talk_progress(AttemptId, double) override {}
-  void talk_spill(AttemptId, double) override {}
-  void talk_wait(AttemptId, pearchute::WaitCause) override {}
+  void on_attempt_progress(AttemptId, double) override {}
+  void on_attempt_spill(AttemptId, double) override {}
+  void on_attempt_wait(AttemptId, pearchute::WaitCause) override {}
 };
 
 // Signs of life by their price: where they are free each quiet connection is asked again and again; where a
@@ -77,18 +77,18 @@
   Ends listener;
   Counters counters;
   std::vector<std::unique_ptr<StandInEngine>> engines;
-  std::vector<std::unique_ptr<Engines>> sides;
+  std::vector<std::unique_ptr<EnginePool>> sides;
   stage.on([&] {
     for (const Case& c : cases) {
       engines.push_back(std::make_unique<StandInEngine>(stage.loop(), "p", 8, 8000, 1, nullptr));
-      sides.push_back(
-          std::make_unique<Engines>(stage.loop(),
-                                    pearchute::service::EngineConnectionLimits{
-                                        std::chrono::milliseconds(250), std::chrono::seconds(15), 1, c.price},
-                                    50, listener, counters));
-      sides.back()->place(EngineId{1}, engines.back()->address());
+      sides.push_back(std::make_unique<EnginePool>(
+          stage.loop(),
+          pearchute::service::EngineConnectionLimits{std::chrono::milliseconds(250), std::chrono::seconds(15),
+                                                     1, c.price},
+          50, listener, counters));
+      sides.back()->set_endpoint(EngineId{1}, engines.back()->address());
       for (std::uint64_t n = 0; n < 2; ++n)
-        sides.back()->want(
+        sides.back()->submit(
             EngineId{1}, {RequestId{n}, 0},
             {.id = "p" + std::to_string(n), .kind = "quick", .token = "", .statement = "fault=hang"});
     }
@@ -122,8 +122,8 @@
   Counters counters;
   const pearchute::service::EngineConnectionLimits limits{std::chrono::milliseconds(250),
                                                           std::chrono::seconds(15), 4, 0};
-  std::unique_ptr<Engines> engines;
-  stage.on([&] { engines = std::make_unique<Engines>(stage.loop(), limits, 50, listener, counters); });
+  std::unique_ptr<EnginePool> engines;
+  stage.on([&] { engines = std::make_unique<EnginePool>(stage.loop(), limits, 50, listener, counters); });
   const auto until = [&](const std::function<bool()>& done) {
     for (int i = 0; i < 4000 && !stage.on(done); ++i)
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -134,12 +134,12 @@
     const EngineId id{static_cast<std::uint32_t>(++number)};
     const std::string job = "e" + std::to_string(number), other = "o" + std::to_string(number);
     const auto want = [&](std::uint64_t which, const std::string& name, const char* statement) {
-      engines->want(id, {RequestId{which}, 0},
-                    {.id = name, .kind = "quick", .token = "", .statement = statement});
+      engines->submit(id, {RequestId{which}, 0},
+                      {.id = name, .kind = "quick", .token = "", .statement = statement});
     };
     stage.on([&] {
       listener.ends.clear();
-      engines->place(id, engine.address());
+      engines->set_endpoint(id, engine.address());
       want(number, job, c.statement), want(0, other, "work=1");
     });
     until([&] { return listener.ends.size() == 2; });
@@ -147,9 +147,9 @@
       const bool first = listener.ends[0].first == number;
       assert(listener.ends[!first].second == c.outcome && listener.ends[first].second == Outcome::succeeded);
       assert(engines->connections() == c.connections + 1);  // the other one's is not taken along
-      engines->forget(id);
+      engines->remove_endpoint(id);
     });
-    until([&] { return engines->connections() == 0 && engines->places() == 0; });
+    until([&] { return engines->connections() == 0 && engines->endpoint_count() == 0; });
     stage.on([&] { listener.ends.clear(), want(number, job, "work=1"); });
     until([&] { return listener.ends.size() == 1; });
     stage.on([&] { assert(listener.ends[0].second == Outcome::unreachable); });
@@ -208,13 +208,13 @@
   LateDoor late;
   const pearchute::service::EngineConnectionLimits limits{std::chrono::seconds(6), std::chrono::seconds(15),
                                                           4, 0};
-  std::unique_ptr<Engines> engines;
+  std::unique_ptr<EnginePool> engines;
   stage.on([&] {
-    engines = std::make_unique<Engines>(stage.loop(), limits, 50, listener, counters);
-    engines->place(EngineId{1}, "127.0.0.1:" + std::to_string(late.port));
+    engines = std::make_unique<EnginePool>(stage.loop(), limits, 50, listener, counters);
+    engines->set_endpoint(EngineId{1}, "127.0.0.1:" + std::to_string(late.port));
     const auto want = [&](std::uint64_t job, const char* name, std::optional<pearchute::TimePoint> leave_by) {
-      engines->want(EngineId{1}, {RequestId{job}, 1},
-                    {.id = name, .kind = "load", .token = "t", .statement = "work=1"}, leave_by);
+      engines->submit(EngineId{1}, {RequestId{job}, 1},
+                      {.id = name, .kind = "load", .token = "t", .statement = "work=1"}, leave_by);
     };
     want(1, "repeat", stage.loop().now() + std::chrono::milliseconds(100));
     want(2, "first", std::nullopt);
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -24,14 +24,14 @@
 
 // ---- What has not left
 
-struct Ends final : net::Engines::Listener {
+struct Ends final : net::EnginePool::Listener {
   std::map<std::uint64_t, Outcome> ends;
-  void talk_ended(net::AttemptId key, Outcome outcome, std::vector<std::string>) override {
-    assert(ends.emplace(key.job.value, outcome).second);
+  void on_attempt_ended(net::AttemptId key, Outcome outcome, std::vector<std::string>) override {
+    assert(ends.emplace(key.request.value, outcome).second);
   }
-  void talk_progress(net::AttemptId, double) override {}
-  void talk_spill(net::AttemptId, double) override {}
-  void talk_wait(net::AttemptId, WaitCause) override {}
+  void on_attempt_progress(net::AttemptId, double) override {}
+  void on_attempt_spill(net::AttemptId, double) override {}
+  void on_attempt_wait(net::AttemptId, WaitCause) override {}
 };
 
 // A place where connections are begun and never come up: its backlog is full.
@@ -64,17 +64,17 @@
   net::Counters counters;
   // One connection to an engine, so that all that waits, waits behind one socket.
   const service::EngineConnectionLimits limits{milliseconds(2000), seconds(15), 5000};
-  std::unique_ptr<net::Engines> engines;
+  std::unique_ptr<net::EnginePool> engines;
   std::unique_ptr<StandInEngine> engine;
   const Nowhere nowhere;
   const std::string large(5000, 'x');  // as long as stand-in engines read
   const auto want = [&](EngineId to, std::uint64_t job, const std::string& statement) {
-    engines->want(to, {RequestId{job}, 0},
-                  {.id = "j" + std::to_string(job),
-                   .kind = "quick",
-                   .token = "",
-                   .statement = statement,
-                   .wait_ms = 5000});
+    engines->submit(to, {RequestId{job}, 0},
+                    {.id = "j" + std::to_string(job),
+                     .kind = "quick",
+                     .token = "",
+                     .statement = statement,
+                     .wait_ms = 5000});
   };
   const auto until = [&](const std::function<bool()>& done) {
     for (int i = 0; i < 2000; ++i) {
@@ -86,12 +86,12 @@
   const EngineId here{1}, there{2};
   constexpr std::uint64_t many = 3000;  // 15 MB, over what the system's buffers take
   stage.on([&] {
-    engines = std::make_unique<net::Engines>(stage.loop(), limits, 1, listener, counters);
+    engines = std::make_unique<net::EnginePool>(stage.loop(), limits, 1, listener, counters);
     engine = std::make_unique<StandInEngine>(stage.loop(), "e", 4, 1e9, 1, nullptr);
-    engines->place(here, engine->address());
+    engines->set_endpoint(here, engine->address());
     // In the turn in which it is chosen.
     want(here, 1, "work=1");
-    engines->withhold(here);
+    engines->suspend_sending(here);
     assert(listener.ends.at(1) == Outcome::unreachable);
     want(here, 2, "work=1");
   });
@@ -105,15 +105,15 @@
   // The system's buffers fill up; what they have no room for stays back.
   std::size_t kept = 0;
   assert(until([&] {
-    const std::size_t now = engines->shown(here).kept_back;
+    const std::size_t now = engines->socket_stats(here).unsent_requests;
     const bool still = now > 0 && now == kept;
     kept = now;
     return still;
   }));
   stage.on([&] {
-    kept = engines->shown(here).kept_back;
+    kept = engines->socket_stats(here).unsent_requests;
     listener.ends.clear();
-    engines->withhold(here);
+    engines->suspend_sending(here);
     // And the one that was with the socket, which took nothing of it.
     assert((listener.ends.size() == kept || listener.ends.size() == kept + 1) && kept > 50 &&
            kept < many - 50);
@@ -127,20 +127,21 @@
   std::this_thread::sleep_for(milliseconds(50));
   stage.on([&] {
     assert(engine->begun() == 1 + many - kept);
-    engines->forget(here);
+    engines->remove_endpoint(here);
   });
   assert(until([&] { return engines->connections() == 0; }));
   stage.on([&] {
     // While the connection comes up.
     listener.ends.clear();
-    engines->place(there, nowhere.address);
+    engines->set_endpoint(there, nowhere.address);
     want(there, 900, "work=1");
   });
   std::this_thread::sleep_for(milliseconds(30));
   stage.on([&] {
-    assert(listener.ends.empty() && engines->shown(there).kept_back == 1);
-    engines->withhold(there);
-    assert(listener.ends.at(900) == Outcome::unreachable && engines->shown(there).kept_back == 0);
+    assert(listener.ends.empty() && engines->socket_stats(there).unsent_requests == 1);
+    engines->suspend_sending(there);
+    assert(listener.ends.at(900) == Outcome::unreachable &&
+           engines->socket_stats(there).unsent_requests == 0);
     engines.reset(), engine.reset();
   });
 }
--- a/tests/test_load.cpp
+++ b/tests/test_load.cpp
@@ -332,16 +332,17 @@
  public:
   ErringManager() {
     thread_.on([this] {
-      door_ = std::make_unique<net::Door>(thread_.loop(), Poco::Net::SocketAddress("127.0.0.1:0"),
-                                          [this](const Poco::Net::StreamSocket& socket) {
-                                            clients_.push_back(std::make_unique<Client>(*this, socket));
-                                          });
+      door_ = std::make_unique<net::ListeningSocket>(
+          thread_.loop(), Poco::Net::SocketAddress("127.0.0.1:0"),
+          [this](const Poco::Net::StreamSocket& socket) {
+            clients_.push_back(std::make_unique<Client>(*this, socket));
+          });
     });
   }
   ~ErringManager() {
     thread_.on([this] {
       door_.reset();
-      for (auto& client : clients_) thread_.loop().retire(client->give_wire());
+      for (auto& client : clients_) thread_.loop().retire(client->release_connection());
       thread_.loop().settle();
     });
   }
@@ -350,14 +351,14 @@
   }
 
  private:
-  class Client final : public net::Wire::User, public net::HttpServerSide::Listener {
+  class Client final : public net::Connection::Listener, public net::HttpServerSide::Listener {
    public:
     Client(ErringManager& manager, const Poco::Net::StreamSocket& socket) : manager_(manager) {
-      wire_ = std::make_unique<net::Wire>(manager.thread_.loop(), socket, *this);
+      wire_ = std::make_unique<net::Connection>(manager.thread_.loop(), socket, *this);
     }
-    std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
-    void wire_brought(std::string_view bytes) override { http_.feed(bytes); }
-    void wire_ended() override {}
+    std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
+    void on_data(std::string_view bytes) override { http_.feed(bytes); }
+    void on_closed() override {}
     void refused_call(int) override {}
     void called(const std::string&, const std::string& path, net::Message& message) override {
       const std::string name = path.substr(path.rfind('/') + 1);
@@ -366,7 +367,7 @@
       constexpr const char* later = "{\"abort\":\"TryLater\"}";
       if (name == "close") {
         net::Loop& loop = manager_.thread_.loop();
-        return loop.soon([this] { wire_->close(); });
+        return loop.post([this] { wire_->close(); });
       }
       if (name == "silent") return;
       if (name == "late") {
@@ -388,15 +389,15 @@
       std::string out;
       net::append_response(out, status, headers, body, true);
       wire_->send(out);
-      manager_.thread_.loop().soon([this] { http_.answered(); });
+      manager_.thread_.loop().post([this] { http_.answered(); });
     }
     ErringManager& manager_;
     net::HttpServerSide http_{*this};
-    std::unique_ptr<net::Wire> wire_;
+    std::unique_ptr<net::Connection> wire_;
   };
 
   std::vector<std::unique_ptr<Client>> clients_;
-  std::unique_ptr<net::Door> door_;
+  std::unique_ptr<net::ListeningSocket> door_;
   net::EventLoopThread thread_;
 };
 
--- a/tests/test_stalls.cpp
+++ b/tests/test_stalls.cpp
@@ -92,9 +92,9 @@
 // The last answer on a connection goes to a client that reads it slowly, and without a pause: all of it
 // comes.
 void last_answer_read_slowly() {
-  struct Nobody final : pearchute::net::Wire::User {
-    void wire_brought(std::string_view) override {}
-    void wire_ended() override {}
+  struct Nobody final : pearchute::net::Connection::Listener {
+    void on_data(std::string_view) override {}
+    void on_closed() override {}
   } nobody;
   int port = 0;
   const int door = listen_on(port);
@@ -112,7 +112,7 @@
     close(peer);
   });
   pearchute::net::Loop loop;
-  auto wire = std::make_unique<pearchute::net::Wire>(
+  auto wire = std::make_unique<pearchute::net::Connection>(
       loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<std::uint16_t>(port)), nobody);
   wire->send(text);
   loop.finish(std::move(wire));
@@ -134,10 +134,10 @@
   pearchute::net::Loop loop;
   bool was_behind = false, was_before = false;
   loop.at(loop.now() + milliseconds(20), [&] {
-    was_before = loop.is_behind();
+    was_before = loop.has_input_backlog();
     pass(milliseconds(100));
-    was_behind = loop.is_behind();
-    loop.when_caught_up([&] { loop.stop(); });
+    was_behind = loop.has_input_backlog();
+    loop.run_when_input_drained([&] { loop.stop(); });
   });
   loop.run();
   std::fprintf(stderr, "behind before: %d, after: %d\n", was_before, was_behind);
--- a/tests/test_together.cpp
+++ b/tests/test_together.cpp
@@ -83,16 +83,16 @@
 // The relay itself: what goes in comes out, as late as it is told to, and the end behind it.
 void relay() {
   net::EventLoopThread stage;
-  std::unique_ptr<net::Door> door;
+  std::unique_ptr<net::ListeningSocket> door;
   std::unique_ptr<Relay> between;
   std::vector<Poco::Net::StreamSocket> came;
   std::mutex guard;
   stage.on([&] {
-    door = std::make_unique<net::Door>(stage.loop(), Poco::Net::SocketAddress("127.0.0.1:0"),
-                                       [&](const auto& socket) {
-                                         const std::lock_guard lock(guard);
-                                         came.push_back(socket);
-                                       });
+    door = std::make_unique<net::ListeningSocket>(stage.loop(), Poco::Net::SocketAddress("127.0.0.1:0"),
+                                                  [&](const auto& socket) {
+                                                    const std::lock_guard lock(guard);
+                                                    came.push_back(socket);
+                                                  });
     between = std::make_unique<Relay>(stage.loop(), "127.0.0.1:0", door->address());
   });
   const auto through = [&](Poco::Net::StreamSocket& from, Poco::Net::StreamSocket& to,
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -79,19 +79,21 @@
   assert(nlohmann::json::parse(out).get<std::string>() == "a\"b\\c\n\t\x01\xc3\xa9");
 }
 
-struct TalkNotes final : EngineTalk::Listener {
+struct TalkNotes final : EngineSession::Listener {
   std::string text;
-  void talk_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) override {
-    text += std::to_string(key.job.value) + "." + std::to_string(key.number) + "=" +
+  void on_attempt_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) override {
+    text += std::to_string(key.request.value) + "." + std::to_string(key.index) + "=" +
             std::to_string(static_cast<int>(outcome));
     for (const std::string& page : pages) text += "|" + page;
     text += ";";
   }
-  void talk_progress(AttemptId, double share) override {
+  void on_attempt_progress(AttemptId, double share) override {
     text += "p" + std::to_string(share).substr(0, 4) + ";";
   }
-  void talk_spill(AttemptId, double mb) override { text += "s" + std::to_string(mb).substr(0, 4) + ";"; }
-  void talk_wait(AttemptId, WaitCause wait) override {
+  void on_attempt_spill(AttemptId, double mb) override {
+    text += "s" + std::to_string(mb).substr(0, 4) + ";";
+  }
+  void on_attempt_wait(AttemptId, WaitCause wait) override {
     text += wait == WaitCause::data_load ? "load;" : "memory;";
   }
 };
@@ -149,19 +151,19 @@
   };
   const auto run = [&](const std::vector<std::string_view>& parts) {
     TalkNotes notes;
-    EngineTalk talk(notes);
+    EngineSession talk(notes);
     std::string out;
-    const Want want{.id = id, .kind = "x", .token = "", .statement = "s"};
-    talk.want({RequestId{10}, 0}, want, out);
+    const EngineRequest want{.id = id, .kind = "x", .token = "", .statement = "s"};
+    talk.submit({RequestId{10}, 0}, want, out);
     const std::size_t sent = out.size();
     for (const std::string_view part : parts) {
       if (talk.feed(part, out)) continue;
       notes.text += "broken;";
       break;
     }
-    if (talk.owes_the_rest() && !notes.text.ends_with("broken;")) notes.text += "owes;";
+    if (talk.has_partial_answer() && !notes.text.ends_with("broken;")) notes.text += "owes;";
     assert(talk.knows(id) && !talk.knows("ffff"));  // ended or not, the same id may not come here again
-    talk.broke(sent);
+    talk.on_connection_lost(sent);
     return notes.text;
   };
   for (const auto& [bytes, wanted] : cases) in_every_cut(bytes, run, wanted);
@@ -187,32 +189,33 @@
       {answer({"9", "PONG", "-", ""}), "10.0=6;", true}};
   for (const Case& c : cases) {
     TalkNotes notes;
-    EngineTalk talk(notes);
+    EngineSession talk(notes);
     std::string out;
     const AttemptId key{RequestId{10}, 0};
-    talk.want(key, {.id = id, .kind = "x", .token = "", .statement = "s", .grant_mb = 7, .priority = 2}, out);
+    talk.submit(key, {.id = id, .kind = "x", .token = "", .statement = "s", .grant_mb = 7, .priority = 2},
+                out);
     assert(out.find("kind=x,ms=0,workmem=7,weight=2") != std::string::npos);
-    talk.never_mind(key, out);
+    talk.cancel(key, out);
     assert(notes.text.empty() && talk.knows(id));
     assert(talk.feed(c.bytes, out));
-    if (c.patience_lost) talk.lose_patience(key);
+    if (c.patience_lost) talk.abandon(key);
     assert(notes.text == c.wanted && talk.knows(id) && talk.open() == 0);
-    talk.lose_patience(key), talk.broke(0);
+    talk.abandon(key), talk.on_connection_lost(0);
     assert(notes.text == c.wanted);
   }
   TalkNotes notes;  // what never left can't have run
-  EngineTalk talk(notes);
+  EngineSession talk(notes);
   std::string out;
-  talk.want({RequestId{1}, 0}, {.id = "1", .kind = "x", .token = "", .statement = "s"}, out);
+  talk.submit({RequestId{1}, 0}, {.id = "1", .kind = "x", .token = "", .statement = "s"}, out);
   const std::size_t first = out.size();
-  talk.want({RequestId{2}, 0}, {.id = "2", .kind = "x", .token = "", .statement = "s"}, out);
-  talk.broke(first);
+  talk.submit({RequestId{2}, 0}, {.id = "2", .kind = "x", .token = "", .statement = "s"}, out);
+  talk.on_connection_lost(first);
   assert(notes.text == "1.0=5;2.0=4;");
 }
 
-struct EventNotes final : EventFeed::Listener {
+struct EventNotes final : EventStreamReader::Listener {
   std::string text;
-  void event_came(std::string_view id, std::string_view data) override {
+  void on_event(std::string_view id, std::string_view data) override {
     text += std::string(id) + "=" + std::string(data) + ";";
   }
 };
@@ -228,7 +231,7 @@
   };
   const auto run = [](const std::vector<std::string_view>& parts) {
     EventNotes notes;
-    EventFeed feed(notes);
+    EventStreamReader feed(notes);
     for (const std::string_view part : parts) {
       if (feed.feed(part)) continue;
       notes.text += "broken;";
@@ -242,7 +245,7 @@
 void list_of_engines() {
   service::Deployment deployment;
   deployment.zones = {"east"}, deployment.kinds = {"std"};
-  EngineList list(deployment, std::chrono::milliseconds(1000));
+  EndpointList list(deployment, std::chrono::milliseconds(1000));
   const auto event = [](int cursor, const char* complete, const char* members) {
     return R"({"cursor":)" + std::to_string(cursor) + R"(,"nodes":{"complete":)" + complete +
            R"(,"members":[)" + members + "]}}";
@@ -252,38 +255,39 @@
   const char* left = R"({"id":"s-1","phase":"left"})";
   const auto known =
       list.known(nlohmann::json::parse(R"({"cursor":2,"cmds":[)" + event(1, "true", one) + "]}"));
-  assert(known.news == EndpointUpdate::cached && known.members.size() == 1 && list.cursor() == 2);
-  assert(known.members[0].engine.started_at == TimePoint(Duration(2'000'000)) &&
-         known.members[0].engine.zone.value == 0);
+  assert(known.update == EndpointUpdate::cached && known.endpoints.size() == 1 && list.resume_version() == 2);
+  assert(known.endpoints[0].engine.started_at == TimePoint(Duration(2'000'000)) &&
+         known.endpoints[0].engine.zone.value == 0);
   struct Case {
     const char* id;
     std::string data;
     bool gap_allowed;
-    EngineList::Taken taken;
+    EndpointList::EventResult result;
   };
-  using Taken = EngineList::Taken;
-  const Case cases[] = {{"2", event(2, "false", left), false, Taken::old},
-                        {"4", event(4, "false", left), false, Taken::gap},
-                        {"3", "{", false, Taken::broken},
-                        {"3", R"({"cursor":3})", false, Taken::broken},
-                        {"3", event(3, "false", R"({"id":"s-1","phase":"odd"})"), false, Taken::broken},
-                        {"3", event(3, "false", R"({"id":7,"phase":"left"})"), false, Taken::broken},
-                        {"x", event(3, "false", left), false, Taken::applied},
-                        {"5", event(5, "false", one), true, Taken::applied},
-                        {"9", event(9, "true", one), false, Taken::applied}};
-  for (const Case& c : cases) assert(list.event(c.id, c.data, c.gap_allowed).taken == c.taken);
-  assert(list.cursor() == 9);
+  using EventResult = EndpointList::EventResult;
+  const Case cases[] = {{"2", event(2, "false", left), false, EventResult::old},
+                        {"4", event(4, "false", left), false, EventResult::gap},
+                        {"3", "{", false, EventResult::broken},
+                        {"3", R"({"cursor":3})", false, EventResult::broken},
+                        {"3", event(3, "false", R"({"id":"s-1","phase":"odd"})"), false, EventResult::broken},
+                        {"3", event(3, "false", R"({"id":7,"phase":"left"})"), false, EventResult::broken},
+                        {"x", event(3, "false", left), false, EventResult::applied},
+                        {"5", event(5, "false", one), true, EventResult::applied},
+                        {"9", event(9, "true", one), false, EventResult::applied}};
+  for (const Case& c : cases) assert(list.event(c.id, c.data, c.gap_allowed).result == c.result);
+  assert(list.resume_version() == 9);
   // Engines that are replaced all day leave nothing behind.
   for (int number = 10; number < 1000; number += 2) {
     const std::string name = R"({"id":"t-)" + std::to_string(number);
     const std::string up = name + R"(","host_port":"127.0.0.1:1","phase":"active"})";
-    assert(list.event("", event(number, "false", up.c_str()), false).taken == Taken::applied);
+    assert(list.event("", event(number, "false", up.c_str()), false).result == EventResult::applied);
     assert(list.names() == 2);
-    assert(list.event("", event(number + 1, "false", (name + R"(","phase":"left"})").c_str()), false).taken ==
-           Taken::applied);
+    assert(
+        list.event("", event(number + 1, "false", (name + R"(","phase":"left"})").c_str()), false).result ==
+        EventResult::applied);
   }
   assert(list.names() == 1);
-  assert(list.event("", event(2000, "true", ""), false).taken == Taken::applied && list.names() == 0);
+  assert(list.event("", event(2000, "true", ""), false).result == EventResult::applied && list.names() == 0);
 }
 
 void table_groups() {
@@ -333,12 +337,12 @@
     }
     calls_in({bytes});
     TalkNotes notes;
-    EngineTalk talk(notes);
+    EngineSession talk(notes);
     std::string out;
-    talk.want({RequestId{1}, 0}, {.id = "a", .kind = "x", .token = "", .statement = "s"}, out);
-    talk.feed(bytes, out), talk.broke(0);
+    talk.submit({RequestId{1}, 0}, {.id = "a", .kind = "x", .token = "", .statement = "s"}, out);
+    talk.feed(bytes, out), talk.on_connection_lost(0);
     EventNotes event_notes;
-    EventFeed feed(event_notes);
+    EventStreamReader feed(event_notes);
     feed.feed("HTTP/1.1 200 OK\r\n\r\n" + bytes);
     table_group(bytes);
   }
@@ -348,12 +352,12 @@
 void errors_within_events() {
   Loop loop;
   int came = 0;
-  loop.soon([] { throw pearchute::SystemError("one of what is put off"); });
-  loop.soon([&] { ++came; });
+  loop.post([] { throw pearchute::SystemError("one of what is put off"); });
+  loop.post([&] { ++came; });
   loop.at(pearchute::TimePoint(pearchute::Duration(0)), [] { throw pearchute::SystemError("a timer"); });
   loop.at(pearchute::TimePoint(pearchute::Duration(1)), [&] {
     ++came;
-    loop.soon([&] { ++came, loop.stop(); });
+    loop.post([&] { ++came, loop.stop(); });
   });
   loop.run();
   assert(came == 3 && loop.failed_events() == 2);
