--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -141,7 +141,7 @@
   const bool has_left = reason == ClientCloseReason::client_left || reason == ClientCloseReason::came_again;
   counters_.rules.closing({client.owes_answer(), has_left});
   if (!has_left && reason != ClientCloseReason::last_answer && reason != ClientCloseReason::idle)
-    PEARCHUTE_LOG(spdlog::level::info, "client connection {} is closed: {}", client.id().value,
+    PEARCHUTE_LOG(spdlog::level::info, "client connection {} closed: reason={}", client.id().value,
                   client_close_names[static_cast<std::size_t>(reason)]);
   if (const auto id = std::exchange(client.may_call, std::nullopt)) disconnect_if_unattended(*id);
   closed_clients_.push_back(std::move(it->second));
@@ -376,8 +376,7 @@
 }
 
 void Front::log_queue_cause(RequestId id) {
-  constexpr std::string_view words[] = {"", "for its turn of its key", "for its key's rest", "for the ration",
-                                        "for room"};
+  constexpr std::string_view words[] = {"", "key_order", "key_quiet_period", "retry_budget", "capacity"};
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.order_key) return;
   const WorkloadManager::QueuedFor what = manager_.queued_for(loop_.now(), id);
@@ -388,14 +387,14 @@
 void Front::reject(Client& client, RefusalReason reason, int status, std::string_view what) {
   ++counters_.bad_calls;
   counters_.refused.add(reason);
-  PEARCHUTE_LOG(spdlog::level::warn, "a job is not taken: {}", what);
+  PEARCHUTE_LOG(spdlog::level::warn, "request invalid: reason={}", what);
   respond(client.id(), status, "", error_body(what));
 }
 
 void Front::reject_temporarily(Client& client, RefusalReason reason) {
   ++counters_.throttled;
   counters_.refused.add(reason);
-  PEARCHUTE_LOG(spdlog::level::info, "a job is refused for now: {}",
+  PEARCHUTE_LOG(spdlog::level::info, "request rejected before admission: reason={}",
                 refusal_names[static_cast<std::size_t>(reason)]);
   const Duration advice =
       deployment_.service.sends_retry_after ? deployment_.service.max_retry_after : Duration(0);
@@ -433,10 +432,10 @@
   request.answered_at = loop_.now();
   log_.answered(
       request.id, request.order_key.has_value(), status,
-      request.given_up ? rejection_reason_keys[static_cast<std::size_t>(*request.given_up)] : "done",
+      request.given_up ? rejection_reason_names[static_cast<std::size_t>(*request.given_up)] : "done",
       request.answered_at - request.taken);
   if (const Duration late = loop_.now() - request.end; late > Duration(0)) {
-    PEARCHUTE_LOG(spdlog::level::warn, "job {} is answered {} ms after its end", request.id,
+    PEARCHUTE_LOG(spdlog::level::warn, "request {} answered {} ms after its deadline", request.id,
                   late.count() / 1000);
   }
   if (request.caller) {
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -69,12 +69,13 @@
       {loop_.now(), type.idempotency, type.deduplication_window, request.dispatches, service.max_attempts,
        static_cast<int>(request.out.size()), service.allows_hedging, request.first_uncertain_attempt_at});
   if (rule)
-    PEARCHUTE_LOG(spdlog::level::err, "job {}: attempt {} would break the rule {}; held back", request.id,
+    PEARCHUTE_LOG(spdlog::level::err, "request {} attempt {} suppressed: rule={}", request.id,
                   request.dispatches, rule_names[static_cast<std::size_t>(*rule)]);
   if (rule || request.dispatches == 0) return rule.has_value();
   const Outcome before = request.out.empty() ? request.last_end : Outcome::succeeded;
   counters_.retried.add(before);
-  PEARCHUTE_LOG(spdlog::level::info, "job {:016x}: attempt {} after {}", id.value, request.dispatches,
+  PEARCHUTE_LOG(spdlog::level::info, "request {:016x} attempt {} after outcome={}", id.value,
+                request.dispatches,
                 request.out.empty() ? outcome_keys[static_cast<std::size_t>(before)] : "none, as a copy");
   return false;
 }
@@ -151,8 +152,8 @@
   if (it == requests_.end() || it->second.answered) return;
   counters_.given_up.add(reason);
   it->second.given_up = reason;
-  PEARCHUTE_LOG(spdlog::level::info, "job {} is given up after {} attempts: {}", it->second.id,
-                it->second.dispatches, rejection_reason_keys[static_cast<std::size_t>(reason)]);
+  PEARCHUTE_LOG(spdlog::level::info, "request {} rejected after {} attempts: reason={}", it->second.id,
+                it->second.dispatches, rejection_reason_names[static_cast<std::size_t>(reason)]);
 }
 
 void Front::throttle(RequestId id, Duration span) {
@@ -257,7 +258,7 @@
       ++counters_.done;
       answer(key.request, request, 200, "", std::move(*body));
     } else {
-      PEARCHUTE_LOG(spdlog::level::warn, "a result of job {} is not whole rows", request.id);
+      PEARCHUTE_LOG(spdlog::level::warn, "request {}: result has incomplete rows", request.id);
       outcome = Outcome::engine_error;
     }
   }
--- a/tests/test_shortages.cpp
+++ b/tests/test_shortages.cpp
@@ -247,7 +247,7 @@
   std::ifstream file(log);
   int leaves = 0;
   for (std::string line; std::getline(file, line);)
-    leaves += line.find(" leaves for a,") != std::string::npos;
+    leaves += line.find(" sent: endpoint=a ") != std::string::npos;
   std::fprintf(stderr, "%d of %d lines were written\n", leaves, jobs);
   unlink(log.c_str());
   assert(leaves == jobs && fixture.faults.struck(FaultKind::wait_interrupted) > 0);
