--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -23,20 +23,20 @@
 
 }  // namespace
 
-class AdminServer::Connection final : public net::Wire::User {
+class AdminServer::Connection final : public net::Connection::Listener {
  public:
   Connection(AdminServer& server, const Poco::Net::StreamSocket& socket)
       : server_(server),
         session_(server.handler_),
         last_call_at_(server.loop_.now()),
         last_progress_at_(last_call_at_) {
-    wire_ = std::make_unique<net::Wire>(server.loop_, socket, *this);
+    wire_ = std::make_unique<net::Connection>(server.loop_, socket, *this);
   }
-  net::Wire& wire() { return *wire_; }
-  std::unique_ptr<net::Wire> give_wire() { return std::move(wire_); }
+  net::Connection& wire() { return *wire_; }
+  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
   const Session& session() const { return session_; }
 
-  void wire_brought(std::string_view bytes) override {
+  void on_data(std::string_view bytes) override {
     const bool had_partial_call = session_.has_partial_call();
     if (!session_.feed(bytes)) {
       PEARCHUTE_LOG(spdlog::level::warn, "admin channel: bytes that are no calls; connection closed");
@@ -46,7 +46,7 @@
     answer_pending();
   }
 
-  void wire_ended() override { server_.close(*this); }
+  void on_closed() override { server_.close(*this); }
 
   void answer_pending() {
     if (!wire_) return;
@@ -77,7 +77,7 @@
  private:
   AdminServer& server_;
   Session session_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   TimePoint last_call_at_;  // when a call began, or ended
   TimePoint last_progress_at_;
   std::uint64_t last_written_ = 0;
@@ -87,8 +87,9 @@
     : loop_(loop), config_(config), handler_(handler), closed_(loop) {
   const auto accept = [this](const Poco::Net::StreamSocket& socket) { on_accepted(socket); };
   const Endpoint& endpoint = config_.listen;
-  if (endpoint.path.empty()) listener_ = std::make_unique<net::Door>(loop, endpoint.address, accept);
-  else listener_ = net::open_owner_door(loop, endpoint.path, accept);
+  if (endpoint.path.empty())
+    listener_ = std::make_unique<net::ListeningSocket>(loop, endpoint.address, accept);
+  else listener_ = net::open_owner_socket(loop, endpoint.path, accept);
   spdlog::info("admin channel at {}", endpoint.text);
   sweep();
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -41,7 +41,7 @@
   CallHandler& handler_;
   std::vector<std::unique_ptr<Connection>> connections_;
   net::DeferredDeletion<Connection> closed_;
-  std::unique_ptr<net::Door> listener_;
+  std::unique_ptr<net::ListeningSocket> listener_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/admin/caller.cpp
+++ b/src/admin/caller.cpp
@@ -32,7 +32,7 @@
   if (wire_) loop_.retire(std::move(wire_));
   reader_ = {};
   opened_ = false;
-  wire_ = std::make_unique<net::Wire>(loop_, endpoint_.address, *this);
+  wire_ = std::make_unique<net::Connection>(loop_, endpoint_.address, *this);
 }
 
 void Caller::send(v1::Call& call, Duration timeout, PendingCall pending) {
@@ -56,7 +56,7 @@
   finish(number, opened_ ? CallEnd::silent : CallEnd::unreachable, {});
 }
 
-void Caller::wire_brought(std::string_view bytes) {
+void Caller::on_data(std::string_view bytes) {
   const bool valid = reader_.feed(bytes, [this](std::string_view message) { return on_message(message); });
   if (valid || !wire_) return;
   wire_->close();
@@ -80,7 +80,7 @@
   return true;
 }
 
-void Caller::wire_ended() { finish_all(opened_ ? CallEnd::broken : CallEnd::unreachable); }
+void Caller::on_closed() { finish_all(opened_ ? CallEnd::broken : CallEnd::unreachable); }
 
 void Caller::finish_all(CallEnd end) {
   while (!pending_.empty()) finish(pending_.begin()->first, end, {});
--- a/src/admin/caller.h
+++ b/src/admin/caller.h
@@ -28,7 +28,7 @@
 std::string_view name_of(CallEnd end);
 
 // One connection, opened with the first call, and anew after it has ended.
-class Caller final : public net::Wire::User {
+class Caller final : public net::Connection::Listener {
  public:
   // Where the end is not `answered`, the reply is empty.
   using OnReply = std::function<void(CallEnd end, const v1::Reply& reply)>;
@@ -54,15 +54,15 @@
   void send(v1::Call& call, Duration timeout, PendingCall pending);
   void on_timeout(std::uint64_t number);
   bool on_message(std::string_view message);
-  void wire_opened() override { opened_ = true; }
-  void wire_brought(std::string_view bytes) override;
-  void wire_ended() override;
+  void on_opened() override { opened_ = true; }
+  void on_data(std::string_view bytes) override;
+  void on_closed() override;
   void finish_all(CallEnd end);
   void finish(std::uint64_t number, CallEnd end, const v1::Reply& reply);
 
   net::Loop& loop_;
   const Endpoint endpoint_;
-  std::unique_ptr<net::Wire> wire_;
+  std::unique_ptr<net::Connection> wire_;
   FrameReader reader_;
   std::map<std::uint64_t, PendingCall> pending_;  // by the call's number
   std::uint64_t next_number_ = 1;
--- a/src/ctl/batch_executor.cpp
+++ b/src/ctl/batch_executor.cpp
@@ -67,7 +67,7 @@
                             results_[index].end = end;
                             results_[index].reply = reply;
                             // The connection can't go within its own event.
-                            loop().soon([this, index] { finish(index); });
+                            loop().post([this, index] { finish(index); });
                           });
   }
 
