--- a/src/core/arrival_order.h
+++ b/src/core/arrival_order.h
@@ -1,7 +1,8 @@
-// The order in which calls of a key came, where it differs from the order in which they are read: a call is
-// taken once its last byte is with this machine, and several may lie unread together. A call waits here until
-// all that came before it has been read; then calls of a key go on in the order of their arrival. Where that
-// can't be told they go on marked so. No I/O, no clock.
+// The order in which requests of a key arrived, where it differs from the order in which they are read: a
+// request has arrived once its last byte is in the socket's receive buffer, and several connections may hold
+// unread ones. A request waits here until all that arrived before it has been read; then the requests of a
+// key go on in the order of their arrival. Where that order can't be determined they go on marked so. No I/O,
+// no clock.
 #pragma once
 
 #include <chrono>
@@ -11,14 +12,17 @@
 
 namespace pearchute {
 
+// Holds requests of ordered keys back until their order of arrival is settled.
 class ArrivalOrder {
  public:
+  // A request that has been read, and the bounds of when it arrived.
   struct Call {
     RequestId id;
     OrderKey key;
     TimePoint earliest{}, latest{};  // its last byte came between these
     TimePoint read{};                // when it was read
   };
+  // A request that goes on, and whether it is certain that no other of its key came before it.
   struct Settled {
     RequestId id;
     bool arrival_order_known = true;
--- a/src/core/data_affinity.h
+++ b/src/core/data_affinity.h
@@ -13,6 +13,7 @@
 
 namespace pearchute {
 
+// Chooses the preferred engines of data sets; keeps how often each data set is requested.
 class DataAffinity {
  public:
   explicit DataAffinity(ZoneId own_zone) : own_zone_(own_zone) {}
@@ -20,6 +21,7 @@
   void on_request(DataSetId data_set);
   void decay();
 
+  // The preferred engines of one data set, at one moment.
   class PreferredEngines {
    public:
     bool contains(EngineId engine) const;
--- a/src/core/deadline_policy.h
+++ b/src/core/deadline_policy.h
@@ -9,6 +9,7 @@
 
 namespace pearchute {
 
+// Stateless: deadlines follow from the settings, the request, and learned work and latency.
 class DeadlinePolicy {
  public:
   // All must outlive it.
--- a/src/core/decision_sink.h
+++ b/src/core/decision_sink.h
@@ -9,6 +9,7 @@
 
 namespace pearchute {
 
+// Carries out what the decisions decide.
 class DecisionSink {
  public:
   virtual ~DecisionSink() = default;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -14,6 +14,7 @@
 
 namespace pearchute {
 
+// All that is known of an engine.
 struct Engine {
   EngineEndpoint endpoint;
   MachineKind machine;
--- a/src/core/engine_ledger.h
+++ b/src/core/engine_ledger.h
@@ -10,6 +10,7 @@
 
 namespace pearchute {
 
+// Reservations at one engine, in MB and threads.
 class EngineLedger {
  public:
   // Slots (threads) that are this manager's even share of the engine; set once, when it is first listed.
@@ -54,6 +55,7 @@
   void grow_starvation_reservation(double mb, double floor_mb);
 
  private:
+  // A reservation of an attempt that may still execute.
   struct Abandoned {
     TimePoint until{};
     double grant_mb = 0;
--- a/src/core/grant_policy.h
+++ b/src/core/grant_policy.h
@@ -17,6 +17,7 @@
 
 namespace pearchute {
 
+// Works out capacities, slots and grants; stateless but for the settings.
 class GrantPolicy {
  public:
   // All must outlive it.
--- a/src/core/key_order_records.h
+++ b/src/core/key_order_records.h
@@ -14,8 +14,10 @@
 
 namespace pearchute {
 
+// Open requests by key, as seen at the sockets.
 class KeyOrderRecords {
  public:
+  // Why an attempt may not leave.
   enum class Violation {
     out_of_order,  // an earlier request of the key is open
     quiet_period,  // the key is quiet
@@ -40,6 +42,7 @@
   std::size_t keys() const { return queues_.size(); }
 
  private:
+  // An open request.
   struct Entry {
     RequestId id;
     int attempts = 0;
@@ -47,10 +50,12 @@
     bool is_cancelled = false;
     bool is_finished = false;
   };
+  // The open requests of one key.
   struct Queue {
     std::deque<Entry> entries;  // in order of arrival
     TimePoint quiet_until{};
   };
+  // Where a request is recorded.
   struct Found {
     Queue* queue = nullptr;
     Entry* entry = nullptr;  // null where the request is not recorded
--- a/src/core/key_queues.h
+++ b/src/core/key_queues.h
@@ -10,6 +10,7 @@
 
 namespace pearchute {
 
+// The open requests of each ordered key.
 class KeyQueues {
  public:
   // `quiet_period`: after an attempt with an uncertain outcome.
@@ -23,6 +24,7 @@
   void forget_idle(TimePoint now);
 
  private:
+  // One key.
   struct Queue {
     std::deque<RequestId> requests;  // open, in order of arrival
     TimePoint quiet_until{};
--- a/src/core/latency_model.h
+++ b/src/core/latency_model.h
@@ -30,6 +30,7 @@
   double cross_zone = 1;
 };
 
+// Learns latencies; owns those of the fleet, and changes EngineLatency of each engine.
 class LatencyModel {
  public:
   // `shortest_timeout` of any type bounds how fast the fleet's concurrency falls under overload.
@@ -59,9 +60,11 @@
   double p95_ratio(RequestTypeId type) const { return quantiles_[static_cast<std::size_t>(type.value)].p95; }
 
  private:
+  static constexpr double initial_p95 = 3;
+  // Of the time taken over the ideal time, by type.
   struct Quantiles {
     double p10 = 1;
-    double p95 = 3;  // slow until answers come well
+    double p95 = initial_p95;  // slow until answers come well
   };
   bool is_overloaded() const;
   void learn_locality(const Engine& engine, const AttemptRecord& attempt, double sample, double weight);
--- a/src/core/load_shedder.h
+++ b/src/core/load_shedder.h
@@ -11,6 +11,7 @@
 
 namespace pearchute {
 
+// Keeps rates, mean costs and the threshold above which requests are shed.
 class LoadShedder {
  public:
   // `service` is read here only; `work` must outlive it.
--- a/src/core/outlier_detector.h
+++ b/src/core/outlier_detector.h
@@ -34,6 +34,7 @@
   bool was_full_recently(TimePoint now) const;
 };
 
+// Decides ejections; changes EngineHealth, which holds the state of each engine.
 class OutlierDetector {
  public:
   void reset(TimePoint now, EngineHealth& health) const;
--- a/src/core/placement_scorer.h
+++ b/src/core/placement_scorer.h
@@ -21,12 +21,14 @@
 
 namespace pearchute {
 
+// Where a request is sent, and with which grant.
 struct Placement {
   Engine* engine = nullptr;
   double grant_mb = 0;
   bool at_preferred_engine = false;  // by data affinity
 };
 
+// Scores engines for a request; stateless but for the settings.
 class PlacementScorer {
  public:
   // What placement asks. All must outlive it. `random` decides between preferences where they compete.
@@ -59,6 +61,7 @@
     bool heeds_zones = true;      // at pooled engines
     double largest_typical_work_ms = 0;
   };
+  // Compared member by member, in this order.
   struct Score {
     double spare_mb = 0;
     int attempts = 0;
--- a/src/core/probe_scheduler.h
+++ b/src/core/probe_scheduler.h
@@ -9,6 +9,7 @@
 
 namespace pearchute {
 
+// Keeps which engine is next, and how many probes are due.
 class ProbeScheduler {
  public:
   explicit ProbeScheduler(const ServiceDefinition& service);
--- a/src/core/request_queue.h
+++ b/src/core/request_queue.h
@@ -17,6 +17,7 @@
 
 namespace pearchute {
 
+// Queued requests by arrival.
 class RequestQueue {
  public:
   // Who decides on single requests, and sends them. Sending takes a request from the queue.
--- a/src/core/request_state.h
+++ b/src/core/request_state.h
@@ -27,6 +27,7 @@
       0;  // what it added to its engine's error rate; negative where the request was at fault
 };
 
+// One open request. Deadlines and estimates are set when it arrives.
 struct RequestState {
   Request request;
   std::uint64_t arrival_sequence = 0;
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -12,6 +12,7 @@
 
 namespace pearchute {
 
+// Owns the state of each open request.
 class RequestTable {
  public:
   // Sequence numbers begin here; smaller ones are free for other wake-up tokens.
--- a/src/core/retry_budget_records.h
+++ b/src/core/retry_budget_records.h
@@ -10,6 +10,7 @@
 
 namespace pearchute {
 
+// Requests and retries of the last window.
 class RetryBudgetRecords {
  public:
   RetryBudgetRecords() = default;
--- a/src/core/retry_policy.h
+++ b/src/core/retry_policy.h
@@ -15,6 +15,7 @@
 
 namespace pearchute {
 
+// Decides on further attempts; keeps the retry budget and the rescue tokens.
 class RetryPolicy {
  public:
   // `service` must outlive it.
--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -17,21 +17,21 @@
 
 }  // namespace
 
-void RuleGuard::serve(const ServiceDefinition& service) {
+void RuleGuard::configure(const ServiceDefinition& service) {
   types_ = service.types;
-  most_attempts_ = service.max_attempts;
-  second_copies_ = service.allows_hedging;
+  max_attempts_ = service.max_attempts;
+  allows_hedging_ = service.allows_hedging;
   order_ = KeyOrderRecords(service.key_quiet_period);
   slow_start_ = SlowStartRecords(service);
   retries_ = RetryBudgetRecords(service);
 }
 
-void RuleGuard::on_endpoint_update(TimePoint now, EndpointUpdate news,
+void RuleGuard::on_endpoint_update(TimePoint now, EndpointUpdate kind,
                                    const std::vector<EngineEndpoint>& engines) {
-  slow_start_.on_endpoint_update(now, news, engines);
+  slow_start_.on_endpoint_update(now, kind, engines);
 }
 
-void RuleGuard::taken(TimePoint now, const TakenRequest& request) {
+void RuleGuard::on_request(TimePoint now, const ArrivedRequest& request) {
   Record record;
   record.type = request.type;
   records_.emplace(request.id, record);
@@ -39,59 +39,61 @@
   if (request.order_key) order_.on_request(request.id, *request.order_key);
 }
 
-void RuleGuard::attempt_left(TimePoint now, const AttemptFacts& attempt) {
+void RuleGuard::on_attempt_left(TimePoint now, const AttemptFacts& attempt) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
   if (record.attempts > 0) retries_.on_retry_left(now);
-  record.attempts += 1, record.out += 1;
-  record.last_left = now;
+  record.attempts += 1;
+  record.outstanding += 1;
+  record.last_sent_at = now;
   order_.on_attempt_left(attempt.request);
   slow_start_.on_attempt_left(now, attempt.engine, attempt.work_ms);
 }
 
-void RuleGuard::attempt_taken_back(RequestId request) {
+void RuleGuard::on_attempt_retracted(RequestId request) {
   const auto at = records_.find(request);
   if (at == records_.end()) return;
-  at->second.attempts -= 1, at->second.out -= 1;
+  at->second.attempts -= 1;
+  at->second.outstanding -= 1;
   order_.on_attempt_retracted(request);
-  drop_if_done(request);
+  erase_if_done(request);
 }
 
-void RuleGuard::attempt_called_off(TimePoint now, RequestId request) {
+void RuleGuard::on_attempt_cancelled(TimePoint now, RequestId request) {
   order_.on_attempt_cancelled(now, request);
 }
 
-void RuleGuard::attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome) {
+void RuleGuard::on_attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome) {
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
-  record.out -= 1;
+  record.outstanding -= 1;
   if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !record.first_uncertain_attempt_at) {
-    record.first_uncertain_attempt_at = record.last_left;
+    record.first_uncertain_attempt_at = record.last_sent_at;
     if (const EngineEndpoint* endpoint = slow_start_.endpoint(attempt.engine)) {
       record.uncertain_zone = endpoint->zone;
       record.uncertain_cell = endpoint->cell;
     }
   }
   order_.on_attempt_ended(now, attempt.request, outcome);
-  drop_if_done(attempt.request);
+  erase_if_done(attempt.request);
 }
 
-void RuleGuard::over(RequestId request) {
+void RuleGuard::on_finished(RequestId request) {
   const auto at = records_.find(request);
   if (at == records_.end()) return;
-  at->second.over = true;
+  at->second.is_finished = true;
   order_.on_finished(request);
-  drop_if_done(request);
+  erase_if_done(request);
 }
 
-void RuleGuard::drop_if_done(RequestId request) {
+void RuleGuard::erase_if_done(RequestId request) {
   const auto at = records_.find(request);
-  if (at->second.over && at->second.out <= 0) records_.erase(at);
+  if (at->second.is_finished && at->second.outstanding <= 0) records_.erase(at);
 }
 
-void RuleGuard::forget_old(TimePoint now) { order_.forget_idle(now); }
+void RuleGuard::forget_idle(TimePoint now) { order_.forget_idle(now); }
 
 std::optional<Rule> RuleGuard::broken_by_place(const RequestType& type, const Record& record,
                                                const EngineEndpoint& engine) const {
@@ -109,8 +111,8 @@
   const Record& record = at->second;
   const RequestType& type = types_.at(static_cast<std::size_t>(record.type.value));
   const auto repeat =
-      broken_by(RepeatFacts{now, type.idempotency, type.deduplication_window, record.attempts, most_attempts_,
-                            record.out, second_copies_, record.first_uncertain_attempt_at});
+      broken_by(RepeatFacts{now, type.idempotency, type.deduplication_window, record.attempts, max_attempts_,
+                            record.outstanding, allows_hedging_, record.first_uncertain_attempt_at});
   if (repeat) return repeat;
   if (const EngineEndpoint* endpoint = slow_start_.endpoint(attempt.engine)) {
     if (const auto rule = broken_by_place(type, record, *endpoint)) return rule;
@@ -123,12 +125,12 @@
   return std::nullopt;
 }
 
-std::optional<Rule> RuleGuard::hold_back(Rule rule) {
+std::optional<Rule> RuleGuard::suppress(Rule rule) {
   ++held_back_[static_cast<std::size_t>(rule)];
   return rule;
 }
 
-void RuleGuard::note_broken(Rule rule) { ++broken_[static_cast<std::size_t>(rule)]; }
+void RuleGuard::count_violation(Rule rule) { ++broken_[static_cast<std::size_t>(rule)]; }
 
 std::optional<Rule> RuleGuard::broken_by(const SendingFacts& facts) const {
   if (facts.answered) return Rule::one_answer;
@@ -143,20 +145,20 @@
 std::optional<Rule> RuleGuard::forbids_sending(const SendingFacts& facts) {
   ++checked_;
   const std::optional<Rule> rule = broken_by(facts);
-  return rule ? hold_back(*rule) : rule;
+  return rule ? suppress(*rule) : rule;
 }
 
 std::optional<Rule> RuleGuard::forbids_sending(const SendingFacts& facts, const AttemptFacts& attempt) {
   ++checked_;
   std::optional<Rule> rule = broken_by(facts);
   if (!rule) rule = broken_by_attempt(facts.now, attempt);
-  return rule ? hold_back(*rule) : rule;
+  return rule ? suppress(*rule) : rule;
 }
 
 std::optional<Rule> RuleGuard::broken_by(const RepeatFacts& facts) const {
-  if (facts.attempts >= facts.most_attempts) return Rule::attempts_are_few;
+  if (facts.attempts >= facts.max_attempts) return Rule::attempts_are_few;
   const bool may_be_copied = facts.idempotency == Idempotency::idempotent && facts.allows_hedging;
-  if (facts.out > 0 && !may_be_copied) return Rule::one_attempt_out;
+  if (facts.outstanding > 0 && !may_be_copied) return Rule::one_attempt_out;
   if (!facts.first_uncertain_attempt_at || facts.idempotency == Idempotency::idempotent) return std::nullopt;
   if (facts.idempotency == Idempotency::non_idempotent) return Rule::runs_once;
   if (facts.now >= *facts.first_uncertain_attempt_at + facts.deduplication_window) return Rule::runs_once;
@@ -167,32 +169,32 @@
   ++checked_;
   const std::optional<Rule> rule = broken_by(facts);
   if (!rule) return rule;
-  note_broken(*rule);
-  return hold_back(*rule);
+  count_violation(*rule);
+  return suppress(*rule);
 }
 
 std::optional<Rule> RuleGuard::forbids_taking(bool answers_all) {
   ++checked_;
-  if (answers_all) return hold_back(Rule::not_while_ending);
+  if (answers_all) return suppress(Rule::not_while_ending);
   return std::nullopt;
 }
 
 std::optional<Rule> RuleGuard::forbids_closing(const ClosingFacts& facts) {
   ++checked_;
   if (facts.client_has_left) return std::nullopt;
-  if (facts.request_is_open || facts.has_unread_bytes) return hold_back(Rule::no_silent_close);
+  if (facts.request_is_open || facts.has_unread_bytes) return suppress(Rule::no_silent_close);
   return std::nullopt;
 }
 
-void RuleGuard::closing(const ClosingFacts& facts) {
+void RuleGuard::on_closing(const ClosingFacts& facts) {
   ++checked_;
-  if (facts.request_is_open && !facts.client_has_left) note_broken(Rule::no_silent_close);
+  if (facts.request_is_open && !facts.client_has_left) count_violation(Rule::no_silent_close);
 }
 
-void RuleGuard::answering(const AnsweringFacts& facts) {
+void RuleGuard::on_answering(const AnsweringFacts& facts) {
   ++checked_;
-  if (facts.answered) note_broken(Rule::one_answer);
-  if (facts.now > facts.end + latest_answer) note_broken(Rule::answer_in_time);
+  if (facts.answered) count_violation(Rule::one_answer);
+  if (facts.now > facts.end + latest_answer) count_violation(Rule::answer_in_time);
 }
 
 std::uint64_t RuleGuard::broken_in_all() const {
--- a/src/core/rule_guard.h
+++ b/src/core/rule_guard.h
@@ -1,9 +1,10 @@
-// The rules of the service as they bind at four moments: before a request's bytes go to an engine, before it
-// is repeated, before a client's connection is closed, and before a request is taken on. Whoever acts asks
-// here first and is told which rule forbids it, if one does. What was held back is counted, and so is what
-// was found broken after the fact; a run is sound while the latter stays at zero. It keeps records of its own
-// of what happened at the sockets, so that the module that decides is not the judge of its own work. It
-// decides nothing else: no I/O, no clock.
+// The rules of the service, checked at four moments: before a request's bytes go to an engine, before it is
+// retried, before a client's connection is closed, and before a request is admitted.
+//
+// Whoever acts asks here first and is told which rule forbids it, if one does. What was suppressed is
+// counted, and so is what was found violated after the fact; a run is sound while the latter stays at zero.
+// The guard keeps records of its own of what happened at the sockets, so that the decisions are not the judge
+// of their own work. It decides nothing else: no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -20,23 +21,24 @@
 
 namespace pearchute {
 
+// The enumerators are named like their keys in counters and log lines.
 enum class Rule : std::size_t {
-  one_answer,         // a request has one final answer, and nothing leaves after it
-  answer_in_time,     // no later than half a second after its time
+  one_answer,         // a request has one final answer, and no attempt leaves after it
+  answer_in_time,     // the final answer goes out within half a second of the deadline
   no_silent_close,    // a request that was read is answered before its connection closes
-  client_is_there,    // nothing begins for a client that has gone
-  engine_takes_work,  // nothing begins at an engine that drains or has gone
-  time_is_left,       // nothing begins after the client's time
-  runs_once,          // what may have run and must not run twice is not repeated
-  one_attempt_out,    // nor has it two attempts out
-  attempts_are_few,   // no more than the settings allow
-  not_while_ending,   // nothing is taken on once the manager answers all that it has
-  order_by_key,       // nothing begins while an earlier request of its key is not over
-  key_rests,          // nor before its key has rested after an attempt whose end is not sure
-  cold_budget,        // no more work goes to an engine that has just started than this manager's part
-  placement,          // nothing goes where its class may not run
-  repeat_group,       // what may have run is repeated only where its repeat is known
-  attempt_budget,     // further attempts stay within the stated few and share
+  client_is_there,    // no attempt begins for a client that has disconnected
+  engine_takes_work,  // none begins at an engine that drains or is removed
+  time_is_left,       // none begins after the deadline
+  runs_once,          // a request that is not idempotent and may have executed is not retried
+  one_attempt_out,    // nor has it two attempts outstanding
+  attempts_are_few,   // at most max_attempts
+  not_while_ending,   // none is admitted once a shutdown answers all open requests
+  order_by_key,       // no attempt begins while an earlier request of its key is open
+  key_rests,          // nor within the key's quiet period after an uncertain outcome
+  cold_budget,        // an engine that is warming up gets no more work than this manager's share (slow start)
+  placement,          // only where its request type is allowed
+  repeat_group,       // a retry by key only within the deduplication scope
+  attempt_budget,     // retries stay within the retry budget
   time_told,          // an engine is told no more time than the client has left
   count
 };
@@ -58,7 +60,7 @@
 };
 
 // A request as it is taken.
-struct TakenRequest {
+struct ArrivedRequest {
   RequestId id;
   RequestTypeId type;
   std::optional<OrderKey> order_key;  // in a class that keeps order
@@ -78,8 +80,8 @@
   Idempotency idempotency = Idempotency::idempotent;
   Duration deduplication_window{};
   int attempts = 0;  // so far
-  int most_attempts = 1;
-  int out = 0;
+  int max_attempts = 1;
+  int outstanding = 0;
   bool allows_hedging = false;                          // allowed by the settings
   std::optional<TimePoint> first_uncertain_attempt_at;  // when the first attempt that may have run was sent
 };
@@ -98,33 +100,34 @@
   bool answered = false;
 };
 
+// Checks the rules, and counts what it suppresses and what it finds violated.
 class RuleGuard {
  public:
   // The figures that the rules go by; without them the rules on order, budgets and placement ask for nothing.
-  void serve(const ServiceDefinition& service);
+  void configure(const ServiceDefinition& service);
 
   // What happens at the sockets, as it happens.
-  void on_endpoint_update(TimePoint now, EndpointUpdate news, const std::vector<EngineEndpoint>& engines);
-  void taken(TimePoint now, const TakenRequest& request);
-  void attempt_left(TimePoint now, const AttemptFacts& attempt);
-  void attempt_taken_back(RequestId request);                 // no byte of it has left this machine after all
-  void attempt_called_off(TimePoint now, RequestId request);  // of one that has left
-  void attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome);
-  void over(RequestId request);  // it has its final answer, or its client has gone
-  void forget_old(TimePoint now);
-  Duration rest_left(TimePoint now, OrderKey key) const { return order_.quiet_left(now, key); }
-
-  // The rule that forbids it; it is counted as held back.
+  void on_endpoint_update(TimePoint now, EndpointUpdate kind, const std::vector<EngineEndpoint>& engines);
+  void on_request(TimePoint now, const ArrivedRequest& request);
+  void on_attempt_left(TimePoint now, const AttemptFacts& attempt);
+  void on_attempt_retracted(RequestId request);  // no byte of it has left this machine after all
+  void on_attempt_cancelled(TimePoint now, RequestId request);  // of one that has left
+  void on_attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome);
+  void on_finished(RequestId request);  // it has its final answer, or its client has gone
+  void forget_idle(TimePoint now);
+  Duration quiet_left(TimePoint now, OrderKey key) const { return order_.quiet_left(now, key); }
+
+  // The rule that forbids it; it is counted as suppressed.
   std::optional<Rule> forbids_sending(const SendingFacts& facts);
   std::optional<Rule> forbids_sending(const SendingFacts& facts, const AttemptFacts& attempt);
-  // The same; whoever decided on it has broken the rule, so it is counted as broken, too.
+  // The same; whoever decided on it has violated the rule, so it is counted as a violation, too.
   std::optional<Rule> forbids_repeating(const RepeatFacts& facts);
   std::optional<Rule> forbids_taking(bool answers_all);
   // Of closes that can wait; those of a client that keeps to no bound can't.
   std::optional<Rule> forbids_closing(const ClosingFacts& facts);
-  // What can't be held back is counted as broken.
-  void closing(const ClosingFacts& facts);
-  void answering(const AnsweringFacts& facts);
+  // What can't be suppressed is counted as a violation.
+  void on_closing(const ClosingFacts& facts);
+  void on_answering(const AnsweringFacts& facts);
 
   std::uint64_t checked() const { return checked_; }
   std::uint64_t held_back(Rule rule) const { return held_back_[static_cast<std::size_t>(rule)]; }
@@ -132,28 +135,29 @@
   std::uint64_t broken_in_all() const;
 
  private:
-  // What is known of a request that has not been answered, or has an attempt out.
+  // A request that has not been answered, or has an attempt outstanding.
   struct Record {
     RequestTypeId type;
-    int attempts = 0, out = 0;
+    int attempts = 0;
+    int outstanding = 0;
     std::optional<TimePoint> first_uncertain_attempt_at;  // when the first attempt that may have run left
-    TimePoint last_left{};
+    TimePoint last_sent_at{};
     ZoneId uncertain_zone{-1};
     CellId uncertain_cell{};
-    bool over = false;
+    bool is_finished = false;
   };
   std::optional<Rule> broken_by(const SendingFacts& facts) const;
   std::optional<Rule> broken_by(const RepeatFacts& facts) const;
   std::optional<Rule> broken_by_attempt(TimePoint now, const AttemptFacts& attempt) const;
   std::optional<Rule> broken_by_place(const RequestType& type, const Record& record,
                                       const EngineEndpoint& engine) const;
-  std::optional<Rule> hold_back(Rule rule);
-  void note_broken(Rule rule);
-  void drop_if_done(RequestId request);
+  std::optional<Rule> suppress(Rule rule);
+  void count_violation(Rule rule);
+  void erase_if_done(RequestId request);
 
   std::vector<RequestType> types_;
-  int most_attempts_ = 1;
-  bool second_copies_ = false;
+  int max_attempts_ = 1;
+  bool allows_hedging_ = false;
   std::unordered_map<RequestId, Record> records_;
   KeyOrderRecords order_;
   SlowStartRecords slow_start_;
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -145,8 +145,9 @@
   }
   std::vector<std::optional<TimePoint>> uncertain_until;
   for (const EngineEndpoint& endpoint : endpoints) {
-    std::optional<TimePoint>& until = uncertain_until.emplace_back();
+    std::optional<TimePoint> until;
     if (endpoint.started_at) until = now + service_.slow_start_duration - (*latest - *endpoint.started_at);
+    uncertain_until.push_back(until);
   }
   return uncertain_until;
 }
--- a/src/core/slow_start.h
+++ b/src/core/slow_start.h
@@ -22,6 +22,7 @@
   TimePoint listed_at{};  // when it was first listed, or listed with a new start
   TimePoint
       start_uncertain_until{};  // its start may be later than it seems; it counts as warming up till then
+  // Work that was sent, within the windows that count.
   struct AdmittedWork {
     TimePoint sent_at{};
     double work_ms = 0;
@@ -37,6 +38,7 @@
 // Work in ms that all managers together may send in a window to an engine that has just started.
 double slow_start_limit_ms(const ServiceDefinition& service, int cores);
 
+// Decides what a warming engine may be sent; changes EngineSlowStart, which holds the state of each engine.
 class SlowStart {
  public:
   // `service` must outlive it.
@@ -49,6 +51,7 @@
   // Its work relative to full capacity, 0 .. 1; 1 once it is warm.
   double capacity_share(TimePoint now, const Engine& engine) const;
 
+  // What a request counts.
   struct Work {
     double typical_ms = 0;  // of the request's type
     double warm_up_ms = 0;  // what the request itself counts
--- a/src/core/slow_start_records.h
+++ b/src/core/slow_start_records.h
@@ -12,6 +12,7 @@
 
 namespace pearchute {
 
+// Work that left for each engine within the window.
 class SlowStartRecords {
  public:
   SlowStartRecords() = default;
@@ -26,10 +27,12 @@
   const EngineEndpoint* endpoint(EngineId engine) const;
 
  private:
+  // Work of one attempt.
   struct SentWork {
     TimePoint at{};
     double work_ms = 0;
   };
+  // One listed engine.
   struct Record {
     EngineEndpoint endpoint;
     TimePoint listed_at{};  // when the list first told of this start
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -115,6 +115,7 @@
 // Which engines drop a repeat of a request that is idempotent by key.
 enum class DeduplicationScope { fleet, zone, cell };
 
+// What the endpoint list says of an engine.
 enum class EngineState { up, draining, removed };
 
 // What an update of the endpoint list holds.
@@ -149,10 +150,12 @@
   std::optional<std::vector<MachineKindId>> kinds = std::nullopt;
 };
 
+// A customer whose requests share a quota.
 struct Tenant {
   double quota_per_second = 0;  // requests within its share, over all managers
 };
 
+// What machines of one kind have.
 struct MachineKind {
   int cores = 1;
   double memory_mb = 0;
--- a/src/core/work_model.h
+++ b/src/core/work_model.h
@@ -14,6 +14,7 @@
 
 inline constexpr int highest_priority = 3;
 
+// Owns the learned figures of each request type.
 class WorkModel {
  public:
   explicit WorkModel(const std::vector<RequestType>& types);
@@ -62,6 +63,7 @@
   double sample_weight(const RequestState& state) const;
 
  private:
+  // One request type.
   struct Figures {
     RequestType type;
     RunningMean work_ms;    // of the estimates, or of what answers report
--- a/src/core/workload_manager.cpp
+++ b/src/core/workload_manager.cpp
@@ -20,6 +20,7 @@
 constexpr double least_jitter = 0.75;
 constexpr double jitter_range = 0.5;
 constexpr std::size_t random_bits = 32;
+constexpr int upper_half_bits = 32;  // of a seed
 // Bounds a scan of the queue, which is made when an attempt ends and at each tick.
 constexpr std::size_t longest_queue = 600;
 // Near the most open requests a tenth of the table is kept free for those that arrive.
@@ -43,7 +44,7 @@
 
 WorkloadManager::WorkloadManager(const ServiceDefinition& service, std::uint64_t seed, DecisionSink& sink)
     : sink_(sink),
-      random_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
+      random_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> upper_half_bits))),
       service_(normalized(service)),
       work_(service_.types),
       latency_(work_, service_.zone, shortest_timeout(service_.types)),
--- a/src/core/workload_manager.h
+++ b/src/core/workload_manager.h
@@ -93,6 +93,7 @@
   double largest_typical_work_ms() const { return work_.largest_typical_work_ms(); }
 
  private:
+  // Tokens of wake-ups that are not for a request; a request's is its arrival sequence.
   enum WakeupToken : std::uint64_t { tick_token = 1, subscribe_token = 2, key_token = 3 };
 
   // RequestQueue::Dispatcher
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -52,7 +52,7 @@
       engines_(loop, deployment.links, descriptors > 40 ? descriptors - descriptors / 2 - 20 : 1, *this,
                counters),
       manager_(deployment_.service, seed, *this) {
-  counters_.rules.serve(deployment_.service);
+  counters_.rules.configure(deployment_.service);
   loop.after_each_look([this] { return !arrivals_.empty(); }, [this] { submit_settled(); });
   sweep();
 }
@@ -62,7 +62,7 @@
 void Front::finish_request(RequestId id, OpenRequest& request) {
   if (!request.answered) unanswered_requests_ -= 1;
   request.answered = true;
-  counters_.rules.over(id);
+  counters_.rules.on_finished(id);
   // Guards against a dispatch that leaves after the final answer, once its connection is up: where nothing
   // can be called off the module leaves alone what is out, and only the sockets know that this never went
   // out.
@@ -139,7 +139,7 @@
   if (it == clients_.end()) return;
   counters_.clients_closed.add(reason);
   const bool has_left = reason == ClientCloseReason::client_left || reason == ClientCloseReason::came_again;
-  counters_.rules.closing({client.owes_answer(), has_left});
+  counters_.rules.on_closing({client.owes_answer(), has_left});
   if (!has_left && reason != ClientCloseReason::last_answer && reason != ClientCloseReason::idle)
     PEARCHUTE_LOG(spdlog::level::info, "client connection {} closed: reason={}", client.id().value,
                   client_close_names[static_cast<std::size_t>(reason)]);
@@ -189,7 +189,7 @@
 
 void Front::record_retraction(RequestId id, SentAttempt& sent) {
   if (!std::exchange(sent.has_left, false)) return;
-  counters_.rules.attempt_taken_back(id);
+  counters_.rules.on_attempt_retracted(id);
 }
 
 void Front::disconnect_if_unattended(RequestId id) {
@@ -370,7 +370,7 @@
   const TimePoint now = loop_.now();
   Request taken = request;
   taken.time_left = it->second.end - now;
-  counters_.rules.taken(now, {request.id, request.type, it->second.order_key});
+  counters_.rules.on_request(now, {request.id, request.type, it->second.order_key});
   manager_.on_request(now, taken);
   log_queue_cause(request.id);
 }
@@ -427,7 +427,7 @@
 
 void Front::answer(RequestId id, OpenRequest& request, int status, std::string headers, std::string body) {
   if (request.answered) return;
-  counters_.rules.answering({loop_.now(), request.end, request.answered});
+  counters_.rules.on_answering({loop_.now(), request.end, request.answered});
   finish_request(id, request);
   request.answered_at = loop_.now();
   log_.answered(
@@ -481,7 +481,7 @@
 
 void Front::sweep() {
   const TimePoint now = loop_.now();
-  counters_.rules.forget_old(now);
+  counters_.rules.forget_idle(now);
   std::vector<std::pair<Client*, int>> overdue;
   for (const auto& [id, client] : clients_) {
     if (const auto status = client->overdue(now)) overdue.emplace_back(client.get(), *status);
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -101,7 +101,7 @@
       {now, request.end, request.answered, client_connected(request), pending.state, pending.told}, attempt);
   if (!rule) {
     sent->has_left = true;
-    counters_.rules.attempt_left(now, attempt);
+    counters_.rules.on_attempt_left(now, attempt);
     log_.leaves(name_of(request, *sent), pending.told);
     return std::nullopt;
   }
@@ -132,7 +132,7 @@
     if (engines_.retract_unsent(key, Outcome::cancelled)) return record_retraction(key.request, *sent);
     if (sent->has_left) {
       log_.called_off(name_of(it->second, *sent), reason);
-      counters_.rules.attempt_called_off(loop_.now(), key.request);
+      counters_.rules.on_attempt_cancelled(loop_.now(), key.request);
     }
   }
   engines_.cancel(key);
@@ -248,8 +248,9 @@
   request.last_end = outcome;
   log_.ended(name_of(request, *sent), outcome, elapsed);
   if (sent->has_left) {
-    counters_.rules.attempt_ended(now, attempt_of(key, request, *sent), outcome);
-    if (request.order_key) log_.rests(*request.order_key, counters_.rules.rest_left(now, *request.order_key));
+    counters_.rules.on_attempt_ended(now, attempt_of(key, request, *sent), outcome);
+    if (request.order_key)
+      log_.rests(*request.order_key, counters_.rules.quiet_left(now, *request.order_key));
   }
   request.out.erase(sent);
   if (outcome == Outcome::succeeded && !request.answered) {
--- a/tests/decision_calls.h
+++ b/tests/decision_calls.h
@@ -274,16 +274,16 @@
         order_(service_.key_quiet_period),
         slow_start_records_(service_),
         budget_(service_) {
-    guard_.serve(service_);
+    guard_.configure(service_);
   }
   void list(Microseconds now, int mode, const std::vector<EngineFacts>& engines) {
     guard_.on_endpoint_update(at(now), news_of(mode), listed(engines));
     slow_start_records_.on_endpoint_update(at(now), news_of(mode), listed(engines));
   }
   void taken(Microseconds now, std::uint64_t id, int request_class, std::uint64_t key) {
-    TakenRequest request{RequestId{id}, RequestTypeId{request_class}, std::nullopt};
+    ArrivedRequest request{RequestId{id}, RequestTypeId{request_class}, std::nullopt};
     if (key > 0) request.order_key = OrderKey{key};
-    guard_.taken(at(now), request);
+    guard_.on_request(at(now), request);
     if (key > 0) order_.on_request(RequestId{id}, OrderKey{key});
     budget_.on_request(at(now));
   }
@@ -310,29 +310,29 @@
   }
   void left(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
             bool is_further) {
-    guard_.attempt_left(at(now), attempt(id, engine, work_ms, largest_ms));
+    guard_.on_attempt_left(at(now), attempt(id, engine, work_ms, largest_ms));
     order_.on_attempt_left(RequestId{id});
     slow_start_records_.on_attempt_left(at(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
     if (is_further) budget_.on_retry_left(at(now));
   }
   void taken_back(std::uint64_t id) {
-    guard_.attempt_taken_back(RequestId{id});
+    guard_.on_attempt_retracted(RequestId{id});
     order_.on_attempt_retracted(RequestId{id});
   }
   void called_off(Microseconds now, std::uint64_t id) {
-    guard_.attempt_called_off(at(now), RequestId{id});
+    guard_.on_attempt_cancelled(at(now), RequestId{id});
     order_.on_attempt_cancelled(at(now), RequestId{id});
   }
   void ended(Microseconds now, std::uint64_t id, int engine, End end) {
-    guard_.attempt_ended(at(now), attempt(id, engine, 0, 0), outcome_of(end));
+    guard_.on_attempt_ended(at(now), attempt(id, engine, 0, 0), outcome_of(end));
     order_.on_attempt_ended(at(now), RequestId{id}, outcome_of(end));
   }
   void over(std::uint64_t id) {
-    guard_.over(RequestId{id});
+    guard_.on_finished(RequestId{id});
     order_.on_finished(RequestId{id});
   }
   void forget_old(Microseconds now) {
-    guard_.forget_old(at(now));
+    guard_.forget_idle(at(now));
     order_.forget_idle(at(now));
   }
   std::string repeating(Microseconds now, int request_class, int attempts, int out,
@@ -343,8 +343,8 @@
     facts.idempotency = type.idempotency;
     facts.deduplication_window = type.deduplication_window;
     facts.attempts = attempts;
-    facts.most_attempts = service_.max_attempts;
-    facts.out = out;
+    facts.max_attempts = service_.max_attempts;
+    facts.outstanding = out;
     facts.allows_hedging = service_.allows_hedging;
     if (first_uncertain_attempt_at > 0) facts.first_uncertain_attempt_at = at(first_uncertain_attempt_at);
     return text_of(guard_.forbids_repeating(facts));
@@ -353,14 +353,14 @@
   std::string closing(bool open, bool left, bool unread) {
     const ClosingFacts facts{open, left, unread};
     const std::string text = text_of(guard_.forbids_closing(facts));
-    guard_.closing(facts);
+    guard_.on_closing(facts);
     return text;
   }
   void answering(Microseconds now, Microseconds end, bool answered) {
-    guard_.answering({at(now), at(end), answered});
+    guard_.on_answering({at(now), at(end), answered});
   }
   std::string rests(Microseconds now, std::uint64_t key) const {
-    return std::to_string(guard_.rest_left(at(now), OrderKey{key}).count()) + " " +
+    return std::to_string(guard_.quiet_left(at(now), OrderKey{key}).count()) + " " +
            std::to_string(order_.quiet_left(at(now), OrderKey{key}).count()) + " " +
            std::to_string(order_.keys());
   }
--- a/tests/test_rule_guard.cpp
+++ b/tests/test_rule_guard.cpp
@@ -70,15 +70,15 @@
 
 void closing_and_answering() {
   RuleGuard guard;
-  guard.closing({false, false}), guard.closing({true, true});
-  guard.answering({at(seconds(1)), at(seconds(1)), false}),
-      guard.answering({at(milliseconds(1500)), at(seconds(1)), false});
+  guard.on_closing({false, false}), guard.on_closing({true, true});
+  guard.on_answering({at(seconds(1)), at(seconds(1)), false}),
+      guard.on_answering({at(milliseconds(1500)), at(seconds(1)), false});
   assert(guard.broken_in_all() == 0);
-  guard.closing({true, false});
+  guard.on_closing({true, false});
   assert(guard.broken(Rule::no_silent_close) == 1);
-  guard.answering({at(milliseconds(1501)), at(seconds(1)), false});
+  guard.on_answering({at(milliseconds(1501)), at(seconds(1)), false});
   assert(guard.broken(Rule::answer_in_time) == 1);
-  guard.answering({at(seconds(1)), at(seconds(1)), true});
+  guard.on_answering({at(seconds(1)), at(seconds(1)), true});
   assert(guard.broken(Rule::one_answer) == 1 && guard.broken_in_all() == 3);
   // What can wait is held back where a request is open or may lie unread.
   assert(!guard.forbids_closing({false, false, false}) && !guard.forbids_closing({true, true, true}));
@@ -161,7 +161,7 @@
 
 struct ServedGuard : RuleGuard {
   ServedGuard() {
-    serve(ordered_service());
+    configure(ordered_service());
     const MachineKindId kind{0};
     on_endpoint_update(at(Duration(0)), EndpointUpdate::snapshot,
                        {{near_engine, EngineState::up, ZoneId{0}, kind, {}, {}},
@@ -194,14 +194,14 @@
   for (const Case& one : cases) {
     ServedGuard guard;
     for (const AttemptFacts& attempt : {first, second, third})
-      guard.taken(at(Duration(0)), {attempt.request, ordered, key});
+      guard.on_request(at(Duration(0)), {attempt.request, ordered, key});
     assert(guard.asks(at(seconds(1)), second) == Rule::order_by_key);
     assert(!guard.asks(at(seconds(1)), first));
-    guard.attempt_left(at(seconds(1)), first);
-    if (one.called_off) guard.attempt_called_off(at(milliseconds(1010)), first.request);
-    guard.over(first.request);
+    guard.on_attempt_left(at(seconds(1)), first);
+    if (one.called_off) guard.on_attempt_cancelled(at(milliseconds(1010)), first.request);
+    guard.on_finished(first.request);
     assert(guard.asks(at(milliseconds(1015)), second) == Rule::order_by_key);  // it is still out
-    guard.attempt_ended(at(milliseconds(1020)), first, one.outcome);
+    guard.on_attempt_ended(at(milliseconds(1020)), first, one.outcome);
     const TimePoint soon(milliseconds(1021)), rested(milliseconds(1320));
     assert(guard.asks(soon, third) == Rule::order_by_key);
     assert(guard.asks(soon, second) == (one.rests ? std::optional(Rule::key_rests) : std::nullopt));
@@ -211,53 +211,53 @@
   // What has the turn is tried again without a rest, and one that was taken back has never been out.
   ServedGuard guard;
   for (const AttemptFacts& attempt : {first, second})
-    guard.taken(at(Duration(0)), {attempt.request, ordered, key});
-  guard.attempt_left(at(Duration(1)), first);
-  guard.attempt_ended(at(Duration(2)), first, Outcome::connection_reset);
+    guard.on_request(at(Duration(0)), {attempt.request, ordered, key});
+  guard.on_attempt_left(at(Duration(1)), first);
+  guard.on_attempt_ended(at(Duration(2)), first, Outcome::connection_reset);
   assert(!guard.asks(at(Duration(3)), first));
-  guard.over(first.request);
+  guard.on_finished(first.request);
   assert(guard.asks(at(Duration(3)), second) == Rule::key_rests);
   ServedGuard other;
   for (const AttemptFacts& attempt : {first, second})
-    other.taken(at(Duration(0)), {attempt.request, ordered, key});
-  other.attempt_left(at(Duration(1)), first);
-  other.attempt_taken_back(first.request), other.over(first.request);
+    other.on_request(at(Duration(0)), {attempt.request, ordered, key});
+  other.on_attempt_left(at(Duration(1)), first);
+  other.on_attempt_retracted(first.request), other.on_finished(first.request);
   assert(!other.asks(at(Duration(2)), second));
 }
 
 void places_and_budgets() {
   constexpr RequestTypeId bound{1}, zonal{2};
   ServedGuard guard;
-  guard.taken(at(Duration(0)), {RequestId{1}, bound, {}});
+  guard.on_request(at(Duration(0)), {RequestId{1}, bound, {}});
   assert(guard.asks(at(Duration(1)), {RequestId{1}, far_engine}) == Rule::placement);
   assert(!guard.asks(at(Duration(1)), {RequestId{1}, near_engine}));
   // What may have run is repeated in its zone only.
-  guard.taken(at(Duration(0)), {RequestId{2}, zonal, {}});
-  guard.attempt_left(at(Duration(1)), {RequestId{2}, near_engine});
+  guard.on_request(at(Duration(0)), {RequestId{2}, zonal, {}});
+  guard.on_attempt_left(at(Duration(1)), {RequestId{2}, near_engine});
   assert(guard.asks(at(Duration(2)), {RequestId{2}, near_engine}) == Rule::one_attempt_out);
-  guard.attempt_ended(at(Duration(2)), {RequestId{2}, near_engine}, Outcome::connection_reset);
+  guard.on_attempt_ended(at(Duration(2)), {RequestId{2}, near_engine}, Outcome::connection_reset);
   assert(guard.asks(at(Duration(3)), {RequestId{2}, far_engine}) == Rule::repeat_group);
   assert(!guard.asks(at(Duration(3)), {RequestId{2}, near_engine}));
   assert(guard.asks(at(seconds(10)), {RequestId{2}, near_engine}) == Rule::runs_once);
   // One further attempt, and one more for each two requests of the last second.
   for (std::uint64_t id = 2; id < 4; ++id) {
-    guard.attempt_left(at(Duration(3)), {RequestId{id}, near_engine});
-    guard.attempt_ended(at(Duration(4)), {RequestId{id}, near_engine}, Outcome::engine_full);
+    guard.on_attempt_left(at(Duration(3)), {RequestId{id}, near_engine});
+    guard.on_attempt_ended(at(Duration(4)), {RequestId{id}, near_engine}, Outcome::engine_full);
   }
-  guard.taken(at(Duration(5)), {RequestId{3}, bound, {}});
-  guard.attempt_left(at(Duration(6)), {RequestId{3}, near_engine});
-  guard.attempt_ended(at(Duration(7)), {RequestId{3}, near_engine}, Outcome::engine_full);
+  guard.on_request(at(Duration(5)), {RequestId{3}, bound, {}});
+  guard.on_attempt_left(at(Duration(6)), {RequestId{3}, near_engine});
+  guard.on_attempt_ended(at(Duration(7)), {RequestId{3}, near_engine}, Outcome::engine_full);
   assert(!guard.asks(at(Duration(8)), {RequestId{3}, near_engine}));
-  guard.attempt_left(at(Duration(8)), {RequestId{3}, near_engine});
-  guard.attempt_ended(at(Duration(9)), {RequestId{3}, near_engine}, Outcome::engine_full);
+  guard.on_attempt_left(at(Duration(8)), {RequestId{3}, near_engine});
+  guard.on_attempt_ended(at(Duration(9)), {RequestId{3}, near_engine}, Outcome::engine_full);
   assert(guard.asks(at(Duration(10)), {RequestId{3}, near_engine}) == Rule::attempt_budget);
   assert(!guard.asks(at(Duration(10)) + seconds(2), {RequestId{3}, near_engine}));
   // An even part of 2 x 0.5 x 10 cores x 1 s for two managers: five seconds of work in any second.
   ServedGuard cold;
-  for (std::uint64_t id = 1; id < 7; ++id) cold.taken(at(Duration(0)), {RequestId{id}, bound, {}});
+  for (std::uint64_t id = 1; id < 7; ++id) cold.on_request(at(Duration(0)), {RequestId{id}, bound, {}});
   for (std::uint64_t id = 1; id < 6; ++id) {
     assert(!cold.asks(at(seconds(2)), {RequestId{id}, cold_engine, 1000}));
-    cold.attempt_left(at(seconds(2)), {RequestId{id}, cold_engine, 1000});
+    cold.on_attempt_left(at(seconds(2)), {RequestId{id}, cold_engine, 1000});
   }
   assert(cold.asks(at(milliseconds(2900)), {RequestId{6}, cold_engine, 1000}) == Rule::cold_budget);
   assert(!cold.asks(at(milliseconds(2900)), {RequestId{6}, near_engine, 1000}));
