--- a/src/agent/status_reporter.cpp
+++ b/src/agent/status_reporter.cpp
@@ -50,7 +50,7 @@
     return;
   }
   if (now <= previous.observed_at || instance.answered < previous.answered) return;
-  const double answered = static_cast<double>(instance.answered - previous.answered);
+  const auto answered = static_cast<double>(instance.answered - previous.answered);
   const double rate = answered / std::chrono::duration<double>(now - previous.observed_at).count();
   previous.answered_per_second += (rate - previous.answered_per_second) / averaging_rounds;
   if (answered <= 0) return;
--- a/src/agent/wire.cpp
+++ b/src/agent/wire.cpp
@@ -21,8 +21,8 @@
 // Longer than anything that is waited for.
 constexpr std::uint64_t max_duration_ms = 24 * 3600 * 1000;
 
-template <class Enum, std::size_t size>
-Enum parse(const std::array<std::string_view, size>& names, const std::string& name) {
+template <class Enum, std::size_t Size>
+Enum parse(const std::array<std::string_view, Size>& names, const std::string& name) {
   const auto at = std::ranges::find(names, name);
   if (at == names.end()) throw MessageError("'" + name + "' is not known");
   return static_cast<Enum>(at - names.begin());
--- a/src/core/attempt_events.cpp
+++ b/src/core/attempt_events.cpp
@@ -8,9 +8,8 @@
 
 namespace {
 
-// An idempotent request is started again where its attempt takes so many times the typical (beyond any
-// estimate's scatter: a bad plan, or whatever is drawn anew for each attempt) and a new one would come
-// sooner.
+// An idempotent attempt is cancelled and retried when its projected time is this multiple of the typical one,
+// and the time left exceeds restart_gain_ratio typical times. Estimates alone don't vary that much.
 constexpr double restart_ratio = 6;
 constexpr double restart_gain_ratio = 2;
 constexpr double least_share_done = 0.002;
@@ -21,7 +20,7 @@
 AttemptRecord* WorkloadManager::note_report(TimePoint now, RequestId id, int attempt_index) {
   AttemptRecord* attempt = requests_.find_outstanding(id, attempt_index);
   if (!attempt) return nullptr;
-  engines_[attempt->engine].health.last_response_at = now;
+  outliers_.on_response(now, engines_.at(attempt->engine).health);
   attempt->last_report_at = now;
   return attempt;
 }
@@ -71,7 +70,7 @@
   attempt->waits_for_data_load = true;
   const DataSetId data_set = state.request.data_set;
   const double load_ms = work_.typical_data_load_ms() * std::max(1.0, latency_.fleet_ratio());
-  engines_[attempt->engine].ledger.note_data_load_by_others(data_set, now + from_ms(load_ms));
+  engines_.at(attempt->engine).ledger.note_data_load_by_others(data_set, now + from_ms(load_ms));
   const bool may_move = service_.allows_cancel && !state.is_finished && !attempt->is_cancelling &&
                         retries_.may_have_attempt(state) &&
                         work_.type(state).idempotency == Idempotency::idempotent;
@@ -105,7 +104,7 @@
   RequestState& state = requests_.at(id);
   attempt->is_outstanding = false;
   state.outstanding -= 1;
-  Engine& engine = engines_[attempt->engine];
+  Engine& engine = engines_.at(attempt->engine);
   engine.outstanding.erase({attempt->sent_at, {id, attempt_index}});
   release_reservation(now, engine, state, *attempt, outcome);
   on_load_report(now, engine, load);
@@ -128,7 +127,7 @@
     engine.ledger.release(attempt.grant_mb, attempt.threads);
   }
   engine.ledger.grow_starvation_reservation(attempt.grant_mb, grants_.floor_mb(now, engine));
-  if (attempt.is_trial) engine.health.trial_outstanding = false;
+  if (attempt.is_trial) outliers_.end_trial(engine.health);
   if (work_.type(state).loads_data_set) engine.ledger.end_data_load(state.request.data_set);
 }
 
@@ -147,7 +146,7 @@
       record_error(now, engine, state, attempt, outcome);
       break;
     case Outcome::engine_full:  // no sign of life: one that hangs is full, too
-      engine.health.last_full_at = now;
+      outliers_.on_full(now, engine.health);
       latency_.on_engine_full(engine.latency);
       break;
     case Outcome::unreachable:  // it has died, with what was executing there
@@ -169,19 +168,16 @@
 // Where a request fails on a second engine, neither engine is to blame.
 void WorkloadManager::record_error(TimePoint now, Engine& engine, RequestState& state, AttemptRecord& attempt,
                                    Outcome outcome) {
-  if (outcome == Outcome::engine_error) engine.health.last_response_at = now;
+  if (outcome == Outcome::engine_error) outliers_.on_response(now, engine.health);
   attempt.error_share = outliers_.error_share(engine.health, outcome);
   for (AttemptRecord& earlier : state.attempts) {
     if (earlier.error_share == 0 || earlier.engine == attempt.engine) continue;
     const auto at = engines_.find(earlier.engine);
-    if (at != engines_.end()) {
-      double& error_rate = at->second.health.error_rate;
-      error_rate -= std::clamp(earlier.error_share, 0.0, error_rate);
-    }
+    if (at != engines_.end()) outliers_.remove_errors(at->second.health, earlier.error_share);
     earlier.error_share = -1;
     attempt.error_share = -1;
   }
-  engine.health.error_rate += std::max(attempt.error_share, 0.0);
+  outliers_.add_errors(engine.health, std::max(attempt.error_share, 0.0));
   if (outliers_.exceeds_error_rate(engine.health, outcome)) {
     record_failure(now, engine, EjectionReason::errors);
   }
--- a/src/core/data_affinity.cpp
+++ b/src/core/data_affinity.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr double tick_decay = 0.99;  // over about ten seconds
+constexpr double tick_decay = 0.99;  // at each tick: over about ten seconds
 constexpr double least_remembered_requests = 0.001;
-// Requests that are added to the sum, lest a few at the start seem to be all.
+// Requests that are added to the sum, so that a few at the start don't seem to be all.
 constexpr double prior_requests = 20;
-constexpr double largest_load_ratio = 2.0;
+// So many that none of several bears more than a mean engine's load of the data set.
+constexpr double preferred_engines_per_mean_load = 2.0;
 
 }  // namespace
 
@@ -47,7 +48,7 @@
   }
   const auto requests = requests_.find(data_set);
   const double share = requests == requests_.end() ? 0 : requests->second / (all_requests_ + prior_requests);
-  const double wanted = share * largest_load_ratio * static_cast<double>(hashes.size());
+  const double wanted = share * preferred_engines_per_mean_load * static_cast<double>(hashes.size());
   const std::size_t count =
       std::min<std::size_t>(static_cast<std::size_t>(std::max(1.0, wanted)), hashes.size());
   std::ranges::sort(hashes, std::greater());
--- a/src/core/data_affinity.h
+++ b/src/core/data_affinity.h
@@ -1,8 +1,7 @@
 // Data affinity: which engines are preferred for a data set because their caches hold it.
 //
-// Managers agree without a word between them, by rendezvous hashing: the first engine of all by the data
-// set's hash and the first of the own zone, and more where the data set draws so many requests that they
-// would bear over twice what others do.
+// Managers agree without exchanging messages, by rendezvous hashing: the first engine of all by the data
+// set's hash, the first of the own zone, and two for each mean engine's load that the data set draws.
 #pragma once
 
 #include <cstdint>
--- a/src/core/decision_sink.h
+++ b/src/core/decision_sink.h
@@ -21,7 +21,7 @@
   // unreachable. Nothing to do where attempts leave at once.
   virtual void limit_send_delay(RequestId, Duration) {}
   virtual void cancel_attempt(RequestId request, int attempt_index) = 0;
-  // Precedes `reject` or `fail`.
+  // Precedes `throttle` or `fail`: why.
   virtual void on_rejection(RequestId, RejectionReason) {}
   // Final answer: it had no effect, or may safely be sent again; 0: no Retry-After.
   virtual void throttle(RequestId request, Duration retry_after) = 0;
--- a/src/core/engine_ledger.cpp
+++ b/src/core/engine_ledger.cpp
@@ -9,7 +9,7 @@
 constexpr std::chrono::seconds report_lifetime(2);
 // Threads that an attempt is taken to use where none of this manager's own tells it.
 constexpr double default_threads_per_attempt = 1.5;
-// Threads a core up to which an engine gets more done; the least that engines bear.
+// Threads for each core beyond which an engine gets no more done.
 constexpr double saturating_threads_per_core = 1.5;
 // The part of the reported free threads that this manager may use at least.
 constexpr double least_share_of_free_threads = 0.5;
@@ -46,10 +46,10 @@
 // free there. Memory that others reserved is the one thing that separate ledgers cannot add up.
 void EngineLedger::on_load_report(TimePoint now, const LoadReport& report, const MachineKind& machine,
                                   double share) {
-  if (report.outstanding && attempts_ >= 0) {
+  if (report.outstanding) {
     const double threads =
         attempts_ > 0 ? double(reserved_threads_) / attempts_ : default_threads_per_attempt;
-    const double used = std::max(*report.outstanding, 0.0 + attempts_) * threads;
+    const double used = std::max(*report.outstanding, static_cast<double>(attempts_)) * threads;
     const double saturation = saturating_threads_per_core * machine.cores;
     reported_slots_ = reserved_threads_ + std::max(share, least_share_of_free_threads) * (saturation - used);
     reported_at_ = now;
--- a/src/core/engine_ledger.h
+++ b/src/core/engine_ledger.h
@@ -13,7 +13,8 @@
 // Reservations at one engine, in MB and threads.
 class EngineLedger {
  public:
-  // Slots (threads) that are this manager's even share of the engine; set once, when it is first listed.
+  // Slots (threads) that this manager may use before anything is learned; set once, when the engine is first
+  // listed.
   void set_fair_share_slots(double slots) { fair_share_slots_ = slots; }
   double fair_share_slots() const { return fair_share_slots_; }
 
@@ -28,9 +29,9 @@
   int reserved_threads() const { return reserved_threads_; }
   int attempts() const { return attempts_; }
 
-  // Takes in what the engine reports. `share` is this manager's even share of the fleet's capacity, 0 .. 1.
+  // Takes in what the engine reports. `share` is GrantPolicy::fleet_share().
   void on_load_report(TimePoint now, const LoadReport& report, const MachineKind& machine, double share);
-  void forget_load_reports() { reserved_by_others_mb_.reset(); }
+  void forget_reserved_by_others() { reserved_by_others_mb_.reset(); }
   std::optional<double> reserved_by_others_mb() const { return reserved_by_others_mb_; }
   // Slots that the engine reported as free for this manager; none where the report is old.
   std::optional<double> reported_slots(TimePoint now) const;
--- a/src/core/grant_policy.cpp
+++ b/src/core/grant_policy.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr double fair_share_factor = 2.0;  // of an even share; few managers are as busy as the mean
+constexpr double even_shares_per_manager = 2.0;  // few managers are as busy as the mean
+constexpr double slots_per_core = 2.0;
 constexpr double capacity_in_typical_requests = 2;
 constexpr double least_memory_share_beside_others = 0.1;
 constexpr double least_slots = 8.0;  // the floor is never over an eighth of the capacity
@@ -24,10 +25,10 @@
       work_(work),
       latency_(latency),
       slow_start_(slow_start),
-      fleet_share_(std::min(1.0, fair_share_factor / service.managers)) {}
+      fleet_share_(std::min(1.0, even_shares_per_manager / service.managers)) {}
 
 double GrantPolicy::initial_slots(const MachineKind& machine) const {
-  return fair_share_factor * machine.cores * fleet_share_;
+  return slots_per_core * machine.cores * fleet_share_;
 }
 
 // Where engines report the share of memory that is granted, the capacity is what others leave: half of what
@@ -60,19 +61,23 @@
   return engine.ledger.fair_share_slots() < work_.largest_threads();
 }
 
+bool GrantPolicy::counts_in_pool(TimePoint now, const Engine& engine) const {
+  return slots(now, engine) < work_.largest_threads();
+}
+
 double GrantPolicy::pool_overcommit(const RequestState& state) const {
   return work_.priority(state) == highest_priority ? highest_priority_overcommit : 1;
 }
 
-// Warming engines with time slots stand outside: a slot is all that a manager may use of them, else their
-// share would go to the warm ones beside.
+// Warming engines with time slots are left out: their slots can be used only in those time slots. An unused
+// pool always takes one request of the largest type.
 double GrantPolicy::free_pool_slots(TimePoint now, const EngineMap& engines, double overcommit) const {
   double free = 0;
   int used = 0;
   const double largest_work_ms = work_.largest_typical_work_ms();
   for (const auto& [id, engine] : engines) {
     const double own = slots(now, engine);
-    if (!engine.is_up || engine.health.on_probation || own >= work_.largest_threads()) continue;
+    if (!engine.is_up || engine.health.on_probation || !counts_in_pool(now, engine)) continue;
     if (slow_start_.uses_time_slots(now, engine, largest_work_ms)) continue;
     free += overcommit * own - engine.ledger.reserved_threads();
     used += engine.ledger.reserved_threads();
@@ -110,13 +115,13 @@
   const bool reserved_for_other = starvation && starvation->request != state.request.id;
   int slots_left = std::max(static_cast<int>(open), work_.largest_threads()) - threads;
   if (reserved_for_other) slots_left -= starvation->threads;
-  const double floor = capacity / std::max(least_slots, open);
+  const double floor = floor_mb(now, engine);
   const double free = capacity - ledger.reserved_mb() - (reserved_for_other ? starvation->mb : 0);
   const double most = std::min(free - floor * std::max(slots_left, 0), cap);
   if (slots_left < 0 || most < floor) return std::nullopt;
   if (need <= 0) return most;
-  // Headroom yields to an estimate, since a spill costs more than a slot without memory; where even that is
-  // too little, the request waits, but for one that would not fit an empty ledger either.
+  // An estimate may use the memory kept for the other slots, since a spill costs more than a slot without
+  // memory. If even that is too little it waits, except at an empty ledger, which would never fit it.
   if (need > std::min(free, cap) && ledger.reserved_mb() > 0) return std::nullopt;
   return std::clamp(need, floor, std::min(free, cap));
 }
--- a/src/core/grant_policy.h
+++ b/src/core/grant_policy.h
@@ -24,21 +24,25 @@
   GrantPolicy(const ServiceDefinition& service, const WorkModel& work, const LatencyModel& latency,
               const SlowStart& slow_start);
 
-  // This manager's even share of the fleet's capacity, 0 .. 1.
+  // This manager's share of the fleet's capacity, 0 .. 1: twice an even share, at most all of it.
   double fleet_share() const { return fleet_share_; }
   double initial_slots(const MachineKind& machine) const;
 
   double capacity_mb(const Engine& engine) const;
   double slots(TimePoint now, const Engine& engine) const;
   double floor_mb(TimePoint now, const Engine& engine) const;
-  // Where an engine's slots are less than one request of the largest type, such shares make one shared pool,
-  // lest many managers' single requests add up past what the engines bear.
+  // Where an engine's slots are less than one request of the largest type, such shares make one shared
+  // pool: else many managers' single requests add up past what the engines bear.
   bool is_pooled(const Engine& engine) const;
+  // Whether its slots now, learned ones included, are less than a request of the largest type: it counts in
+  // the pool's sum. Unlike is_pooled, which goes by the fair share alone.
+  bool counts_in_pool(TimePoint now, const Engine& engine) const;
   // Slots that are free in the shared pool. `overcommit`: a multiple of its slots.
   double free_pool_slots(TimePoint now, const EngineMap& engines, double overcommit) const;
   double pool_overcommit(const RequestState& state) const;
 
-  // The grant in MB that the request would get there now; none where the ledger has no room.
+  // The grant in MB that the request would get there now. Without pressure (latency ratio up to 2, not full
+  // in the last 2 s, a slot to spare) reserved memory is no limit; else none where the ledger has no room.
   std::optional<double> grant_mb(TimePoint now, const Engine& engine, const RequestState& state) const;
 
  private:
--- a/src/core/latency_model.cpp
+++ b/src/core/latency_model.cpp
@@ -39,7 +39,7 @@
 constexpr double least_fleet_factor = 0.5;
 constexpr double engine_full_decrease = 0.8;
 
-// Of a tick
+// Applied at each tick (tick_interval).
 constexpr double unused_share = 0.25;
 constexpr double engine_recovery = 0.02;
 constexpr double fleet_recovery = 0.01;
@@ -62,8 +62,8 @@
       quantiles_(work.type_count()),
       fleet_fair_share_slots_(least_fair_share_slots) {}
 
-// All but one in twenty take more than twice their estimate. Warm data alone makes the best time better than
-// the typical one, which is no overload.
+// Some type's 95th percentile is over twice its ideal time. Ratios to the best time alone don't show
+// overload: where data is warm, the best time is below the typical one.
 bool LatencyModel::is_overloaded() const {
   return std::ranges::any_of(quantiles_, [](const Quantiles& one) { return one.p95 > overload_p95_ratio; });
 }
--- a/src/core/latency_model.h
+++ b/src/core/latency_model.h
@@ -44,7 +44,8 @@
                       bool is_ejected);
   // An engine has rejected an attempt because it is full.
   void on_engine_full(EngineLatency& latency) const;
-  // A listed engine has (re)started: nothing that was learned holds.
+  // A listed engine has (re)started: its ratio begins at 1 when first listed, else at the fleet's ratio (at
+  // least 1). Its concurrency factor stays.
   void reset(EngineLatency& latency, bool is_first) const;
 
   // The periodic tick: `begin_tick`, then each engine's `tick`, then `end_tick`.
@@ -55,7 +56,7 @@
   double fleet_ratio() const { return fleet_.ratio; }
   double fleet_concurrency_factor() const { return fleet_.concurrency_factor; }
   const LocalityLatency& locality() const { return locality_; }
-  // Time taken over the ideal time by one in ten requests of the type at most, and by all but one in twenty.
+  // 10th and 95th percentile of the time taken divided by the ideal time, by type.
   double p10_ratio(RequestTypeId type) const { return quantiles_[static_cast<std::size_t>(type.value)].p10; }
   double p95_ratio(RequestTypeId type) const { return quantiles_[static_cast<std::size_t>(type.value)].p95; }
 
--- a/src/core/load_shedder.cpp
+++ b/src/core/load_shedder.cpp
@@ -15,8 +15,8 @@
 constexpr double cost_decay = 0.998;
 // The threshold falls fast while requests wait, and rises slowly; under the mean it would shed what pays best
 // and leave engines idle.
-constexpr double threshold_decrease = 0.9;
-constexpr double threshold_increase = 1.06;
+constexpr double threshold_decrease_factor = 0.9;
+constexpr double threshold_increase_factor = 1.06;
 constexpr int late_ticks_to_shed = 2;
 constexpr int most_late_ticks = 10;
 constexpr double least_sum = 1e-9;
@@ -53,9 +53,9 @@
   requests_per_second_ += 1.0 / rate_window_s;
   const double cost = 1 / value_density(state);
   largest_cost_ = std::max(largest_cost_, cost);
-  work_ms_ += state.work_ms;
-  weight_ += state.work_ms / cost;
-  mean_cost_ = work_ms_ / std::max(weight_, least_sum);
+  recent_work_ms_ += state.work_ms;
+  recent_weight_ += state.work_ms / cost;
+  mean_cost_ = recent_work_ms_ / std::max(recent_weight_, least_sum);
   return cost;
 }
 
@@ -75,18 +75,18 @@
 
 void LoadShedder::decay() {
   requests_per_second_ *= rate_decay;
-  work_ms_ *= cost_decay;
-  weight_ *= cost_decay;
+  recent_work_ms_ *= cost_decay;
+  recent_weight_ *= cost_decay;
   for (double& rate : tenant_rates_per_second_) rate *= rate_decay;
 }
 
 void LoadShedder::adjust_threshold(bool is_crowded) {
   largest_cost_ = std::max(largest_cost_ * cost_decay, mean_cost_);
   if (is_crowded) {
-    threshold_ = std::max(std::min(threshold_, largest_cost_) * threshold_decrease, mean_cost_);
+    threshold_ = std::max(std::min(threshold_, largest_cost_) * threshold_decrease_factor, mean_cost_);
     return;
   }
-  threshold_ *= threshold_increase;
+  threshold_ *= threshold_increase_factor;
   if (threshold_ > largest_cost_) threshold_ = infinite;
 }
 
--- a/src/core/load_shedder.h
+++ b/src/core/load_shedder.h
@@ -20,7 +20,8 @@
   // A request has arrived; returns its cost in ms of work for a unit of weight.
   double on_request(const RequestState& state);
   // Whether the request that has just arrived is shed. `is_small`: estimated as small for its type, which
-  // spares it under overload of the engines, lest a type that costs more than others is shed as a whole.
+  // spares it under overload of the engines, so that a type that costs more than others is not
+  // shed as a whole.
   bool sheds(double cost, bool is_small) const;
 
   // The periodic tick was due and comes now; ticks that come late again and again tell that this manager's
@@ -44,8 +45,8 @@
   double threshold_;                             // the largest cost that is admitted
   double largest_cost_ = 0;                      // recently
   double mean_cost_ = 0;
-  double work_ms_ = 0;  // admitted or not, smoothed
-  double weight_ = 0;
+  double recent_work_ms_ = 0;  // decayed sum over all arrivals, shed or not
+  double recent_weight_ = 0;   // the same of work / cost
   TimePoint next_tick_at_{};
   int late_ticks_ = 0;  // of late, less those in time
 };
--- a/src/core/outlier_detector.h
+++ b/src/core/outlier_detector.h
@@ -1,9 +1,10 @@
 // Outlier detection: ejects engines that fail, don't answer or can't be reached, and takes them back through
 // probation (half-open) with one short trial request at a time.
 //
-// States of an engine: in rotation -> ejected (no attempts) -> on probation (one trial) -> in rotation, or
-// ejected again for twice as long. Invariant: on suspicion alone never more than a share of the fleet is out
-// at once; the rest would be overrun by what all of them share.
+// States of an engine: in rotation -> ejected (no attempts) -> on probation (one trial at a time, until
+// a success finds the error rate low) -> in rotation, or ejected again for twice as long. Invariant: on
+// suspicion alone never more than a share of the fleet is out at once; the rest would be overrun by what all
+// of them share.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,8 @@
   int consecutive_failures = 0;
   TimePoint ejected_until{};
   EjectionReason ejection_reason = EjectionReason::none;
-  bool on_probation = false;  // once no longer ejected: until a trial succeeds
+  // Set by an ejection, until a success finds the error rate low; while ejected nothing is sent at all.
+  bool on_probation = false;
   bool trial_outstanding = false;
   TimePoint last_response_at{};
   std::optional<TimePoint> last_full_at;  // when it last rejected an attempt as full
@@ -39,6 +41,14 @@
  public:
   void reset(TimePoint now, EngineHealth& health) const;
   void on_success(TimePoint now, EngineHealth& health) const;
+  // The engine has reported something of an attempt.
+  void on_response(TimePoint now, EngineHealth& health) const { health.last_response_at = now; }
+  // It rejected an attempt as full. No sign of life: an engine that hangs is full, too.
+  void on_full(TimePoint now, EngineHealth& health) const { health.last_full_at = now; }
+  void begin_trial(EngineHealth& health) const { health.trial_outstanding = true; }
+  void end_trial(EngineHealth& health) const { health.trial_outstanding = false; }
+  void add_errors(EngineHealth& health, double increment) const { health.error_rate += increment; }
+  void remove_errors(EngineHealth& health, double increment) const;
   // How much an error or a reset adds to the engine's error rate. A reset counts half, as often the
   // network's.
   double error_share(const EngineHealth& health, Outcome outcome) const;
--- a/src/core/periodic_tick.cpp
+++ b/src/core/periodic_tick.cpp
@@ -93,7 +93,7 @@
   return is_crowded;
 }
 
-// An answer now is worth more than one at the end.
+// A client that is rejected early can still retry in time.
 void WorkloadManager::reject_hopeless(TimePoint now) {
   queue_.visit([&](RequestState& state) {
     if (state.outstanding > 0) return;
--- a/src/core/placement_scorer.cpp
+++ b/src/core/placement_scorer.cpp
@@ -75,13 +75,13 @@
 bool PlacementScorer::may_use(const Choice& choice, const Engine& engine) const {
   const bool time_slots = in_.slow_start.uses_time_slots(choice.now, engine, choice.largest_typical_work_ms);
   const bool pool_forbids =
-      choice.pool_is_full && !time_slots && in_.grants.slots(choice.now, engine) < in_.work.largest_threads();
+      choice.pool_is_full && !time_slots && in_.grants.counts_in_pool(choice.now, engine);
   if (pool_forbids || !is_eligible(choice.now, choice.state, engine)) return false;
   const SlowStart::Work work{in_.work.typical_work_ms(choice.state), in_.work.warm_up_work_ms(choice.state)};
   return in_.slow_start.admits(choice.now, engine, work, choice.largest_typical_work_ms);
 }
 
-double PlacementScorer::health(const Choice& choice, const Engine& engine) const {
+double PlacementScorer::capacity_factor(const Choice& choice, const Engine& engine) const {
   const double ratio = in_.latency.fleet_ratio() / engine.latency.ratio;
   const bool time_slots = in_.slow_start.uses_time_slots(choice.now, engine, choice.largest_typical_work_ms);
   return std::clamp(ratio, least_health, largest_health) *
@@ -117,7 +117,7 @@
 // Each reason to avoid an engine takes off its whole capacity: it comes last, but is not excluded.
 double PlacementScorer::spare_mb(const Choice& choice, const Engine& engine, double grant_mb) const {
   const double capacity = in_.grants.capacity_mb(engine);
-  double spare = capacity * health(choice, engine) - engine.ledger.reserved_mb() - grant_mb;
+  double spare = capacity * capacity_factor(choice, engine) - engine.ledger.reserved_mb() - grant_mb;
   spare += affinity_bonus(choice, engine) * capacity;
   spare -= cross_zone_penalty(choice, engine) * capacity;
   if (is_avoided_for_data_load(choice, engine)) spare -= capacity;
@@ -136,6 +136,8 @@
   Score best_score;
   const std::uint64_t count = engines.size();
   const auto index = static_cast<std::uint64_t>(in_.service.instance_index);
+  // Each manager begins its count at another engine, spread evenly over the list, so that equal scores
+  // differ.
   std::uint64_t position = count - 1 - count * index / static_cast<std::uint64_t>(in_.service.managers);
   for (auto& [id, engine] : engines) {
     position = (position + 1) % count;
--- a/src/core/placement_scorer.h
+++ b/src/core/placement_scorer.h
@@ -72,7 +72,7 @@
   Choice begin_choice(TimePoint now, const RequestState& state, const EngineMap& engines) const;
   bool may_use(const Choice& choice, const Engine& engine) const;
   double spare_mb(const Choice& choice, const Engine& engine, double grant_mb) const;
-  double health(const Choice& choice, const Engine& engine) const;
+  double capacity_factor(const Choice& choice, const Engine& engine) const;
   double affinity_bonus(const Choice& choice, const Engine& engine) const;
   double cross_zone_penalty(const Choice& choice, const Engine& engine) const;
   bool is_avoided_for_data_load(const Choice& choice, const Engine& engine) const;
--- a/src/core/probe_scheduler.cpp
+++ b/src/core/probe_scheduler.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Half a point in a hundred of the requests' worth is spent on probes.
+// Share of the value of all requests that is spent on probes.
 constexpr double spent_share = 0.005;
-constexpr double least_price = 1e-4;
-// A report changes about every half second: a fifth of the engines are due in a tick at most.
+constexpr double least_price = 1e-4;  // in values of a mean request
+// An engine's report changes about every 0.5 s, five ticks: at most a fifth of the engines are probed in one.
 constexpr double most_due_share = 0.2;
 
 }  // namespace
--- a/src/core/request_queue.cpp
+++ b/src/core/request_queue.cpp
@@ -17,6 +17,7 @@
 
 void RequestQueue::remove(RequestState& state) {
   state.is_queued = false;
+  state.bypass_count = 0;
   queue_.erase(state.arrival_sequence);
 }
 
--- a/src/core/retry_policy.h
+++ b/src/core/retry_policy.h
@@ -26,7 +26,7 @@
 
   // No attempt may follow those that it had, whatever happens.
   bool attempts_exhausted(TimePoint now, const RequestType& type, const RequestState& state) const;
-  // Nothing begins while its client is disconnected.
+  // Fewer than max_attempts so far, and its client is connected.
   bool may_have_attempt(const RequestState& state) const;
   // A further attempt while one is outstanding.
   bool may_hedge(const RequestType& type) const;
@@ -37,8 +37,8 @@
   // The last moment at which a repeat may leave and still be recognized; none where that does not matter.
   std::optional<TimePoint> latest_repeat(const RequestType& type, const RequestState& state) const;
 
-  // Rescues of attempts that are overdue at engines that answer others take a token each, lest a slow fleet
-  // is flooded with them.
+  // Rescues of attempts that are overdue at engines that answer others take a token each,
+  // so that a slow fleet is not flooded with them.
   bool has_rescue_token() const;
   void take_rescue_token();
 
--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-// Up to half a second after its time an answer only earns nothing; later the request counts as lost.
+// An answer up to this late only earns nothing; a later one counts as a lost request.
 constexpr std::chrono::milliseconds latest_answer(500);
 
-// By the operators' terms; some moments pass between the sum that is told and the question whether it may be.
+// The timeout told to an engine may exceed the time left by this much: time passes between telling it and
+// this check.
 constexpr std::chrono::milliseconds time_told_slack(150);
 
 }  // namespace
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -16,8 +16,8 @@
 // After its own start a manager does not know what its predecessor has sent in the first window.
 constexpr double share_after_own_start = 0.5;
 constexpr double share_beside_time_slots = 0.5;
-// Time slots: several short ones begin in each window, and one long one, of which each eighth is larger.
-// All of them used to the last come to two thirds of the budget.
+// Time slots: six short ones begin in each window and one long one, every eighth of which has a larger share.
+// Fully used they average two thirds of the budget.
 constexpr int short_slots_per_window = 6;
 constexpr double short_slot_share = 1.0 / 16;
 constexpr int long_slots_per_window = 1;
@@ -115,7 +115,7 @@
   const auto passed = static_cast<std::uint64_t>(since_start * slots_per_window / window);
   const auto managers = static_cast<std::uint64_t>(service_.managers);
   // Slot 0 belongs to a manager by hash, those that follow to the ones before it.
-  const auto first = rendezvous_hash(DataSetId{slots_per_window}, engine.id()) % managers;
+  const auto first = rendezvous_hash(std::int64_t{slots_per_window}, engine.id()) % managers;
   const auto own = (first + static_cast<std::uint64_t>(service_.instance_index)) % managers;
   const std::uint64_t slots_ago = (passed + managers - own) % managers;
   if (slots_ago > passed) return std::nullopt;
--- a/src/core/slow_start_records.cpp
+++ b/src/core/slow_start_records.cpp
@@ -7,6 +7,13 @@
 
 namespace pearchute {
 
+namespace {
+
+constexpr double even_share_divisor = 2;
+constexpr double largest_slot_divisor = 2;
+
+}  // namespace
+
 SlowStartRecords::SlowStartRecords(const ServiceDefinition& service) : service_(service) {
   service_.managers = std::max(1, service.managers);
   service_.types.clear();
@@ -39,15 +46,16 @@
   return pearchute::is_warming_up(service_, now, record.endpoint.started_at, record.listed_at);
 }
 
-// An even share of the limit. Where that is less than a single request, managers use time slots, of which the
-// largest allows half of the limit.
+// An even share of the limit. Where half of that is less than a single request, managers may use time slots,
+// of which the largest allows half of the limit. More than SlowStart uses of either: the guard checks the
+// stated limit.
 double SlowStartRecords::own_share_ms(const Record& record, double largest_typical_work_ms) const {
   const auto kind = static_cast<std::size_t>(std::max(record.endpoint.kind.value, 0));
   const int cores = kind < service_.kinds.size() ? service_.kinds[kind].cores : 1;
   const double limit_ms = slow_start_limit_ms(service_, cores);
   const double even_share_ms = limit_ms / service_.managers;
-  const bool uses_time_slots = largest_typical_work_ms > even_share_ms / 2;
-  return uses_time_slots ? std::max(even_share_ms, limit_ms / 2) : even_share_ms;
+  const bool uses_time_slots = largest_typical_work_ms > even_share_ms / even_share_divisor;
+  return uses_time_slots ? std::max(even_share_ms, limit_ms / largest_slot_divisor) : even_share_ms;
 }
 
 bool SlowStartRecords::forbids(TimePoint now, EngineId engine, double work_ms,
--- a/src/core/slow_start_records.h
+++ b/src/core/slow_start_records.h
@@ -19,8 +19,8 @@
   explicit SlowStartRecords(const ServiceDefinition& service);
   void on_endpoint_update(TimePoint now, EndpointUpdate kind, const std::vector<EngineEndpoint>& endpoints);
   // Whether an attempt of `work_ms` would exceed this manager's share of the limit. `largest_typical_work_ms`
-  // is the typical work of the type that needs most: where that is over an even share, managers use time
-  // slots.
+  // is the typical work of the type that needs most: where that is over half an
+  // even share, managers may use time slots.
   bool forbids(TimePoint now, EngineId engine, double work_ms, double largest_typical_work_ms) const;
   void on_attempt_left(TimePoint now, EngineId engine, double work_ms);
   // The endpoint; null where the engine is not listed.
--- a/src/core/units.h
+++ b/src/core/units.h
@@ -37,12 +37,17 @@
   double count_ = 0;
 };
 
-// A hash for rendezvous hashing: the same at every manager, so that they agree without a word between them.
-inline std::uint64_t rendezvous_hash(DataSetId data_set, EngineId engine) {
-  std::uint64_t x = static_cast<std::uint64_t>(data_set.value) * 0x9E3779B97F4A7C15ULL + engine.value;
+// A hash for rendezvous hashing: the same at every manager, so that they agree without exchanging
+// messages.
+inline std::uint64_t rendezvous_hash(std::int64_t key, EngineId engine) {
+  std::uint64_t x = static_cast<std::uint64_t>(key) * 0x9E3779B97F4A7C15ULL + engine.value;
   x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
   x = (x ^ (x >> 27)) * 0x94D049BB133111EBULL;
   return x ^ (x >> 31);
 }
 
+inline std::uint64_t rendezvous_hash(DataSetId data_set, EngineId engine) {
+  return rendezvous_hash(data_set.value, engine);
+}
+
 }  // namespace pearchute
--- a/src/core/workload_manager.cpp
+++ b/src/core/workload_manager.cpp
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds subscription_backoff_base(500);
-constexpr seconds least_longest_subscription_backoff(1);
+constexpr seconds least_backoff_limit(1);
 constexpr int subscription_attempts_within_poll = 4;
 constexpr double least_jitter = 0.75;
 constexpr double jitter_range = 0.5;
@@ -26,7 +26,7 @@
 // Near the most open requests a tenth of the table is kept free for those that arrive.
 constexpr double table_tenths = 10;
 constexpr double table_tenths_in_use = 9;
-constexpr seconds longest_known_timeout(60);
+constexpr seconds longest_counted_timeout(60);
 
 ServiceDefinition normalized(ServiceDefinition service) {
   service.managers = std::max(1, service.managers);
@@ -35,7 +35,7 @@
 }
 
 Duration shortest_timeout(const std::vector<RequestType>& types) {
-  Duration shortest = longest_known_timeout;
+  Duration shortest = longest_counted_timeout;
   for (const RequestType& type : types) shortest = std::min(shortest, type.request_timeout);
   return shortest;
 }
@@ -60,6 +60,7 @@
       queue_(requests_, work_, engines_, *this),
       kinds_(service_.kinds),
       subscription_backoff_(subscription_backoff_base) {
+  // Read by the constructors above; the decisions keep a reference to the rest.
   service_.types.clear();
   service_.tenants.clear();
   service_.kinds.clear();
@@ -94,11 +95,12 @@
   const int kind = endpoint.kind.value;
   engine.machine = kind >= 0 ? kinds_[static_cast<std::size_t>(kind)] : MachineKind{};
   if (is_first) engine.ledger.set_fair_share_slots(grants_.initial_slots(engine.machine));
-  if (!is_first && !has_restarted && (!engine.is_up || was_up)) return;
+  const bool has_come_back = engine.is_up && !was_up;
+  if (!is_first && !has_restarted && !has_come_back) return;
   engine.slow_start.listed_at = now;
   outliers_.reset(now, engine.health);
   latency_.reset(engine.latency, is_first);
-  engine.ledger.forget_load_reports();
+  engine.ledger.forget_reserved_by_others();
   engine.ledger.release_all_abandoned();
 }
 
@@ -117,8 +119,8 @@
   if (!service_.endpoints_on_request) return;
   const double jitter = least_jitter + jitter_range * std::generate_canonical<double, random_bits>(random_);
   sink_.schedule_wakeup(from_ms(to_ms(subscription_backoff_) * jitter), subscribe_token);
-  const Duration longest = std::max<Duration>(least_longest_subscription_backoff,
-                                              service_.poll_within / subscription_attempts_within_poll);
+  const Duration longest =
+      std::max<Duration>(least_backoff_limit, service_.poll_within / subscription_attempts_within_poll);
   subscription_backoff_ = std::min(2 * subscription_backoff_, longest);
 }
 
@@ -226,7 +228,6 @@
   const RequestId id = state.request.id;
   Engine& engine = *placement.engine;
   queue_.remove(state);
-  state.bypass_count = 0;
   if (engine.ledger.is_reserved_for(id)) engine.ledger.cancel_starvation_reservation();
   if (!state.attempts.empty()) retries_.on_retry(now);
   const int attempt_index = static_cast<int>(state.attempts.size());
@@ -238,7 +239,7 @@
   attempt.threads = type.threads;
   attempt.at_preferred_engine = placement.at_preferred_engine;
   attempt.is_trial = engine.health.on_probation;
-  engine.health.trial_outstanding |= attempt.is_trial;
+  if (attempt.is_trial) outliers_.begin_trial(engine.health);
   engine.ledger.reserve(attempt.grant_mb, attempt.threads);
   engine.outstanding.insert({now, {id, attempt_index}});
   if (type.loads_data_set) engine.ledger.begin_data_load(state.request.data_set);
@@ -258,8 +259,7 @@
 
 // ---- Final answers
 
-// Near the most open requests, those that hold a place for little are evicted: requests behind a data load
-// with nowhere else to go, and idempotent ones past their objective.
+// Over nine tenths of max_open_requests: evict_late and on_engine_wait then evict.
 bool WorkloadManager::is_table_nearly_full() const {
   return service_.max_open_requests > 0 &&
          table_tenths * static_cast<double>(requests_.size()) >
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -38,7 +38,10 @@
   std::string cases = "    \"" + path + "\") words=\"" + words + "\" ;;\n";
   for (const CLI::App* subcommand : command.get_subcommands({})) {
     const std::string& name = subcommand->get_name();
-    cases += completion_cases(*subcommand, path.empty() ? name : path + " " + name);
+    std::string subcommand_path = path;
+    if (!path.empty()) subcommand_path += ' ';
+    subcommand_path += name;
+    cases += completion_cases(*subcommand, subcommand_path);
   }
   return cases;
 }
