--- a/src/store/instance_table.h
+++ b/src/store/instance_table.h
@@ -1,7 +1,7 @@
-// The tables `instance` and `process`: what an agent persists of each instance that it owns, and which
-// process was started for it.
+// The tables `instance` and `process`: the state that an agent persists of each instance that it owns, and
+// the process that it started for the instance.
 //
-// All functions throw SQLite::Exception; the writers are to be called within a transaction.
+// All functions throw SQLite::Exception. REQUIRES of all that write: within a transaction.
 #pragma once
 
 #include <map>
--- a/src/store/json_codec.cpp
+++ b/src/store/json_codec.cpp
@@ -92,7 +92,7 @@
   plan.gate = decode_microseconds(from.at("gate_us"));
   plan.margin = from.at("margin");
   plan.failures = from.at("failures");
-  plan.reverts = from.value("reverts", false);  // records of older programs have none
+  plan.reverts = from.value("reverts", false);  // records of older versions do not have this key
   plan.take_over = from.at("take_over");
   plan.lease_duration = decode_microseconds(from.at("lease_us"));
   plan.drain_within = decode_microseconds(from.at("drain_within_us"));
--- a/src/store/json_codec.h
+++ b/src/store/json_codec.h
@@ -1,7 +1,7 @@
-// Rollout plans and steps as the JSON text in which the store keeps them. A persisted format: its keys, and
-// the numbers of the enumerations, stay as they are.
+// Encodes rollout plans and steps as the JSON text that the store keeps. This is a persisted format: the keys
+// and the numbers of the enumerations can't be changed.
 //
-// The decoders throw nlohmann::json::exception where a key is missing or a value is of another type.
+// The decoders throw nlohmann::json::exception if a key is missing or a value has another type.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/store/replica_tables.cpp
+++ b/src/store/replica_tables.cpp
@@ -23,7 +23,8 @@
   return {std::istream_iterator<std::string>(digests), {}};
 }
 
-// A mark takes three columns from `first` on; parameters count from 1, columns of a row from 0.
+// A mark takes three columns, beginning with `first`. SQLite numbers parameters from 1, columns of a row
+// from 0.
 void bind_mark(SQLite::Statement& statement, int first, const fleet::ConfigMark& mark) {
   statement.bind(first, static_cast<std::int64_t>(mark.epoch));
   statement.bind(first + 1, static_cast<std::int64_t>(mark.number));
@@ -95,7 +96,7 @@
   state.superseded = read_superseded(database);
   state.current = read_current(database);
   if (state.current && !fleet::is_intact(*state.current))
-    throw SystemError("the configuration version is not what its digest says", path);
+    throw SystemError("the stored configuration version does not match its digest", path);
   return state;
 }
 
--- a/src/store/replica_tables.h
+++ b/src/store/replica_tables.h
@@ -1,7 +1,8 @@
-// The tables of what this agent replicates with its peers: `configuration` and `superseded_configuration`,
-// the versions of the fleet's configuration, and `speaker`, the incarnation of its status reports.
+// The tables of the data that an agent replicates with its peers: `configuration` and
+// `superseded_configuration` have the versions of the fleet's configuration, `speaker` the incarnation of the
+// agent's status reports.
 //
-// All functions throw SQLite::Exception; the writers are to be called within a transaction.
+// All functions throw SQLite::Exception. REQUIRES of all that write: within a transaction.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +16,13 @@
 
 namespace pearchute::store {
 
-// Replaces all that both tables hold.
+// Replaces the contents of both tables of configuration versions.
 void put_config(SQLite::Database& database, const fleet::ConfigReplica::State& state);
-// Throws SystemError, which names `path`, where the document does not match its digest.
+// Throws SystemError, which names `path`, if the document does not match its digest.
 fleet::ConfigReplica::State read_config(SQLite::Database& database, const std::string& path);
 
 void put_incarnation(SQLite::Database& database, std::uint64_t incarnation);
-// 0: none was written.
+// Returns 0 if no incarnation was written.
 std::uint64_t read_incarnation(SQLite::Database& database);
 
 }  // namespace pearchute::store
--- a/src/store/rollout_table.cpp
+++ b/src/store/rollout_table.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// As many as an operator looks back on.
+// Number of rollouts kept for operators to look back on.
 constexpr int max_stored_rollouts = 200;
 
 void erase_oldest(SQLite::Database& database) {
--- a/src/store/rollout_table.h
+++ b/src/store/rollout_table.h
@@ -14,11 +14,12 @@
 
 namespace pearchute::store {
 
-// Replaces the rollout of that id, and drops the oldest ones beyond a fixed number. REQUIRES: within a
+// Replaces the rollout with this id, and deletes the oldest ones beyond a fixed number. REQUIRES: within a
 // transaction.
 void put_rollout(SQLite::Database& database, const RolloutRecord& rollout);
 
-// `limit` of them at most, the newest first. Throws nlohmann::json::exception where one can't be parsed.
+// Returns at most `limit` rollouts, the newest first. Throws nlohmann::json::exception if one can't be
+// parsed.
 std::vector<RolloutRecord> read_rollouts(SQLite::Database& database, std::size_t limit);
 
 }  // namespace pearchute::store
--- a/src/store/schema.cpp
+++ b/src/store/schema.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The statements at index i bring a file of version i to version i + 1.
+// The statements at index i migrate a file from version i to version i + 1.
 constexpr std::array<const char*, schema_version> migrations = {
     "CREATE TABLE instance (name TEXT PRIMARY KEY, wanted INTEGER NOT NULL, version INTEGER NOT NULL,"
     " last_fence INTEGER NOT NULL, claim_operation TEXT, claim_who TEXT, claim_fence INTEGER,"
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -15,10 +15,11 @@
 
 namespace {
 
-// How long SQLite waits for a lock that another process has on the file.
+// How long SQLite waits for a lock on the file that another process holds.
 constexpr int lock_timeout_ms = 200;
 
-// By access rights alone: opening the file would take a descriptor, which may be what is short.
+// Returns whether the access rights allow writing to the file. Checks only the rights, because opening the
+// file would need a descriptor, and a shortage of descriptors may be the reason for this check.
 bool may_be_written(const std::string& path) {
   const std::filesystem::path folder = std::filesystem::path(path).parent_path();
   if (::access(folder.empty() ? "." : folder.c_str(), W_OK | X_OK) != 0) return false;
@@ -35,7 +36,8 @@
     case SQLITE_IOERR:
     case SQLITE_FULL:
       return OpenStatus::temporarily_unavailable;
-    // Also where only descriptors ran short: a file that can't be opened for writing is opened for reading.
+    // A shortage of descriptors causes these codes, too: SQLite opens a file for reading if it can't open it
+    // for writing.
     case SQLITE_READONLY:
     case SQLITE_CANTOPEN:
       return may_be_written(path) ? OpenStatus::temporarily_unavailable : OpenStatus::unusable;
@@ -44,7 +46,8 @@
   }
 }
 
-// A file that can only be read is of no use: an intent that can't be written must not be acted on.
+// Throws SQLite::Exception if the file can't be written. A read-only store is of no use, since an intent that
+// can't be persisted must not be acted on.
 void check_writable(SQLite::Database& database) {
   SQLite::Transaction transaction(database);
   database.exec("CREATE TABLE IF NOT EXISTS probe (x); DROP TABLE probe;");
@@ -69,7 +72,8 @@
   try {
     database_ = std::make_unique<SQLite::Database>(path_, SQLite::OPEN_READWRITE | SQLite::OPEN_CREATE,
                                                    lock_timeout_ms);
-    // A committed transaction survives the end of the process, of the system and of the power.
+    // With these settings a committed transaction survives a crash of the process or the system, and a power
+    // failure.
     database_->exec("PRAGMA journal_mode=DELETE; PRAGMA synchronous=FULL;");
     return check_and_migrate(error);
   } catch (const SQLite::Exception& failure) {
@@ -78,7 +82,7 @@
     error = path_ + (damaged ? " is damaged: " : " can't be used: ") + failure.what();
     return status;
   } catch (const std::exception& failure) {
-    error = path_ + " holds what can't be read: " + failure.what();
+    error = path_ + " has a record that can't be read: " + failure.what();
     return OpenStatus::damaged;
   }
 }
@@ -91,8 +95,9 @@
   }
   const int found_version = database_->execAndGet("PRAGMA user_version").getInt();
   if (found_version > schema_version) {
-    error = path_ + " is of version " + std::to_string(found_version) + ", newer than this program's " +
-            std::to_string(schema_version);
+    error = path_ + " has schema version " + std::to_string(found_version) +
+            ", but this program supports versions up to " + std::to_string(schema_version) +
+            "; use a newer program";
     return OpenStatus::too_new;
   }
   SQLite::Transaction transaction(*database_);
@@ -103,7 +108,8 @@
   return OpenStatus::usable;
 }
 
-// Reads everything once, so that a record that can't be parsed is found now and not in the middle of work.
+// Reads all records once (of the rollouts only the newest one), so that a record that can't be parsed is
+// found when the store is opened and not later.
 void Store::check_records() const {
   instances();
   processes();
@@ -112,9 +118,9 @@
   config();
 }
 
-// SQLite opens its journal anew for each transaction. Where that fails for want of a descriptor nothing has
-// been done yet, and the shortage may be over at once. A full or failing device stays so for longer, and is
-// reported.
+// Runs the statements in one transaction. SQLite opens its journal again for each transaction. If that fails
+// for lack of a descriptor, nothing has been changed yet and the shortage may end at once, so the transaction
+// is tried again. A full or failing device recovers less quickly and is reported without another attempt.
 bool Store::in_transaction(const std::function<void()>& statements) {
   if (!database_) {
     last_error_ = "the store is not open";
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -1,5 +1,5 @@
-// An agent's state on disk: written and read back, through kills at each point, older and newer files,
-// damage, and a disk that takes nothing.
+// Tests of an agent's store: records are written and read back; kills at each stage of a transaction; files
+// of older and newer versions; damaged files; a device that is full; and a shortage of descriptors.
 #include <SQLiteCpp/SQLiteCpp.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -19,7 +19,7 @@
 
 std::string folder;
 
-fleet::LeaseOwner::PersistedInstance kept(std::uint64_t fence) {
+fleet::LeaseOwner::PersistedInstance instance_with(std::uint64_t fence) {
   fleet::LeaseOwner::PersistedInstance one;
   one.version = 3, one.last_fence = fence, one.lease_duration = seconds(30);
   one.lease = fleet::Lease{"op", "ann", fence, {}, {}};
@@ -31,14 +31,14 @@
 }
 
 OpenStatus open(Store& store) {
-  std::string fault;
-  const OpenStatus opened = store.open(fault);
-  if (!fault.empty()) std::fprintf(stderr, "%s\n", fault.c_str());
-  assert((opened == OpenStatus::usable) == fault.empty());
-  return opened;
+  std::string error;
+  const OpenStatus status = store.open(error);
+  if (!error.empty()) std::fprintf(stderr, "%s\n", error.c_str());
+  assert((status == OpenStatus::usable) == error.empty());
+  return status;
 }
 
-void written_and_read() {
+void written_and_read_back() {
   const std::string path = folder + "/a.db";
   RolloutRecord rollout;
   rollout.plan.id = "r1", rollout.plan.who = "ann", rollout.plan.targets = {{"i1", "a1", "z1"}};
@@ -48,7 +48,7 @@
   {
     Store store(path);
     assert(open(store) == OpenStatus::usable && store.instances().empty());
-    assert(store.write_instances({{"i1", kept(7)}, {"i2", {}}}) &&
+    assert(store.write_instances({{"i1", instance_with(7)}, {"i2", {}}}) &&
            store.write_process("i1", ProcessRecord{12, 34, "b", 3}));
     assert(store.write_process("i2", ProcessRecord{13, 35, "b", 1}) &&
            store.write_process("i2", std::nullopt));
@@ -74,19 +74,19 @@
   assert(store.rollouts(3)[0].plan.id == "x249" && store.rollouts(1000).size() <= 200);
 }
 
-// The database is lost and what SQLite keeps beside it is not, as after a kill amid a write: the next one
-// begins anew.
-void lost_beside_a_journal() {
+// The database file is lost, but SQLite's journal beside it is not: a process was killed during a write and
+// the database file was removed afterwards. A new, empty store can then be opened and written.
+void database_lost_but_not_its_journal() {
   const std::string path = folder + "/lost.db";
   int with_journal = 0;
   for (int i = 0; i < 60; ++i) {
     const pid_t child = fork();
     if (child == 0) {
       Store store(path);
-      std::string fault;
-      if (store.open(fault) != OpenStatus::usable) _exit(1);
+      std::string error;
+      if (store.open(error) != OpenStatus::usable) _exit(1);
       for (std::uint64_t fence = 1;; ++fence)
-        store.write_instances({{"i1", kept(fence)}, {"i2", kept(fence)}});
+        store.write_instances({{"i1", instance_with(fence)}, {"i2", instance_with(fence)}});
     }
     usleep(static_cast<useconds_t>(8000 + 331 * i));
     kill(child, SIGKILL);
@@ -96,20 +96,21 @@
     with_journal += std::filesystem::exists(path + "-journal");
     std::filesystem::remove(path);
     Store store(path);
-    assert(open(store) == OpenStatus::usable && store.write_instances({{"i1", kept(1)}}));
+    assert(open(store) == OpenStatus::usable && store.write_instances({{"i1", instance_with(1)}}));
   }
   std::fprintf(stderr, "%d of 60 left a journal\n", with_journal);
   assert(with_journal > 0);
 }
 
-// A kill at each point of a write that changes two instances leaves both as before or both as after.
+// After a kill at any stage of a write that changes two instances, either both are unchanged or both changed.
 void kills() {
   const std::string path = folder + "/k.db";
   for (const TransactionStage stage : all_transaction_stages) {
     std::filesystem::remove(path);
     {
       Store store(path);
-      assert(open(store) == OpenStatus::usable && store.write_instances({{"i1", kept(1)}, {"i2", kept(1)}}));
+      assert(open(store) == OpenStatus::usable &&
+             store.write_instances({{"i1", instance_with(1)}, {"i2", instance_with(1)}}));
     }
     const pid_t child = fork();
     if (child == 0) {
@@ -117,7 +118,7 @@
         if (reached == stage) raise(SIGKILL);
       });
       open(store);
-      store.write_instances({{"i1", kept(2)}, {"i2", kept(2)}});
+      store.write_instances({{"i1", instance_with(2)}, {"i2", instance_with(2)}});
       _exit(0);
     }
     int status = 0;
@@ -131,9 +132,9 @@
   }
 }
 
-void older_and_newer() {
+void older_and_newer_files() {
   const std::string path = folder + "/v.db";
-  {  // Version 1 had no rollouts.
+  {  // A file of version 1 has no table of rollouts.
     SQLite::Database old(path, SQLite::OPEN_READWRITE | SQLite::OPEN_CREATE);
     old.exec(
         "CREATE TABLE instance (name TEXT PRIMARY KEY, wanted INTEGER NOT NULL, version INTEGER NOT NULL,"
@@ -152,7 +153,7 @@
   SQLite::Database(path, SQLite::OPEN_READWRITE).exec("PRAGMA user_version = 99;");
   Store store(path);
   assert(open(store) == OpenStatus::too_new);
-  // It is left as it is.
+  // The file is left as it is.
   assert(SQLite::Database(path).execAndGet("PRAGMA user_version").getInt() == 99);
 }
 
@@ -173,7 +174,7 @@
 void configuration() {
   const std::string path = folder + "/c.db";
   const auto first = config_state(std::string("any \0 byte \xff", 12), 4), second = config_state("", 5);
-  {  // A file of version 4 had none.
+  {  // A file of version 4 has no tables for the configuration.
     Store store(path);
     assert(open(store) == OpenStatus::usable);
     SQLite::Database(path, SQLite::OPEN_READWRITE)
@@ -184,7 +185,7 @@
     assert(open(store) == OpenStatus::usable && !store.config().current);
     assert(store.write_config(first) && store.config() == first);
   }
-  // A kill at each point leaves the version and the records as before, or both as after.
+  // After a kill at any stage, either both the version and the records are unchanged or both changed.
   for (const TransactionStage stage : all_transaction_stages) {
     const pid_t child = fork();
     if (child == 0) {
@@ -202,7 +203,7 @@
     assert(open(store) == OpenStatus::usable);
     assert(store.config() == (stage == TransactionStage::committed ? second : first));
   }
-  // A document that is not what its digest says is damage, and is told as such.
+  // A document that does not match its digest is reported as damage.
   SQLite::Database(path, SQLite::OPEN_READWRITE).exec("UPDATE configuration SET content = 'other';");
   Store store(path);
   assert(open(store) == OpenStatus::damaged);
@@ -213,11 +214,11 @@
   {
     Store store(path);
     open(store);
-    for (int i = 0; i < 200; ++i) store.write_instances({{"i" + std::to_string(i), kept(1)}});
+    for (int i = 0; i < 200; ++i) store.write_instances({{"i" + std::to_string(i), instance_with(1)}});
   }
   const auto size = std::filesystem::file_size(path);
-  int told = 0;
-  for (std::uint64_t at = 0; at < size; at += 4096) {  // a page overwritten, each in turn
+  int reported = 0;
+  for (std::uint64_t at = 0; at < size; at += 4096) {  // overwrites one page at a time
     const std::string broken = folder + "/broken.db";
     std::filesystem::copy_file(path, broken, std::filesystem::copy_options::overwrite_existing);
     {
@@ -226,14 +227,14 @@
       file << std::string(4096, '\x5a');
     }
     Store store(broken);
-    const OpenStatus opened = open(store);
-    assert(opened == OpenStatus::damaged || opened == OpenStatus::unusable);
-    ++told;
+    const OpenStatus status = open(store);
+    assert(status == OpenStatus::damaged || status == OpenStatus::unusable);
+    ++reported;
   }
-  assert(told > 5);
-  // No place for it, and one that takes nothing any more: the write fails whole, and says so.
+  assert(reported > 5);
+  // If the folder does not exist, or the file can't grow, the whole write fails with an error.
   Store nowhere(folder + "/none/x.db");
-  assert(open(nowhere) == OpenStatus::unusable && !nowhere.write_instances({{"i", kept(1)}}));
+  assert(open(nowhere) == OpenStatus::unusable && !nowhere.write_instances({{"i", instance_with(1)}}));
   const pid_t child = fork();
   if (child == 0) {
     Store store(path);
@@ -242,7 +243,7 @@
     const rlimit limit{size, size};
     setrlimit(RLIMIT_FSIZE, &limit);
     std::map<std::string, fleet::LeaseOwner::PersistedInstance> many;
-    for (int i = 0; i < 2000; ++i) many["j" + std::to_string(i)] = kept(2);
+    for (int i = 0; i < 2000; ++i) many["j" + std::to_string(i)] = instance_with(2);
     const bool written = store.write_instances(many);
     _exit(!written && !store.last_error().empty() ? 0 : 1);
   }
@@ -253,30 +254,30 @@
   assert(open(after) == OpenStatus::usable && after.instances().size() == 200);
 }
 
-// No file can be opened while a write begins, and one can again at once: what was to be written is.
-void short_of_files_for_a_moment() {
+// A write succeeds even if no descriptor is free when it begins, provided that the shortage ends at once.
+void short_of_descriptors() {
   const std::string path = folder + "/short.db";
   rlimit usual{};
   assert(getrlimit(RLIMIT_NOFILE, &usual) == 0);
-  int attempts = 0, short_ones = 0;
+  int attempts = 0, failing_attempts = 0;
   Store store(path, [&](TransactionStage stage) {
     if (stage != TransactionStage::begun) return;
     rlimit limit = usual;
-    if (attempts++ < short_ones) limit.rlim_cur = 0;  // what is open stays open
+    if (attempts++ < failing_attempts) limit.rlim_cur = 0;  // open descriptors stay open
     assert(setrlimit(RLIMIT_NOFILE, &limit) == 0);
   });
   assert(open(store) == OpenStatus::usable);
-  for (short_ones = 1; short_ones <= 3; ++short_ones) {
+  for (failing_attempts = 1; failing_attempts <= 3; ++failing_attempts) {
     attempts = 0;
-    const auto fence = static_cast<std::uint64_t>(short_ones);
-    const bool written = store.write_instances({{"i1", kept(fence)}});
+    const auto fence = static_cast<std::uint64_t>(failing_attempts);
+    const bool written = store.write_instances({{"i1", instance_with(fence)}});
     assert(setrlimit(RLIMIT_NOFILE, &usual) == 0);
-    assert(written && attempts == short_ones + 1 && store.last_error().empty());
+    assert(written && attempts == failing_attempts + 1 && store.last_error().empty());
     assert(store.instances().at("i1").last_fence == fence);
   }
-  // A shortage that stays is told.
-  attempts = 0, short_ones = 1000;
-  const bool written = store.write_instances({{"i1", kept(9)}});
+  // A shortage that does not end is reported.
+  attempts = 0, failing_attempts = 1000;
+  const bool written = store.write_instances({{"i1", instance_with(9)}});
   assert(setrlimit(RLIMIT_NOFILE, &usual) == 0);
   assert(!written && !store.last_error().empty() && attempts < 20);
   assert(store.instances().at("i1").last_fence == 3);
@@ -286,12 +287,12 @@
   char name[] = "/tmp/pearchute-store-XXXXXX";
   assert(mkdtemp(name));
   folder = name;
-  written_and_read();
+  written_and_read_back();
   kills();
-  lost_beside_a_journal();
-  older_and_newer();
+  database_lost_but_not_its_journal();
+  older_and_newer_files();
   configuration();
   damage();
-  short_of_files_for_a_moment();
+  short_of_descriptors();
   std::filesystem::remove_all(folder);
 }
