--- a/src/fleet/anti_entropy_scheduler.cpp
+++ b/src/fleet/anti_entropy_scheduler.cpp
@@ -13,11 +13,11 @@
   }
 }
 
-// Three quarters to five quarters of it, so that agents that start together drift apart.
+// Returns a random duration from 3/4 to 5/4 of `duration`, so that agents that start together drift apart.
 Duration AntiEntropyScheduler::jittered(Duration duration) {
-  const Duration shortest = duration * 3 / 4;
+  const Duration min_duration = duration * 3 / 4;
   const Duration range = duration / 2;
-  return shortest +
+  return min_duration +
          Duration(static_cast<Duration::rep>(random_() % static_cast<std::uint64_t>(range.count() + 1)));
 }
 
--- a/src/fleet/budget_leases.cpp
+++ b/src/fleet/budget_leases.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-// For a response's way there and back, and for a manager that is slow to acknowledge; an order that is
-// acknowledged later than that is given again.
+// Allowance for a message's round trip and for a manager that is slow to acknowledge an order. An order that
+// is acknowledged later than this is sent again.
 constexpr Duration message_allowance = std::chrono::seconds(2);
-// The least time between two requests for one lease.
-constexpr Duration request_interval = message_allowance / 2;
-// The incarnation is the upper half of a fence, a counter the lower one.
+// Minimum time between two requests for one lease.
+constexpr Duration min_request_interval = message_allowance / 2;
+// The upper 32 bits of a fence are the agent's incarnation, the lower 32 bits a counter.
 constexpr int fence_counter_bits = 32;
 
-// A borrower renews while a third of its lease is left, so that it survives two lost responses.
+// A borrower requests the renewal when a third of its lease is left, so that the lease survives two lost
+// responses.
 TimePoint renewal_time(TimePoint requested_at, Duration lease) { return requested_at + lease * 2 / 3; }
 
 }  // namespace
@@ -41,8 +42,9 @@
 void BudgetLeases::restore(TimePoint now, const std::map<std::string, BudgetLease>& leases, bool lost) {
   if (lost) quiet_until_ = now + startup_quiet_period(window_, lease_);
   for (const auto& [id, lease] : leases) {
-    // Whether it was granted is not known, nor whether its lender had acknowledged: the safe assumption is
-    // that it was granted just now, and that a renewal has to wait for the acknowledgement and a window.
+    // The disk records neither whether the lease was granted nor whether its lender had acknowledged the
+    // reduced share. The safe assumption is that it was granted just now, and that a renewal has to wait for
+    // an acknowledgement and then a window.
     GrantedLease& granted = granted_leases_[id];
     granted.lease = lease;
     granted.granted_at = now;
@@ -108,34 +110,36 @@
   return own_share_of(manager) - lent_from(key) + borrowed_for(now, key);
 }
 
-// What a manager has no use for. One that borrows at the engine lends nothing there.
+// Returns the eighths of its share that a manager does not need. A manager that borrows at an engine lends
+// nothing there.
 int BudgetLeases::lendable(TimePoint now, const ShareKey& key) const {
   if (!managers_.contains(key.first) || borrowed_for(now, key) > 0) return 0;
   return own_share_of(key.first) - lent_from(key) -
          std::clamp(demand_of(key), min_retained_share, full_share);
 }
 
-// Whether the leases granted by the previous incarnation are unknown and may still hold.
+// Returns whether leases granted by the previous incarnation, which are unknown here, may still be in force.
 bool BudgetLeases::is_quiet(TimePoint now) const { return quiet_until_ && now < *quiet_until_; }
 
-// Until when an order that is given now holds.
+// Returns the time until which an order sent now is valid.
 TimePoint BudgetLeases::order_expiry(TimePoint now, const ShareKey& key) const {
   const bool lends = std::ranges::any_of(granted_leases_,
                                          [&](const auto& granted) { return key_of(granted.second) == key; });
-  // For the longest way that the lease may take: a late acknowledgement, a window, the response, the lease,
-  // and a window more.
+  // A lender's order has to outlast the slowest course of a lease: a late acknowledgement, a window, the
+  // response's way, the lease itself, and one more window.
   if (lends) return now + startup_quiet_period(window_, lease_);
   TimePoint until = now + lease_;
   for (const auto& [id, borrowed] : borrowed_leases_) {
-    // The first that ends: what is left of the others is ordered again then.
+    // The order ends with the first lease that ends; a new order then covers the remaining leases.
     if (key_of(borrowed) == key && now < borrowed.until) until = std::min(until, borrowed.until);
   }
   return until;
 }
 
-// Each order has a fence of its own, so that a delayed older one is recognized.
+// Orders the manager to use its current share. Each order has a new fence, so that the manager recognizes a
+// delayed older order.
 void BudgetLeases::send_order(TimePoint now, const ShareKey& key) {
-  // While it is not known what was lent, no share is known.
+  // While the leases of the previous incarnation are unknown, the manager's share is unknown, too.
   if (!managers_.contains(key.first) || is_quiet(now)) return;
   ordered_keys_.insert(key);
   const TimePoint until = order_expiry(now, key);
@@ -158,41 +162,42 @@
 
 void BudgetLeases::renew_granted(TimePoint now, const std::string& agent, const BudgetLeaseRequest& request,
                                  GrantedLease& granted) {
-  if (granted.lease.to != agent) return;                   // not the agent that the id was granted to
-  if (request.round < granted.last_request.round) return;  // a delayed copy
+  if (granted.lease.to != agent) return;                   // this lease id belongs to another agent
+  if (request.round < granted.last_request.round) return;  // a delayed copy of an earlier request
   granted.last_request = request;
-  if (!granted.granted_at) {  // its lender still has to reduce its share
+  if (!granted.granted_at) {  // the lender still has to reduce its share; the response follows then
     granted.response_due = true;
     return;
   }
   const ShareKey key = key_of(granted);
   const bool is_used = 2 * request.used >= granted.lease.eighths;
   const bool lender_needs_it = demand_of(key) > own_share_of(key.first) - lent_from(key);
-  // At its end it may already be over for the borrower, so it is not renewed then.
+  // A lease that has reached its end is not renewed, because it may be over at the borrower already.
   const bool has_ended = now >= *granted.granted_at + lease_;
   if (!is_used || lender_needs_it || !managers_.contains(key.first) || has_ended)
     return host_.send_response(agent, {request.id, 0, request.round});
   granted.response_due = true;
-  send_order(now, key);  // its lender has to acknowledge the longer time before the response goes out
+  send_order(now, key);  // the lender has to acknowledge the extended order before the response is sent
 }
 
 void BudgetLeases::grant_new(TimePoint now, const std::string& agent, const BudgetLeaseRequest& request) {
   std::string lender;
-  int most = 0;
+  int max_lendable = 0;
   for (const auto& [manager, own_share] : managers_) {
-    const int has = lendable(now, {manager, request.engine});
-    if (is_quiet(now) || manager == request.borrower || has <= most) continue;
+    const int available = lendable(now, {manager, request.engine});
+    if (is_quiet(now) || manager == request.borrower || available <= max_lendable) continue;
     lender = manager;
-    most = has;
+    max_lendable = available;
   }
-  const int eighths = std::min(most, request.eighths);
+  const int eighths = std::min(max_lendable, request.eighths);
   const BudgetLeaseResponse refusal{request.id, 0, request.round};
   if (eighths <= 0) return host_.send_response(agent, refusal);
   GrantedLease& granted = granted_leases_[request.id];
   granted.lease = {request.engine, lender, request.borrower, agent, eighths};
   granted.last_request = request;
   granted.response_due = true;
-  // Durable before it takes effect. Where it can't be written nothing has happened yet.
+  // The lease is durable before it takes effect. If the write fails, the request is refused and nothing has
+  // changed.
   if (!persist()) {
     granted_leases_.erase(request.id);
     return host_.send_response(agent, refusal);
@@ -204,9 +209,9 @@
                                          const WarmingEngine& engine, std::uint64_t fence) {
   for (auto& [id, granted] : granted_leases_) {
     if (key_of(granted) != ShareKey{manager, engine} || granted.unacknowledged_fence != fence) continue;
-    // The share was reduced without a gap only if the order before lasted until now, by when this one was
-    // taken at the latest. Otherwise the lender may have used its whole share in between, and a window has to
-    // pass again.
+    // The lender's share was reduced without a gap only if the previous order is still valid now, since the
+    // manager accepted this order no later than now. Otherwise the lender may have used its full share in
+    // between, and a window has to pass again.
     if (!granted.reduced_since || now >= granted.acknowledged_until) granted.reduced_since = now;
     granted.acknowledged_until = granted.ordered_until;
     granted.unacknowledged_fence = 0;
@@ -217,9 +222,9 @@
 void BudgetLeases::send_due_responses(TimePoint now) {
   for (auto& [id, granted] : granted_leases_) {
     if (!granted.response_due || !granted.reduced_since || granted.unacknowledged_fence != 0) continue;
-    // What was sent by the whole share still counts for a window.
+    // Work that the lender sent under its full share counts against the budget for one window.
     if (now < *granted.reduced_since + window_) continue;
-    // The share has to stay reduced until the lease, and a window, is over.
+    // The lender's share has to stay reduced until one window after the end of the lease.
     if (granted.ordered_until < now + lease_ + window_) {
       send_order(now, key_of(granted));
       continue;
@@ -234,10 +239,10 @@
   const std::size_t before = granted_leases_.size();
   std::erase_if(granted_leases_, [&](const auto& entry) {
     const GrantedLease& granted = entry.second;
-    const bool ran_out = granted.granted_at && now >= *granted.granted_at + lease_ + window_;
-    // One whose lender has not acknowledged in time was never granted, and is not answered any more.
+    const bool has_expired = granted.granted_at && now >= *granted.granted_at + lease_ + window_;
+    // A lease whose lender has not acknowledged in time was never granted; its request is not answered.
     const bool never_granted = !granted.granted_at && now >= granted.ordered_until;
-    if (!ran_out && !never_granted) return false;
+    if (!has_expired && !never_granted) return false;
     changed.insert(key_of(granted));
     return true;
   });
@@ -263,7 +268,8 @@
   }
   const auto requested = borrowed.requested_at.find(response.round);
   if (requested == borrowed.requested_at.end()) return;
-  // Counted from the request that is answered: however long the response took, the lender counts longer.
+  // The lease is counted from the request that this response answers, so the lender always counts longer,
+  // whatever the response took.
   const TimePoint until = requested->second + lease_;
   if (borrowed.ended || until <= now || until <= borrowed.until) return;
   borrowed.eighths = response.eighths;
@@ -282,7 +288,7 @@
       continue;
     }
     renew_borrowed(now, borrowed);
-    // The response to a request that is older than a lease is of no use.
+    // Requests older than a lease are forgotten: a response to one of them could only grant an expired lease.
     auto& requested_at = borrowed.requested_at;
     while (requested_at.size() > 1 && requested_at.begin()->second + lease_ <= now)
       requested_at.erase(requested_at.begin());
@@ -292,17 +298,18 @@
 
 void BudgetLeases::renew_borrowed(TimePoint now, BorrowedLease& borrowed) {
   const TimePoint last_requested_at = borrowed.requested_at.rbegin()->second;
-  if (borrowed.ended || now < last_requested_at + request_interval) return;
+  if (borrowed.ended || now < last_requested_at + min_request_interval) return;
   const bool in_force = now < borrowed.until;
   if (in_force && now < renewal_time(borrowed.until - lease_, lease_)) return;
-  // The first request is repeated as it was: the lease is counted from when it was first sent.
+  // An unanswered first request is repeated under its round, so the lease is counted from the first sending.
   if (in_force) borrowed.requested_at[++borrowed.request.round] = now;
   const ShareKey key = key_of(borrowed);
   borrowed.request.used = std::clamp(demand_of(key) - own_share_of(key.first), 0, borrowed.eighths);
   host_.send_request(borrowed.lender_agent, borrowed.request);
 }
 
-// Requests what each manager lacks, from one lender at a time, another one each time.
+// Requests the share that each manager lacks, from one lending agent at a time and from the next one each
+// time.
 void BudgetLeases::request_leases(TimePoint now, const std::vector<std::string>& lenders) {
   for (const auto& [key, wanted] : demand_) {
     if (!managers_.contains(key.first) || lent_from(key) > 0) continue;
--- a/src/fleet/command_outcome.cpp
+++ b/src/fleet/command_outcome.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The outcome that an operator has to look at first decides.
-ExitStatus most_urgent(const std::vector<CommandOutcome>& each) {
+// Returns the status of the most severe outcome: the one that an operator has to handle first.
+ExitStatus most_severe(const std::vector<CommandOutcome>& each) {
   const auto any = [&](CommandOutcome outcome) { return std::ranges::find(each, outcome) != each.end(); };
   if (any(CommandOutcome::conflict)) return in_conflict;
   if (any(CommandOutcome::refused)) return was_refused;
@@ -18,12 +18,12 @@
 
 }  // namespace
 
-ExitStatus exit_status_of_query(const std::vector<CommandOutcome>& each) { return most_urgent(each); }
+ExitStatus exit_status_of_query(const std::vector<CommandOutcome>& each) { return most_severe(each); }
 
 ExitStatus exit_status_of_change(const std::vector<CommandOutcome>& each) {
   const auto done = std::ranges::count(each, CommandOutcome::yes);
   if (done > 0 && done < static_cast<std::ptrdiff_t>(each.size())) return partly_done;
-  return most_urgent(each);
+  return most_severe(each);
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/command_outcome.h
+++ b/src/fleet/command_outcome.h
@@ -1,12 +1,12 @@
-// What became of an operator's command over many instances, and the exit status with which the command line
-// ends. Stateless.
+// Outcomes of an operator's command on many instances, and the exit status of the command line that they add
+// up to. Stateless.
 #pragma once
 
 #include <vector>
 
 namespace pearchute::fleet {
 
-// What became of a command on one instance.
+// The outcome of a command on one instance.
 enum class CommandOutcome { yes, unreachable, refused, conflict, time_up, not_begun };
 
 // The exit status of a command line: see docs/operating.md.
@@ -21,9 +21,9 @@
   not_confirmed = 8,
 };
 
-// Of a query, whose answers are printed as far as they came.
+// Returns the exit status of a query; the answers that were received are printed whatever the status.
 ExitStatus exit_status_of_query(const std::vector<CommandOutcome>& each);
-// Of a change: partly done where it was done on some instances only.
+// Returns the exit status of a change: partly_done if it succeeded on some of the instances only.
 ExitStatus exit_status_of_change(const std::vector<CommandOutcome>& each);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/config_spread.cpp
+++ b/src/fleet/config_spread.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-// A peer that can't be reached, or can't write, is not pushed to any more after so many attempts.
+// Failed pushes of one version after which a peer that can't be reached, or can't persist it, is pushed to no
+// more.
 constexpr int max_failed_pushes = 3;
-// Bytes of an obstacle's reason that are spread.
+// Bytes of an obstacle's reason that are sent to other agents; the rest is cut off.
 constexpr std::size_t max_reason_length = 200;
 
-// Sizes in an encoded message, approximately.
+// Approximate sizes of the parts of an encoded message, in bytes.
 constexpr std::size_t digest_size = 34, hash_size = 9, number_size = 6;
 constexpr std::size_t hashes_in_message = 3;
 constexpr std::size_t name_overhead = 2, obstacle_overhead = 8, document_overhead = 16;
-constexpr std::uint32_t short_revision_limit = 64;  // below it a revision takes less
+constexpr std::uint32_t short_revision_limit = 64;  // smaller revisions take short_revision_size
 constexpr std::size_t short_revision_size = 1, long_revision_size = 3;
 
 void add_number(Fnv1a& hash, std::uint32_t number) {
@@ -28,7 +29,7 @@
     hash.add_byte(static_cast<unsigned char>(number >> shift & byte_mask));
 }
 
-// Texts are separated, so that "ab", "c" and "a", "bc" differ.
+// A zero byte separates texts, so that the hashes of "ab", "c" and "a", "bc" differ.
 void add_text(Fnv1a& hash, std::string_view text) {
   hash.add(text);
   hash.add_byte(0);
@@ -140,7 +141,8 @@
   }
   if (now < next_exchange_ || peers_.empty()) return begun;
   const Duration interval = active(now) || !verified() ? active_interval : idle_interval;
-  // Three quarters to five quarters of it, so that agents that start together drift apart.
+  // The next exchange follows after 3/4 to 5/4 of the interval, so that agents that start together drift
+  // apart.
   const Duration quarter = interval / 4;
   const Duration range = 2 * quarter;
   next_exchange_ = now + 3 * quarter + Duration(static_cast<Duration::rep>(random_()) % range.count());
@@ -203,7 +205,7 @@
   merge(now, answer);
   verified_peers_.insert(peer);
   const bool behind = current_ && answer.mark < replica_.mark();
-  // An answer with an older mark than was pushed comes from a peer that could not write it.
+  // An answer with an older mark than the pushed version comes from a peer that could not persist it.
   const bool push_failed = behind && pending_pushes_.contains(peer);
   int& failed_pushes = found->second.failed_pushes;
   failed_pushes = push_failed ? failed_pushes + 1 : 0;
@@ -224,7 +226,7 @@
   --exchanges_in_flight_;
   if (!pending_pushes_.contains(peer) || ++at->second.failed_pushes < max_failed_pushes) return;
   pending_pushes_.erase(peer);
-  // Another peer of that zone may be reachable.
+  // The push of this version to the peer has failed: another peer of its zone may be reachable.
   at->second.failed_pushes = 0;
   if (active(now)) push_to_some(peers_in(at->second.location.zone, true), 1);
 }
@@ -250,7 +252,8 @@
       if (from_before_restart) own_revision_received_ = std::max(own_revision_received_, theirs.revision);
       continue;
     }
-    // Of two with one revision, from before and after a restart, the one that promises less stands.
+    // Two acknowledgements with the same revision come from before and after a restart of the agent. The one
+    // that is not in force wins, since it promises less.
     const bool newer = theirs.revision > ours.revision ||
                        (theirs.revision == ours.revision && ours.in_force && !theirs.in_force);
     if (!newer) continue;
@@ -322,7 +325,7 @@
   changed(now);
 }
 
-// ---- What is known
+// ---- State
 
 std::size_t ConfigSpread::index_of(const std::string& agent) const {
   const auto at = std::ranges::lower_bound(members_, agent);
--- a/src/fleet/config_version.cpp
+++ b/src/fleet/config_version.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t digest_bytes = 16;  // of SHA-256's 32
+constexpr std::size_t digest_bytes = 16;  // the first 16 of SHA-256's 32 bytes
 constexpr int bits_per_digit = 4;
 constexpr unsigned char digit_mask = 15;
 constexpr std::size_t max_name_bytes = 128;
@@ -18,7 +18,7 @@
   return text.size() == 2 * digest_bytes && text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
-// Each part is preceded by its length, so that no two documents give the same input.
+// Prepends the length to each part, so that no two documents give the same input to the hash.
 void append_part(std::string& input, std::string_view part) {
   input += std::to_string(part.size());
   input += ':';
@@ -117,18 +117,19 @@
 bool ConfigReplica::receive_superseded(const std::vector<SupersededConfig>& records) {
   State after = state_;
   for (const SupersededConfig& record : records) {
-    const bool sound = is_hex_digest(record.mark.digest) && is_hex_digest(record.by.digest) &&
-                       record.mark < record.by && record.author.size() <= max_name_bytes &&
-                       record.ancestors.size() <= ConfigDocument::max_ancestors &&
-                       std::ranges::all_of(record.ancestors, is_hex_digest);
-    if (sound) add(after, record);
+    const bool is_valid = is_hex_digest(record.mark.digest) && is_hex_digest(record.by.digest) &&
+                          record.mark < record.by && record.author.size() <= max_name_bytes &&
+                          record.ancestors.size() <= ConfigDocument::max_ancestors &&
+                          std::ranges::all_of(record.ancestors, is_hex_digest);
+    if (is_valid) add(after, record);
   }
   if (after == state_ || !host_.write_config(after)) return false;
   state_ = std::move(after);
   return true;
 }
 
-// Of two records of one document the greater winner stands, so that the union is the same in any order.
+// Of two records of one document the one with the greater winner is kept, so that merging records gives the
+// same result in any order. Beyond max_superseded, the record with the least mark is dropped.
 void ConfigReplica::add(State& state, const SupersededConfig& record) {
   auto& all = state.superseded;
   const auto place = std::ranges::lower_bound(all, record.mark, {}, &SupersededConfig::mark);
--- a/src/fleet/drains.cpp
+++ b/src/fleet/drains.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// How long a restore is remembered, so that a delayed drain which it overtook is recognized as older. Calls
-// end within seconds; a command line that was suspended and goes on may take minutes.
+// How long a restore is remembered, so that a delayed drain of an older generation is recognized as stale.
+// Calls end within seconds, but a command line that was suspended and continued may take minutes.
 constexpr Duration restore_retention = std::chrono::hours(1);
-// The holder under which a restore for all holders is kept.
+// Key in Holders under which a restore for all holders is stored.
 const std::string all_holders_key;
 
 constexpr unsigned char space = 0x20;
@@ -111,15 +111,16 @@
     if (active.order.id == directive.id && active.order.generation == directive.generation)
       return DirectiveResult::repeated;
   }
-  // Compared with the holder's last directive and the last one for all holders. A restore for all holders
-  // ends what is older, whatever its own holder has sent since.
+  // The directive is compared with its holder's last one and with the last restore for all holders. A restore
+  // for all holders is not compared with its own holder's directive: it ends older directives whatever that
+  // holder has sent since.
   const auto own = holders.find(directive.holder);
   const auto common = holders.find(all_holders_key);
   for (const auto& other : {own, common}) {
     if (other == holders.end() || (directive.all_holders && other == own)) continue;
     const DrainDirective& present = other->second.order;
     if (directive.generation < present.generation) return DirectiveResult::stale;
-    // Of the same generation the one that drains stands, whichever comes first.
+    // Of two directives of the same generation the drain wins, whichever arrives first.
     if (directive.generation == present.generation && (present.drains || !directive.drains))
       return DirectiveResult::conflict;
   }
@@ -175,10 +176,10 @@
   if (next) host_.wake_at(*next);
 }
 
-// Announces the states that differ from those announced before.
+// Reports to the host all states that differ from those announced before.
 void Drains::announce_changes() {
   schedule_timer();
-  // All changes are determined before the first is announced, since the host may call in again.
+  // All changes are collected before the first is announced, since the host may call back into this object.
   std::vector<std::pair<std::string, AdminState>> changes;
   for (auto& [name, listed] : engines_) {
     const AdminState state = merged(name, listed);
@@ -218,7 +219,7 @@
       if (active.order.drains) directives.push_back(active);
     }
   };
-  // In the order of subjects, as in the other lists.
+  // Directives on the address come first, so that the list is sorted by subject like the other lists.
   const auto listed = engines_.find(engine);
   if (listed != engines_.end()) add("@" + listed->second.address);
   add(engine);
--- a/src/fleet/gossip_state.cpp
+++ b/src/fleet/gossip_state.cpp
@@ -11,42 +11,42 @@
 
 namespace {
 
-// Traffic changes all the time: if each tenth of it were published, a busy host would fill every answer. A
-// change is significant beyond this share of the value,
+// Only significant changes of a figure are published. Traffic changes all the time: if every change by a
+// tenth were published, the reports of a busy host would fill each answer. A change is significant if it
+// exceeds both this share of the greater value and the figure's own minimum.
 constexpr double significant_change_share = 0.25;
-// and beyond these amounts.
-constexpr double significant_traffic_change = 1;  // requests per second
-constexpr double significant_done_change = 0.05;  // share
-constexpr double significant_open_change = 4;     // requests
-// The upper half of an incarnation is a counter, the lower half is random.
+constexpr double min_traffic_change = 1;  // requests per second
+constexpr double min_success_share_change = 0.05;
+constexpr double min_open_change = 4;  // requests
+// The upper 32 bits of an incarnation are a counter, the lower 32 bits are random.
 constexpr int incarnation_counter_shift = 32;
 constexpr std::uint64_t incarnation_random_mask = 0xffffffff;
-// The most entries that an agent's record can have, twice over, since a partial answer may repeat some.
+// Maximum number of entries accepted for an agent: twice what its record can have, since a partial answer may
+// repeat entries.
 constexpr std::size_t max_entries = 2 * (GossipState::max_instances + GossipState::max_removed_instances);
-// Numbers and field tags of an encoded entry and of its report, approximately.
+// Approximate bytes of numbers and field tags in an encoded entry and in its report.
 constexpr std::size_t entry_overhead_bytes = 48;
 constexpr std::size_t report_overhead_bytes = 48;
 
-bool is_significant(double before, double now, double least) {
-  return std::abs(now - before) > std::max(least, significant_change_share * std::max(before, now));
+bool is_significant(double before, double now, double min_change) {
+  return std::abs(now - before) > std::max(min_change, significant_change_share * std::max(before, now));
 }
 
 bool differs_significantly(const StatusReport& published, const StatusReport& now) {
   return std::tie(published.zone, published.state, published.process_incarnation) !=
              std::tie(now.zone, now.state, now.process_incarnation) ||
-         is_significant(published.traffic, now.traffic, significant_traffic_change) ||
-         is_significant(published.done, now.done, significant_done_change) ||
-         is_significant(static_cast<double>(published.open), static_cast<double>(now.open),
-                        significant_open_change);
+         is_significant(published.traffic, now.traffic, min_traffic_change) ||
+         is_significant(published.done, now.done, min_success_share_change) ||
+         is_significant(static_cast<double>(published.open), static_cast<double>(now.open), min_open_change);
 }
 
-// Generators of this kind give outputs in common for consecutive seeds, but two incarnations of an agent must
-// not draw the same.
+// std::knuth_b generators with consecutive seeds share outputs, but two incarnations of an agent must not
+// draw the same random numbers. The seed is therefore mixed first.
 std::knuth_b::result_type mixed_seed(std::uint64_t seed) {
   return static_cast<std::knuth_b::result_type>(mix_bits(seed));
 }
 
-// An order over all reports: any will do, so long as all agents have the same.
+// Returns a key for a total order of reports. Any order would do, provided that all agents use the same one.
 auto rank(const StatusReport& report) {
   return std::tie(report.instance, report.zone, report.state, report.process_incarnation, report.in_state_for,
                   report.traffic, report.done, report.open);
@@ -75,8 +75,9 @@
   begin_incarnation(incarnation);
 }
 
-// Durable before anything is published under it. Otherwise the next start would use it again, number its
-// entries from the beginning, and have them taken for repetitions.
+// Begins an incarnation greater than `above`. It has to be durable before anything is published under it:
+// otherwise the next start would use it again, number its entries from 1, and peers would ignore them as
+// repetitions.
 void GossipState::begin_incarnation(std::uint64_t above) {
   own_ = {};
   const std::uint64_t counter = (above >> incarnation_counter_shift) + 1;
@@ -115,20 +116,20 @@
     const bool is_new = found == own_.by_instance.end();
     const bool is_published = !is_new && found->second.report;
     if (is_published && !differs_significantly(*found->second.report, report)) continue;
-    if (!is_new && !is_published) --removed_;  // it is owned again
+    if (!is_new && !is_published) --removed_;  // the agent owns the instance again
     put(own_, {++own_.mark.through, instance, report});
   }
   published_ = true;
 }
 
-// Returns false where nothing can be published.
+// Publishes that instances are no longer owned. Returns false if nothing can be published.
 bool GossipState::publish_removals() {
   std::vector<std::string> removed;
   for (const auto& [instance, entry] : own_.by_instance) {
     if (entry.report && !own_reports_.contains(instance)) removed.push_back(instance);
   }
   if (removed_ + removed.size() > max_removed_instances) {
-    begin_incarnation(own_.mark.incarnation);  // which has no removed instances
+    begin_incarnation(own_.mark.incarnation);  // a new incarnation has no removed instances
     return can_publish_;
   }
   for (const std::string& instance : removed) {
@@ -138,12 +139,13 @@
   return true;
 }
 
-// Another agent knows more under this name than was published here: its own past, where the disk was lost or
-// an older copy of it restored, or another agent of the same name.
+// Begins a new incarnation if another agent has later reports under this name than were published here. They
+// are this agent's own past, if its disk was lost or replaced by an older copy, or come from another agent
+// with the same name.
 void GossipState::on_own_past_received(const ReportDelta& delta) {
   if (delta.upto.incarnation < own_.mark.incarnation) return;
   if (delta.upto.incarnation == own_.mark.incarnation && delta.upto.through <= own_.mark.through) return;
-  host_.on_event(self_, "others have later reports under this agent's name; it begins another incarnation");
+  host_.on_event(self_, "peers have later reports under this agent's name; starting a new incarnation");
   begin_incarnation(delta.upto.incarnation);
   if (instances_known_) publish_changes();
 }
@@ -156,8 +158,8 @@
     ReportEntry& present = known->second;
     if (present.number > entry.number) return;
     if (present.number == entry.number) {
-      // One agent never publishes two contents under one number, so two publish under its name. All readers
-      // keep the same one of them.
+      // An agent never publishes two contents under one number, so two processes publish under its name. All
+      // readers keep the same one of the two contents.
       if (present != entry) record.disputed = true;
       if (is_greater(entry.report, present.report)) present.report = entry.report;
       return;
@@ -169,15 +171,16 @@
   if (!inserted && slot->second != entry.instance) record.disputed = true;
 }
 
-// No agent publishes so much, or such names. Whatever does stays unknown.
+// Returns whether the delta is within the bounds that every agent keeps when it publishes. A delta beyond
+// them is ignored, so the status of such an agent stays unknown.
 bool GossipState::is_acceptable(const AgentRecord& record, const ReportDelta& delta) {
   const std::size_t received = record.partial ? record.partial->entries.size() : 0;
   return received + delta.entries.size() <= max_entries &&
          std::ranges::all_of(delta.entries, is_within_bounds);
 }
 
-// The entries that bring the record up to the delta's version, those of earlier parts included. None where
-// the delta does not connect to what is known, or further parts have to follow.
+// Returns the entries that bring the record up to the delta's version, including those of earlier parts.
+// Returns none if the delta begins beyond the known entries, or if further parts have to follow.
 std::optional<std::vector<ReportEntry>> GossipState::complete_entries(AgentRecord& record,
                                                                       const ReportDelta& delta) {
   const ReportVersion& upto = delta.upto;
@@ -188,9 +191,9 @@
   const bool continues = partial && partial->incarnation == upto.incarnation &&
                          delta.since <= partial->resume && upto.through >= partial->target;
   if (!continues) {
-    // Entries above a number are of no use without all those below it.
+    // Entries are of no use without all entries of lower numbers.
     if (delta.since > known_through) return std::nullopt;
-    // A first part does not replace parts that reach further.
+    // A first part does not replace stored parts that reach as far or further.
     if (partial && partial->resume >= delta.through) return std::nullopt;
     record.partial = PartialDelta{upto.incarnation, 0, 0, {}};
   }
@@ -202,7 +205,7 @@
   return std::move(parts.entries);
 }
 
-// Returns false where the delta is of no use, or not yet.
+// Returns false if the delta brings nothing that can be used now.
 bool GossipState::merge(AgentRecord& record, const ReportDelta& delta) {
   const ReportVersion& upto = delta.upto;
   if (upto.incarnation < record.mark.incarnation) return false;
@@ -223,25 +226,25 @@
 }
 
 bool GossipState::receive(TimePoint now, TimePoint queried_at, const std::vector<ReportDelta>& deltas) {
-  bool of_use = false;
+  bool any_merged = false;
   for (const ReportDelta& delta : deltas) {
     if (delta.agent == self_) {
       on_own_past_received(delta);
       continue;
     }
     const auto found = peers_.find(delta.agent);
-    if (found == peers_.end()) continue;  // not configured here, even if it is at the reporter
+    if (found == peers_.end()) continue;  // not configured at this agent, even if it is at the reporter
     AgentRecord& record = found->second;
     if (!merge(record, delta)) continue;
-    // The age counts only now that everything it is the age of is here.
+    // The delta's age applies only once all entries up to its version are merged.
     if (delta.age_known && !record.disputed) {
       const TimePoint as_of = queried_at - std::max(delta.age, Duration(0));
       if (!record.as_of || as_of > *record.as_of) record.as_of = as_of;
     }
-    of_use = true;
+    any_merged = true;
     log_freshness(now, delta.agent, record);
   }
-  return of_use;
+  return any_merged;
 }
 
 // ---- Answers
@@ -255,8 +258,8 @@
   return marks;
 }
 
-// The own reports come first, then the others' in rotation, so that none is always crowded out by those
-// before it.
+// The answer begins with this agent's own reports. Those about other agents follow, beginning with another
+// agent in each answer, so that a full answer does not always leave out the same agents.
 std::vector<ReportDelta> GossipState::answer(TimePoint now,
                                              const std::map<std::string, ReportVersion>& marks) {
   std::vector<ReportDelta> deltas;
@@ -269,7 +272,8 @@
     if (theirs.incarnation > record.mark.incarnation) return;
     deltas.push_back(delta_for(now, agent, record, as_of, theirs, bytes_left));
   };
-  if (published_) add(self_, own_, now);  // to have published nothing yet is not to own nothing
+  // Before the first publish() the agent's instances are unknown; an empty delta would mean that it has none.
+  if (published_) add(self_, own_, now);
   if (peers_.empty()) return deltas;
   const std::size_t first = next_first_++ % peers_.size();
   for (std::size_t n = 0; n < peers_.size(); ++n) {
@@ -280,7 +284,8 @@
   return deltas;
 }
 
-// The record's entries that the asker lacks, as far as they fit.
+// Returns the record's entries that the asker lacks, as far as they fit into `bytes_left`, which is reduced
+// by their size.
 ReportDelta GossipState::delta_for(TimePoint now, const std::string& agent, const AgentRecord& record,
                                    const std::optional<TimePoint>& as_of, const ReportVersion& theirs,
                                    std::size_t& bytes_left) const {
@@ -307,7 +312,7 @@
   return delta;
 }
 
-// ---- What is known
+// ---- Known reports
 
 Freshness GossipState::freshness_of(TimePoint now, const AgentRecord& record) const {
   if (!record.as_of || record.disputed || now - *record.as_of > old_for) return Freshness::unknown;
@@ -317,7 +322,7 @@
 void GossipState::log_freshness(TimePoint now, const std::string& agent, AgentRecord& record) {
   const Freshness freshness = freshness_of(now, record);
   if (std::exchange(record.logged, freshness) == freshness) return;
-  host_.on_event(agent, record.disputed ? "two speak under its name" : name_of(freshness));
+  host_.on_event(agent, record.disputed ? "two processes publish under its name" : name_of(freshness));
 }
 
 void GossipState::on_timer(TimePoint now) {
@@ -345,7 +350,7 @@
 }
 
 std::map<std::string, StatusReport> GossipState::reports(const std::string& agent) const {
-  if (agent == self_) return own_reports_;  // more recent than what is published
+  if (agent == self_) return own_reports_;  // more recent than the published entries
   std::map<std::string, StatusReport> reports;
   const auto found = peers_.find(agent);
   if (found == peers_.end()) return reports;
--- a/src/fleet/hash.h
+++ b/src/fleet/hash.h
@@ -1,5 +1,5 @@
-// Hash functions whose values are the same in every process, build and machine, as messages and placements
-// need.
+// Hash functions whose values are the same in every process, build and machine, as messages and placement
+// require.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/instance_lifecycle.cpp
+++ b/src/fleet/instance_lifecycle.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-// A process that exits so soon after its start has crashed, and would do so again: its restart is delayed.
+// A process that exits within this time after its start counts as crashed. It would probably crash again, so
+// its restart is delayed.
 constexpr Duration crash_window = seconds(10);
-// The delay is doubled with each crash,
+// The delay doubles with each crash, up to the maximum.
 constexpr Duration min_restart_backoff = milliseconds(500);
 constexpr Duration max_restart_backoff = seconds(30);
 constexpr int max_backoff_doublings = 6;
-// until the process has been up for this long.
+// A process that has been up for this long is stable: the crash count returns to 0.
 constexpr Duration stable_after = seconds(60);
-// How long a process may take to exit: requests in flight are answered within 3.5 s, and the machine may be
-// busy. After that comes SIGTERM, and as much later SIGKILL.
+// How long a process may take to exit beyond the time for its drain: requests in flight are answered within
+// 3.5 s, and the machine may be busy. SIGTERM follows after this time, and SIGKILL after as much again.
 constexpr Duration shutdown_grace = seconds(10);
 
 Duration restart_backoff(int crashes) {
@@ -44,7 +45,7 @@
   started_at_ = now;
   process_was_alive_ = true;
   shutdown_requested_ = false;
-  // Where no process comes up at all, the next attempt waits as after a crash.
+  // If no process comes up at all, the next attempt waits as it does after a crash.
   start_not_before_ = now + restart_backoff(crash_count_);
   host_.start(version_);
 }
@@ -111,7 +112,7 @@
   host_.step_ended(step, last_step_->end, detail);
 }
 
-// Takes a half-done step to its fallback: the instance serves again, by the old command where the new one has
+// Takes a half-done step to its fallback: the instance serves again, with the old command if the new one has
 // not been started yet, or the step is finished.
 void InstanceLifecycle::lease_ended(TimePoint now) {
   if (!current_step_ || falling_back_) return;
@@ -128,8 +129,8 @@
   }
 }
 
-// A step that began before the agent's restart: the step is known from the disk, its progress from the
-// observation.
+// Takes up a step that began before the agent's restart, and lets it fall back. The step was persisted; its
+// progress is derived from the first observation.
 void InstanceLifecycle::resume_interrupted_step(TimePoint now, const Observation& observation) {
   current_step_ = std::exchange(interrupted_step_, std::nullopt);
   falling_back_ = false;
@@ -182,7 +183,7 @@
 
 void InstanceLifecycle::advance(TimePoint now, const Observation& observation) {
   if (state_ == InstanceState::foreign) {
-    if (current_step_ && has_timed_out(now)) finish(StepEnd::time_up, "somebody else has its address");
+    if (current_step_ && has_timed_out(now)) finish(StepEnd::time_up, "another process has its address");
     return;
   }
   switch (phase_) {
@@ -201,7 +202,7 @@
 void InstanceLifecycle::advance_draining(TimePoint now, const Observation& observation) {
   if (observation.ours && observation.drained) return finish(StepEnd::done, "drained");
   if (!observation.ours && wanted_) start(now);
-  if (has_timed_out(now)) finish(StepEnd::time_up, "drains, but not within the time");
+  if (has_timed_out(now)) finish(StepEnd::time_up, "still draining when its time was up");
 }
 
 void InstanceLifecycle::advance_ending(TimePoint now, const Observation& observation) {
@@ -222,7 +223,7 @@
     phase_until_ = now + shutdown_grace;
     host_.kill();
   } else {
-    finish(StepEnd::time_up, "does not end");
+    finish(StepEnd::time_up, "the process does not exit, not even after SIGKILL");
   }
 }
 
@@ -231,8 +232,9 @@
     return finish(StepEnd::done, "serves");
   if (!observation.ours) start(now);
   if (!has_timed_out(now)) return;
-  if (!observation.ours) return finish(StepEnd::time_up, "falls at once");
-  finish(StepEnd::time_up, observation.drains ? "others' orders hold it" : "does not serve");
+  if (!observation.ours) return finish(StepEnd::time_up, "the process exits right after its start");
+  finish(StepEnd::time_up,
+         observation.drains ? "kept draining by other operators' orders" : "does not serve");
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/lease_owner.cpp
+++ b/src/fleet/lease_owner.cpp
@@ -4,7 +4,7 @@
 
 namespace pearchute::fleet {
 
-// One instance: connects its lifecycle to the agent's driver, and keeps what is persisted of it.
+// One instance: connects its lifecycle to the agent's driver, and keeps the last persisted state.
 class LeaseOwner::Instance final : public InstanceLifecycle::Host {
  public:
   Instance(LeaseOwner& owner, std::string name, const PersistedInstance& persisted)
@@ -20,7 +20,7 @@
   void set_persisted(const PersistedInstance& persisted) { persisted_ = persisted; }
   void clear_lease() { persisted_.lease.reset(); }
 
-  // What is to be persisted of it now.
+  // Returns the present state as it has to be persisted.
   PersistedInstance snapshot() const {
     PersistedInstance snapshot = persisted_;
     snapshot.wanted = lifecycle_.wanted();
@@ -30,10 +30,10 @@
   }
 
  private:
-  bool record_intent(const std::string& what, const std::optional<Step>& step) override {
+  bool record_intent(const std::string& action, const std::optional<Step>& step) override {
     PersistedInstance next = snapshot();
     next.step = step;
-    if (!host_.write({{name_, next}}, what)) return false;
+    if (!host_.write({{name_, next}}, action)) return false;
     persisted_ = next;
     return true;
   }
@@ -44,7 +44,8 @@
   void terminate() override { host_.terminate(name_); }
   void kill() override { host_.kill(name_); }
   void step_ended(const Step& step, StepEnd end, const std::string& detail) override {
-    // Should this write fail, the step is found in progress after a kill and falls back, which does no harm.
+    // If this write fails and the agent is killed, the next start finds the step in progress and lets it fall
+    // back, which does no harm.
     persisted_.step.reset();
     persisted_ = snapshot();
     host_.write({{name_, persisted_}}, "step ended");
@@ -107,13 +108,14 @@
   return true;
 }
 
-void LeaseOwner::lease_ended(const std::string& name, const Lease& lease, LeaseTable::EndReason why) {
+void LeaseOwner::lease_ended(const std::string& name, const Lease& lease, LeaseTable::EndReason reason) {
   Instance& instance = *instances_.at(name);
   instance.clear_lease();
   host_.write({{name, instance.snapshot()}}, "claim ended");
-  host_.lease_ended(name, lease, why);
-  // A step whose own coordinator releases the lease goes on to its end: nobody else waits for the instance.
-  if (why != LeaseTable::EndReason::released) instance.lifecycle().lease_ended(now_);
+  host_.lease_ended(name, lease, reason);
+  // If the step's own coordinator releases the lease, the step continues to its end, since no other operation
+  // waits for the instance.
+  if (reason != LeaseTable::EndReason::released) instance.lifecycle().lease_ended(now_);
 }
 
 // ---- Instances
@@ -123,22 +125,24 @@
   leases_.on_timer(now);
   const auto found = instances_.find(instance);
   if (found == instances_.end()) {
-    fault = "not this agent's";
+    fault = "this agent does not own the instance";
     return false;
   }
   if (!leases_.live(now, instance, step.fence)) {
-    fault = "its claim is not live: fence " + std::to_string(step.fence) + ", the last is " +
-            std::to_string(leases_.last_fence(instance));
+    fault = "the claim with fence " + std::to_string(step.fence) +
+            " is not live; the last granted fence is " + std::to_string(leases_.last_fence(instance));
     return false;
   }
   if (leases_.lease_on(now, instance)->operation != step.operation) {
-    fault = "claimed by another operation";
+    fault = "another operation holds the claim on the instance";
     return false;
   }
   InstanceLifecycle& lifecycle = found->second->lifecycle();
   if (lifecycle.step(now, step)) return true;
-  fault = lifecycle.current_step() ? "another step is under way"
-                                   : "its state is " + std::string(name_of(lifecycle.state()));
+  fault = lifecycle.current_step()
+              ? "another step is in progress"
+              : "the step was refused or could not be persisted; the instance's state is " +
+                    std::string(name_of(lifecycle.state()));
   return false;
 }
 
--- a/src/fleet/lease_table.cpp
+++ b/src/fleet/lease_table.cpp
@@ -43,7 +43,7 @@
   for (const std::string& instance : request.instances)
     granted[instance] = lease_for(now, request, instances_.at(instance));
   if (!host_.persist(granted)) {
-    answer.fault = "the agent can't write its state";
+    answer.fault = "the agent can't persist its state";
     return answer;
   }
   answer.granted = true;
@@ -58,16 +58,21 @@
   return answer;
 }
 
-// Fills in why a request can't be granted. Of several faults the last one stands.
+// Sets the faults and conflicts for which a request can't be granted. Of several faults only the last one is
+// kept.
 void LeaseTable::check(const LeaseRequest& request, Answer& answer) const {
   if (request.operation.empty() || request.who.empty() || request.instances.empty())
-    answer.fault = "an ask without a name";
+    answer.fault = "the request needs an operation, an operator's name and at least one instance";
   if (request.lease_duration < min_lease || request.lease_duration > max_lease)
-    answer.fault = "a lease out of bounds";
+    answer.fault =
+        "expected a lease from 1 to 3600 s, got " +
+        std::to_string(
+            std::chrono::duration_cast<std::chrono::milliseconds>(request.lease_duration).count()) +
+        " ms";
   for (const std::string& instance : request.instances) {
     const auto found = instances_.find(instance);
     if (found == instances_.end()) {
-      answer.fault = instance + " is not this agent's";
+      answer.fault = "this agent does not own the instance " + instance;
       continue;
     }
     const OwnedInstance& owned = found->second;
@@ -79,7 +84,7 @@
 Lease LeaseTable::lease_for(TimePoint now, const LeaseRequest& request, const OwnedInstance& owned) const {
   Lease lease{request.operation, request.who, owned.last_fence + 1, now, now + request.lease_duration};
   if (owned.is_leased_to(request.operation)) {
-    // A repeated request keeps its fence, since its answer may have been lost.
+    // A repeated request keeps the fence of its first grant, since the answer to that may have been lost.
     lease.fence = owned.lease->fence;
     lease.since = owned.lease->since;
   }
@@ -117,10 +122,10 @@
   schedule_timer();
 }
 
-void LeaseTable::end(const std::string& instance, OwnedInstance& owned, EndReason why) {
+void LeaseTable::end(const std::string& instance, OwnedInstance& owned, EndReason reason) {
   const Lease lease = *owned.lease;
   owned.lease.reset();
-  host_.lease_ended(instance, lease, why);
+  host_.lease_ended(instance, lease, reason);
 }
 
 void LeaseTable::schedule_timer() {
--- a/src/fleet/level_gossip.cpp
+++ b/src/fleet/level_gossip.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Distance between the seeds of one agent's schedulers, which must not draw the same numbers.
+// Distance between the seeds of one agent's schedulers, which must not draw the same random numbers.
 constexpr std::uint64_t sibling_seed_offset = 0x9E3779B97F4A7C15ULL;
 
 }  // namespace
@@ -18,7 +18,7 @@
                          std::uint64_t seed, std::shared_ptr<const Topology> topology)
     : self_(std::move(self)),
       state_(host, self_, incarnation, seed),
-      group_scheduler_(seed, group_peers_at_once),
+      group_scheduler_(seed, max_group_queries_per_tick),
       sibling_schedulers_(schedulers_for(seed)) {
   set_topology(std::move(topology));
 }
@@ -150,10 +150,11 @@
   }
 }
 
-// Whom to query for a sibling unit: the known writers of its summary first, then its members by their rank.
+// Returns the agent to query for a sibling unit: a known writer of the unit's summary first, then its members
+// by rank. After a query that brought no fresh summary, the next candidate is queried.
 std::string LevelGossip::contact_of(const Unit& sibling) const {
   std::vector<std::string> candidates = summaries_.writers(sibling);
-  // Not all agents begin with the same writer.
+  // The order of writers differs between agents, so that they do not all begin with the same writer.
   std::ranges::sort(candidates, std::greater<>(),
                     [&](const std::string& writer) { return rendezvous_weight(self_, writer); });
   std::ranges::copy(topology_->ranked_members(sibling), std::back_inserter(candidates));
@@ -161,7 +162,8 @@
   return candidates[(rotation == contact_rotations_.end() ? 0 : rotation->second) % candidates.size()];
 }
 
-// Both sides compute the same, so that neither sends what the other has no use for.
+// Returns the units whose summaries this agent and the peer exchange. Both sides compute the same units, so
+// neither sends summaries that the other does not need.
 std::vector<Unit> LevelGossip::units_shared_with(const std::string& peer) const {
   const std::optional<Placement> theirs = topology_->placement(peer);
   if (!theirs) return {};
@@ -209,14 +211,14 @@
                         const LevelAnswer& answer) {
   state_.receive(now, queried_at, answer.reports);
   for (const SummaryDelta& delta : answer.summaries) {
-    if (delta.summary.writer == self_) go_beyond(now, queried_at, delta.summary.version);
+    if (delta.summary.writer == self_) supersede_own_past(now, queried_at, delta.summary.version);
     else summaries_.merge(now, queried_at, reporter, delta);
   }
 }
 
-// A summary of the own past is of no use, but while its incarnation is the later one, others ignore the
-// present.
-void LevelGossip::go_beyond(TimePoint now, TimePoint queried_at, const SummaryVersion& past) {
+// Begins a greater incarnation if a summary that this agent wrote in the past has a later one than its
+// present incarnation. Otherwise peers would keep the past summary and ignore present ones.
+void LevelGossip::supersede_own_past(TimePoint now, TimePoint queried_at, const SummaryVersion& past) {
   if (past.incarnation <= incarnation(now)) return;
   ReportDelta own_past;
   own_past.agent = self_;
@@ -227,13 +229,14 @@
 void LevelGossip::completed(TimePoint now, const QuestionId& id) {
   if (!id.sibling) return group_scheduler_.answered(now, id.peer);
   siblings_at(id.sibling->level).answered(now, to_string(*id.sibling));
-  const bool of_use = summaries_.freshness(now, *id.sibling) == Freshness::fresh;
+  const bool is_fresh = summaries_.freshness(now, *id.sibling) == Freshness::fresh;
   const std::size_t writers = summaries_.writers(*id.sibling).size();
   std::size_t& rotation = contact_rotations_[*id.sibling];
   ++rotation;
-  // While the writers themselves answer, they are queried in rotation.
-  if (of_use && rotation <= writers) rotation %= writers;
-  else if (of_use) --rotation;
+  // While the summary is fresh, its writers are queried in rotation; a member that is not a writer is queried
+  // again.
+  if (is_fresh && rotation <= writers) rotation %= writers;
+  else if (is_fresh) --rotation;
 }
 
 void LevelGossip::missed(TimePoint now, const QuestionId& id) {
--- a/src/fleet/level_gossip.h
+++ b/src/fleet/level_gossip.h
@@ -1,12 +1,13 @@
 // One agent's part in the exchange of status by levels: group, zone, region.
 //
-// Within its group an agent exchanges the status of every instance (GossipState). Members that rank highest
-// among those they know to be alive are aggregators: they write a summary of their group; the highest of
-// these write one of their zone, and the highest of those one of their region. There is no election: each
-// agent decides for itself, and too many writers cost bytes only. Summaries spread by anti-entropy: between
-// the group's members, and from aggregators to some member of each sibling unit.
+// Within its group an agent exchanges the status of every instance (GossipState). An agent that ranks among
+// the first of the group members that it knows to be alive is an aggregator: it writes a summary of its
+// group. The first-ranking aggregators of a zone's groups also write a summary of the zone, and the
+// first-ranking ones of a region's zones a summary of the region. There is no election: each agent decides
+// for itself, and too many writers only cost bytes. Summaries spread by anti-entropy exchanges among the
+// members of a group, and between aggregators and a member of each sibling unit.
 //
-// Not thread-safe. It reads no clock and does no I/O.
+// Not thread-safe. The class reads no clock and does no I/O.
 #pragma once
 
 #include <array>
@@ -25,26 +26,28 @@
 
 namespace pearchute::fleet {
 
-// Asks another agent for what this one does not know.
+// A question to another agent for the reports and summaries that the asker lacks.
 struct LevelQuestion {
   std::string asker;
-  std::uint64_t incarnation = 0;  // of the asker; the answer has its summary of a later one, if there is any
-  // Absent: the asker does not want the status of instances.
+  // The asker's incarnation. If the other agent has a summary that the asker wrote in a later one, it returns
+  // that summary, too.
+  std::uint64_t incarnation = 0;
+  // The versions of reports that the asker has. Absent: it requests no reports on instances.
   std::optional<std::map<std::string, ReportVersion>> status_versions;
-  // Absent: the asker does not want summaries.
+  // The summaries that the asker has selected. Absent: it requests no summaries.
   std::optional<std::vector<SummaryMark>> summary_marks;
 };
 
-// What the asker did not know.
+// The answer to a LevelQuestion.
 struct LevelAnswer {
   std::vector<ReportDelta> reports;
   std::vector<SummaryDelta> summaries;
 };
 
-// The purpose of a question.
+// Identifies a question by its receiver and purpose.
 struct QuestionId {
-  std::string peer;             // to whom it goes
-  std::optional<Unit> sibling;  // the unit for which it answers; none: a member of the own group
+  std::string peer;             // the agent that receives the question
+  std::optional<Unit> sibling;  // the sibling unit that it asks for; none: `peer` is in this agent's group
 };
 
 // A question to be sent.
@@ -56,42 +59,42 @@
 // The exchange of status by levels, at one agent.
 class LevelGossip {
  public:
-  // One may fail without a gap in the summaries.
+  // With two aggregators, one may fail without a gap in the summaries.
   static constexpr std::size_t aggregators_per_unit = 2;
-  // Members of the own group that are queried in a tick. A group is small, so each is queried every few
-  // ticks.
-  static constexpr std::size_t group_peers_at_once = 2;
-  // Sibling groups and zones, which are many, are queried at every second tick; regions at each.
+  // Number of members of the agent's own group that are queried in a tick. A group is small, so each member
+  // is queried every few ticks.
+  static constexpr std::size_t max_group_queries_per_tick = 2;
+  // Sibling groups and zones are queried at every second tick, since there are many; regions at each tick.
   static constexpr std::uint64_t ticks_per_sibling_round = 2;
 
-  // `host` must outlive this. As for GossipState, `incarnation` is the last one that was persisted, and
-  // `seed` has to differ at each start.
+  // `host` must outlive the LevelGossip. As for GossipState, `incarnation` is the last one that was
+  // persisted, and `seed` has to differ at each start.
   LevelGossip(GossipState::Host& host, std::string self, std::uint64_t incarnation, std::uint64_t seed,
               std::shared_ptr<const Topology> topology);
 
-  // Replaces the member list. What is known of units and members that are gone is dropped.
+  // Replaces the member list. Reports and summaries of removed units and members are dropped.
   void set_topology(std::shared_ptr<const Topology> topology);
-  // Sets the own instances as they are now.
+  // Sets the present state of all instances of this agent.
   void publish_instances(const std::vector<StatusReport>& reports);
 
-  // What is to be done after a tick.
+  // The result of a tick.
   struct TickResult {
-    std::vector<OutgoingQuestion> questions;
-    std::vector<StatusSummary> written;  // by this agent in this tick, the smallest unit first
-    TimePoint next{};                    // when to call again
+    std::vector<OutgoingQuestion> questions;  // to be sent now
+    std::vector<StatusSummary> written;       // by this agent in this tick, the smallest unit first
+    TimePoint next{};                         // time of the next tick
   };
   // Writes due summaries, and begins due queries.
   TickResult tick(TimePoint now);
   LevelAnswer answer(TimePoint now, const LevelQuestion& question);
-  // Merges an answer to a question that left at `queried_at`. Each question has to be concluded once, by
-  // completed() or missed(); an answer that comes after that is merged all the same.
+  // Merges an answer to a question that was sent at `queried_at`. Each question has to be concluded exactly
+  // once, by completed() or missed(); an answer that arrives later is merged all the same.
   void merge(TimePoint now, TimePoint queried_at, const std::string& reporter, const LevelAnswer& answer);
   void completed(TimePoint now, const QuestionId& id);
   void missed(TimePoint now, const QuestionId& id);
 
-  // Whether this agent takes itself for an aggregator of its unit at that level.
+  // Returns whether this agent considers itself an aggregator of its unit at the level.
   bool aggregates(TimePoint now, Level level) const;
-  // The summaries of all regions that are known here, combined.
+  // Returns the status of the fleet: the known summaries of all regions, combined.
   GroupStatus fleet_status(TimePoint now) const;
   const SummaryStore& summaries() const { return summaries_; }
   const GossipState& group_state() const { return state_; }
@@ -103,7 +106,7 @@
   static std::array<AntiEntropyScheduler, level_count> schedulers_for(std::uint64_t seed);
   std::vector<Unit> units_shared_with(const std::string& peer) const;
   std::uint64_t incarnation(TimePoint now) const { return state_.known(now, self_).mark.incarnation; }
-  void go_beyond(TimePoint now, TimePoint queried_at, const SummaryVersion& past);
+  void supersede_own_past(TimePoint now, TimePoint queried_at, const SummaryVersion& past);
   std::vector<SummaryMark> marks_for(TimePoint now, const std::string& peer) const;
   std::vector<std::string> aggregator_candidates(TimePoint now, Level level) const;
   std::vector<StatusSummary> publish(TimePoint now);
@@ -119,8 +122,8 @@
   GossipState state_;
   SummaryStore summaries_;
   AntiEntropyScheduler group_scheduler_;
-  // One for each level, so that many groups don't delay status of other regions. Its peers are units, by
-  // to_string().
+  // One scheduler for each level, so that many groups do not delay the status of other regions. The peers of
+  // these schedulers are units, named by to_string().
   std::array<AntiEntropyScheduler, level_count> sibling_schedulers_;
   std::map<Unit, std::size_t> contact_rotations_;
   std::uint64_t ticks_ = 0, summary_number_ = 0;
--- a/src/fleet/quiescence.cpp
+++ b/src/fleet/quiescence.cpp
@@ -22,7 +22,7 @@
 
 Quiescence::State Quiescence::next_state(bool idle) const {
   if (!drain_ordered_ && !shutdown_deadline_) return State::serving;
-  // Once drained it stays so until it is resumed, since requests are rejected.
+  // A drained manager stays drained until it is resumed, since it rejects new requests.
   return idle || state_ == State::drained ? State::drained : State::draining;
 }
 
--- a/src/fleet/quiescence.h
+++ b/src/fleet/quiescence.h
@@ -1,7 +1,7 @@
-// How a manager is drained and shut down: serving, draining (new requests are rejected, those in flight end
-// the ordinary way), drained (nothing is in flight).
+// The drain and shutdown of a manager. Its states are serving, draining (new requests are rejected, those in
+// flight end as usual) and drained (no request is in flight).
 //
-// Not thread-safe. It reads no clock and does no I/O, and answers no request itself.
+// Not thread-safe. The class reads no clock, does no I/O and answers no request itself.
 #pragma once
 
 #include <optional>
@@ -13,35 +13,38 @@
 // The drain state of one manager.
 class Quiescence {
  public:
-  // Reported by name, to operators and agents.
+  // The state that operators and agents see, by name.
   enum class State { serving, draining, drained };
 
-  // Must outlive the Quiescence.
+  // Carries out the decisions. Must outlive the Quiescence.
   class Host {
    public:
     virtual ~Host() = default;
     virtual void reject_requests(bool rejecting) = 0;
-    // Ends the program in its own way, which answers what is still in flight. Called once.
+    // Ends the program by its ordinary shutdown, which answers the requests still in flight. Called once.
     virtual void end() = 0;
     virtual void state_changed(State state) = 0;
   };
 
-  // `notice_period` is how long whoever sends clients here takes to see that requests are rejected. The end
-  // comes no sooner, so that requests on their way are still answered.
+  // `notice_period` is how long the load balancers or other senders of clients take to notice that the
+  // manager rejects requests. A drained manager ends no sooner, so that requests on their way are still
+  // answered.
   Quiescence(Host& host, Duration notice_period) : host_(host), notice_period_(notice_period) {}
 
-  // `idle`, in each of these: nothing is in flight now.
+  // In each of these functions, `idle` is whether no request is in flight now.
+
   // Sets whether directives in force drain the manager. The end of a drain also cancels a shutdown that has
   // not begun.
   void set_drain_ordered(TimePoint now, bool drains, bool idle);
-  // Drains, and ends once nothing is in flight, but after `within` at the latest.
+  // Drains the manager, and ends it once no request is in flight, but after `within` at the latest.
   void request_shutdown(TimePoint now, Duration within, bool idle);
   void cancel_shutdown(TimePoint now, bool idle);
-  // Call about fifty times a second, and whenever the last request in flight has ended.
+  // Moves on to the next state. Call about fifty times a second, and whenever the last request in flight has
+  // ended.
   void update(TimePoint now, bool idle);
 
   State state() const { return state_; }
-  // Whether a shutdown is requested or has begun.
+  // Returns whether a shutdown is requested or has begun.
   bool ending() const { return shutdown_deadline_.has_value() || shutdown_begun_; }
 
  private:
--- a/src/fleet/restart.cpp
+++ b/src/fleet/restart.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-// How long the old process may take to exit: requests in flight are answered within 3.5 s, and the machine
-// may be busy.
+// How long the old process may take to exit beyond the time for its drain: requests in flight are answered
+// within 3.5 s, and the machine may be busy.
 constexpr Duration shutdown_grace = std::chrono::seconds(10);
 
 }  // namespace
 
 std::string_view name_of(Restart::State state) {
-  constexpr std::string_view names[] = {"asked to end", "ending", "starting", "checking its orders", "over"};
+  constexpr std::string_view names[] = {"shutdown requested", "ending", "starting", "checking its orders",
+                                        "over"};
   return names[static_cast<int>(state)];
 }
 
@@ -36,17 +37,17 @@
 void Restart::on_shutdown_response(TimePoint, ProbeResult result, bool accepted) {
   if (state_ != State::shutdown_requested) return;
   if (result == ProbeResult::gone)
-    return finish(CommandOutcome::unreachable, "not reached; nothing was asked of it");
+    return finish(CommandOutcome::unreachable, "not reached; no shutdown was requested");
   if (result == ProbeResult::answered && !accepted)
-    return finish(CommandOutcome::refused, "refused to end; it goes on as before");
-  // Without an answer it may have been accepted all the same: the next probe shows.
+    return finish(CommandOutcome::refused, "refused the shutdown and runs as before");
+  // Without an answer the manager may still have accepted the request: the probes will show.
   state_ = State::ending;
 }
 
 void Restart::on_probe(TimePoint now, ProbeResult result, const std::optional<Identity>& identity) {
   const bool is_new_process =
       identity && (identity->started != before_.started || identity->process != before_.process);
-  // The new process may have come up between two probes.
+  // The new process may have started between two probes, so that no probe found the old one gone.
   if (state_ == State::ending && (result == ProbeResult::gone || is_new_process)) {
     state_ = State::starting;
     deadline_ = now + limits_.up_within;
@@ -84,7 +85,7 @@
   std::string detail = "serves again";
   if (after_.build != before_.build) detail += ", build " + before_.build + " -> " + after_.build;
   if (after_.digest != before_.digest) detail += ", another configuration";
-  if (reissued_count_ > 0) detail += ", " + std::to_string(reissued_count_) + " orders handed over";
+  if (reissued_count_ > 0) detail += ", " + std::to_string(reissued_count_) + " orders given again";
   finish(CommandOutcome::yes, std::move(detail));
 }
 
@@ -93,11 +94,11 @@
   switch (state_) {
     case State::shutdown_requested:
     case State::ending:
-      return finish(CommandOutcome::time_up, "asked to end, and still there");
+      return finish(CommandOutcome::time_up, "the old process still runs after the shutdown request");
     case State::starting:
-      return finish(CommandOutcome::time_up, "has ended, and does not serve again");
+      return finish(CommandOutcome::time_up, "the old process has exited, but no new one serves");
     case State::checking:
-      return finish(CommandOutcome::time_up, "serves again; whether its orders hold is not known");
+      return finish(CommandOutcome::time_up, "serves again; whether its orders are in force is unknown");
     case State::over:
       return;
   }
--- a/src/fleet/restart.h
+++ b/src/fleet/restart.h
@@ -1,9 +1,9 @@
-// The restart of one manager, step by step: a shutdown is requested, its process ends, another one starts and
-// serves, and the directives of before are in force again.
+// The restart of one manager, step by step: the shutdown is requested, the process ends, a new one starts and
+// serves, and the directives that were in force before are in force again.
 //
-// Its outcome says what was last known of the manager, so that none is left in an unknown state.
+// Whenever the restart ends, its outcome and detail() describe the last known state of the manager.
 //
-// Not thread-safe. It reads no clock and does no I/O.
+// Not thread-safe. The class reads no clock and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -20,56 +20,56 @@
 // One manager's restart, as the command line sees it.
 class Restart {
  public:
-  // What is awaited: the answer to the shutdown request, the end of the old process, the new process serving,
-  // the list of its directives; or nothing more.
+  // The state names the event that is awaited: the answer to the shutdown request, the end of the old
+  // process, the new process serving, the list of its directives; or none (over).
   enum class State { shutdown_requested, ending, starting, checking, over };
-  // What a call to the manager showed.
+  // The result of a call to the manager.
   enum class ProbeResult {
     answered,
     gone,    // nothing listens at its address
     silent,  // no answer in time
   };
 
-  // Which process answers, and how it runs.
+  // The process that answers, and its state.
   struct Identity {
-    std::uint64_t started = 0, process = 0;
-    bool serves = false;        // its phase; by directives on the manager itself it may still reject requests
-    std::string build, digest;  // of its program and its configuration
+    std::uint64_t started = 0, process = 0;  // these differ between two processes of the manager
+    bool serves = false;        // it has started; directives on the manager may still make it reject requests
+    std::string build, digest;  // of its program and of its configuration
   };
 
-  // How long each part may take.
+  // Time limits, and who starts the new process.
   struct Limits {
-    Duration drain_within{};      // until what is in flight has ended; it is ended then all the same
-    Duration up_within{};         // from the end of the old process until the new one serves
-    bool starts_program = false;  // else something else starts the new process
+    Duration drain_within{};      // time for requests in flight to end; the manager then ends those left
+    Duration up_within{};         // time from the end of the old process until the new one serves
+    bool starts_program = false;  // the Host starts the new process; false: a service manager does
   };
 
-  // Carries out what is decided. Must outlive the Restart.
+  // Carries out the decisions. Must outlive the Restart.
   class Host {
    public:
     virtual ~Host() = default;
     virtual void request_shutdown(Duration within) = 0;  // answered by on_shutdown_response()
-    virtual void start_program() = 0;                    // seen by on_probe() only
+    virtual void start_program() = 0;                    // not answered: on_probe() shows the new process
     virtual void request_directives() = 0;               // answered by on_directives()
-    // Gives these directives to the new process.
+    // Sends the directives with these ids to the new process.
     virtual void reissue_directives(const std::set<std::string>& ids) = 0;
   };
 
   Restart(Host& host, const Limits& limits) : host_(host), limits_(limits) {}
 
-  // `directives`: the ids of those in force, which are to be in force afterwards.
+  // `directives` are the ids of those in force now, which should be in force after the restart.
   void begin(TimePoint now, const Identity& before, const std::set<std::string>& directives);
   void on_shutdown_response(TimePoint now, ProbeResult result, bool accepted);
-  // What a probe of the manager showed; `identity` where it answered.
+  // Handles the result of a probe; `identity` is set if the manager answered.
   void on_probe(TimePoint now, ProbeResult result, const std::optional<Identity>& identity);
-  // None: the request failed.
+  // Handles the ids of the directives in force; none: the request failed.
   void on_directives(TimePoint now, const std::optional<std::set<std::string>>& directives);
   void on_timer(TimePoint now);
 
   State state() const { return state_; }
   bool over() const { return state_ == State::over; }
   CommandOutcome outcome() const { return outcome_; }
-  const std::string& detail() const { return detail_; }  // what is known of the manager, for operators
+  const std::string& detail() const { return detail_; }  // last known state of the manager, for operators
   int reissued_count() const { return reissued_count_; }
 
  private:
@@ -88,7 +88,7 @@
   bool directives_reissued_ = false;
 };
 
-// Name for operators.
+// Returns the name that operators' output uses.
 std::string_view name_of(Restart::State state);
 
 }  // namespace pearchute::fleet
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -1,13 +1,13 @@
-// The coordinator's side of a rollout: takes leases on its targets, steps them within the plan's limits, and
-// checks the fleet's success share at a gate between batches.
+// The coordinator's side of a rollout. The coordinator acquires leases on the targets, steps them within the
+// plan's limits, and checks the share of successful requests in the fleet at a gate between batches.
 //
-// Protocol: the leases of all agents concerned are acquired first, one agent after the other in the order of
-// their names, so that two rollouts can't deadlock; where one agent refuses, all are released. Under live
-// leases the targets are stepped in the plan's order. Each step is carried out by the agent that owns the
-// instance; the coordinator may vanish at any point, and what it began ends by the owners' leases and
-// fallbacks.
+// Protocol: the coordinator first acquires the leases of all agents that own targets, one agent after the
+// other in the order of their names, so that two rollouts can't deadlock. If one agent refuses, all leases
+// are released. Under live leases the targets are stepped in the plan's order. The agent that owns an
+// instance carries out its step. The coordinator may fail at any point: the steps that it began then end by
+// the owners' leases and fallbacks.
 //
-// Not thread-safe. It reads no clock and does no I/O: times are the caller's steady clock, messages go
+// Not thread-safe. The class reads no clock and does no I/O: times are the caller's steady clock, messages go
 // through the Host.
 #pragma once
 
@@ -27,33 +27,33 @@
 // One rollout, from its plan to its end.
 class Rollout {
  public:
-  // Persisted by number: new values go to the end.
+  // Persisted by number: add new values at the end.
   enum class State {
     planned,
     acquiring_leases,
     running,
-    gate,      // a batch has ended; the success share is observed
+    gate,      // a batch has ended; the share of successful requests is observed
     paused,    // no step is started
     aborting,  // no step is started; those in progress are awaited
     done,
     aborted,
-    failed,  // stopped by its own rules; detail() says which
+    failed,  // stopped by a rule of the rollout; detail() names the reason
   };
-  // Of one target. Persisted by number: new values go to the end.
+  // The progress of one target. Persisted by number: add new values at the end.
   enum class Stage {
     waiting,
-    requested,  // its step is in progress
-    warming,    // it serves, but not for long enough
+    requested,  // the target's step is in progress
+    warming,    // the target serves, but for less than the plan's `warm`
     done,
     failed,
-    unknown,  // how its step ended is not known
+    unknown,  // the outcome of the target's step is unknown
   };
 
-  // Carries out what is decided. Must outlive the Rollout.
+  // Carries out the decisions. Must outlive the Rollout.
   class Host {
    public:
     virtual ~Host() = default;
-    // Persists this state and the stages. Returns false where that fails.
+    // Persists this state and the stages. Returns false on failure.
     virtual bool persist(State state) = 0;
     virtual void request_leases(const std::string& agent, const std::vector<std::string>& instances) = 0;
     virtual void renew(const std::string& agent, const std::vector<std::string>& instances) = 0;
@@ -61,7 +61,7 @@
     virtual void step(const std::string& agent, const std::string& instance, const Step& step) = 0;
     // Answered by on_instance_state() for each instance of the fleet, and by on_service_level().
     virtual void request_fleet_status() = 0;
-    virtual void on_event(std::string_view what) = 0;  // for the log
+    virtual void on_event(std::string_view event) = 0;  // for the log
   };
 
   Rollout(Host& host, RolloutPlan plan);
@@ -70,55 +70,57 @@
 
   // Starts a planned rollout.
   void begin(TimePoint now);
-  // Takes up a rollout after its coordinator's restart: paused and without leases. What became of steps that
+  // Takes up a rollout after the coordinator's restart, paused and without leases. The outcome of steps that
   // were in progress is unknown until their agents report it.
   void restore(TimePoint now, const std::map<std::string, Stage>& stages);
-  // Call about five times a second.
+  // Does what is due by the clock: renews leases, evaluates the gate and starts steps. Call about five times
+  // a second.
   void on_timer(TimePoint now);
 
-  // `sent` is when the request left: the lease is counted from then, so that this side gives it up no later
-  // than the agent that granted it. `holder` says who holds what, where the request was refused.
+  // `sent` is the time at which the request was sent. The lease is counted from then, so that the coordinator
+  // gives it up no later than the agent that granted it. `holder` describes the leases for which a request
+  // was refused.
   void on_lease_response(TimePoint now, TimePoint sent, const std::string& agent, bool granted,
                          const std::map<std::string, std::uint64_t>& fences, const std::string& holder);
   void on_renewal_response(TimePoint now, TimePoint sent, const std::string& agent, bool live);
   void on_step_response(TimePoint now, const std::string& instance, bool accepted, const std::string& fault);
   void on_step_ended(TimePoint now, const std::string& instance, const Step& step, StepEnd end,
                      const std::string& detail);
-  // The state of any instance of the fleet, a target or not.
+  // Handles a report on any instance of the fleet, a target or not.
   void on_instance_state(TimePoint now, const std::string& instance, const std::string& zone,
                          InstanceState state);
-  // The share of the fleet's requests that succeed, 0 to 1.
+  // Handles a report on the share of the fleet's requests that succeed, 0 to 1.
   void on_service_level(TimePoint now, double success_share);
 
-  // Operators' commands. One that does not apply in the present state is ignored.
+  // Operators' commands. A command that does not apply in the present state is ignored.
   void pause(TimePoint now);
   void resume(TimePoint now);
   void abort(TimePoint now);
-  // Only of a change: steps what has been changed back to the version before.
+  // Steps the changed targets back to the version before the rollout. Applies to a change only.
   void roll_back(TimePoint now);
 
   State state() const { return state_; }
-  const std::string& detail() const { return detail_; }  // why it is in this state, for operators
+  const std::string& detail() const { return detail_; }  // reason for the present state, for operators
   const RolloutPlan& plan() const { return plan_; }
   std::map<std::string, Stage> stages() const;         // by instance
   std::map<std::string, std::string> details() const;  // for operators, by instance
   bool over() const;
   bool rolling_back() const { return rolling_back_; }
-  // Until when the leases of that agent hold as counted here; none where there are none.
+  // Returns the end of the agent's leases by the coordinator's count; none if it has granted none.
   std::optional<TimePoint> lease_until(const std::string& agent) const;
 
  private:
-  // A target, and how its step goes.
+  // A target with the progress of its step.
   struct TargetState : Target {
     Stage stage = Stage::waiting;
     std::uint64_t fence = 0;
-    int version = 0;  // of the step that was requested last
+    int version = 0;  // the command version of the last requested step
     TimePoint requested_at{}, warm_at{};
     std::string detail;
-    void set(Stage next, std::string why);
+    void set(Stage next, std::string reason);
     bool in_progress() const { return stage == Stage::requested || stage == Stage::warming; }
   };
-  // The leases of one agent's targets.
+  // The leases on one agent's targets.
   struct AgentLeases {
     std::vector<std::string> instances;
     bool granted = false;
@@ -163,7 +165,7 @@
   std::vector<TargetState> targets_;
   std::map<std::string, AgentLeases> agents_;  // by name: the order in which leases are acquired
   std::map<std::string, InstanceStatus> statuses_;
-  std::string pending_agent_;  // whose lease response is awaited
+  std::string pending_agent_;  // the agent whose lease response is awaited
   TimePoint lease_response_deadline_{};
   int failed_steps_ = 0, started_since_gate_ = 0;
   bool rolling_back_ = false;
@@ -172,9 +174,9 @@
   std::optional<TimePoint> fleet_status_requested_at_;
 };
 
-// Whether a rollout in this state has ended.
+// Returns whether a rollout in this state has ended.
 bool is_over(Rollout::State state);
-// Names for operators and messages.
+// Return the names that messages and operators' output use.
 std::string_view name_of(Rollout::State state);
 std::string_view name_of(Rollout::Stage stage);
 
--- a/src/fleet/rollout_leases.cpp
+++ b/src/fleet/rollout_leases.cpp
@@ -1,5 +1,5 @@
-// The leases under which a rollout steps its targets: acquired one agent after the other, renewed while steps
-// may be started or are in progress.
+// The leases under which a rollout steps its targets. They are acquired one agent after the other, and
+// renewed while steps may be started or are in progress.
 #include <algorithm>
 
 #include "fleet/rollout.h"
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Leases are renewed at this part of their duration, so that they survive two lost renewals.
+// Renewals during one lease duration: a lease survives two lost renewals.
 constexpr int renewals_per_lease = 3;
-// A lease with less than this left is not used any more, since it might end while a request is on its way.
+// A lease with less time left is no longer used, since it might end while a request is on its way.
 constexpr Duration min_lease_remaining = std::chrono::milliseconds(500);
 // How long an agent may take to answer a lease request.
 constexpr Duration lease_response_timeout = std::chrono::seconds(5);
@@ -44,11 +44,11 @@
   const auto found = agents_.find(name);
   if (found == agents_.end()) return;
   if (state_ != State::acquiring_leases || pending_agent_ != name) {
-    // A late response: leases for a rollout that is over are released at once.
+    // This response is late: leases granted for a rollout that is over are released at once.
     if (granted && over()) host_.release(name);
     return;
   }
-  if (!granted) return end(State::failed, "no claim from " + name + ": " + holder);
+  if (!granted) return end(State::failed, name + " refused the claims: " + holder);
   AgentLeases& agent = found->second;
   agent.granted = true;
   agent.until = sent + plan_.lease_duration;
@@ -67,12 +67,13 @@
     agent.until = std::max(agent.until, sent + plan_.lease_duration);
     return;
   }
-  // Taken over, or ended by the owner, who also ends the steps in progress there.
+  // Another operation has taken the leases over, or they have expired at the owner, which also lets the steps
+  // in progress there fall back.
   agent.granted = false;
-  if (!over()) end(State::failed, "the claims at " + name + " are lost to another operation");
+  if (!over()) end(State::failed, "the claims at " + name + " are taken over or have expired");
 }
 
-// Continues in that state where all leases are usable. Otherwise all are acquired anew first.
+// Enters `state` if all leases are usable. Otherwise acquires all leases again first.
 void Rollout::continue_under_leases(TimePoint now, State state, const std::string& detail) {
   const bool all_usable =
       std::ranges::all_of(agents_, [&](const auto& agent) { return has_usable_leases(now, agent.second); });
@@ -85,8 +86,8 @@
 void Rollout::renew_or_expire_leases(TimePoint now) {
   for (auto& [name, agent] : agents_) {
     if (!agent.granted) continue;
-    // Paused and without steps in progress its leases run out, so that it holds nobody up; they are acquired
-    // anew when it is resumed.
+    // A paused rollout without steps in progress lets its leases expire, so that it does not block other
+    // operations. Resuming it acquires them again.
     const bool needed = state_ != State::paused || steps_in_progress() > 0;
     if (now >= agent.until) {
       on_lease_expired(name, agent);
@@ -97,7 +98,8 @@
   }
 }
 
-// The owner's lease ends no sooner than this; nothing is requested from that agent any more.
+// Handles the end of an agent's leases by the coordinator's count. The owner's count ends no sooner. No step
+// is requested from the agent until its leases are acquired again.
 void Rollout::on_lease_expired(const std::string& name, AgentLeases& agent) {
   agent.granted = false;
   for (TargetState& target : targets_) {
@@ -105,7 +107,7 @@
       target.set(Stage::unknown, "contact with its agent is lost");
   }
   if (state_ == State::running || state_ == State::gate)
-    enter(State::paused, "contact with " + name + " is lost; its instances fall back");
+    enter(State::paused, "contact with " + name + " is lost; its steps in progress fall back");
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/rollout_steps.cpp
+++ b/src/fleet/rollout_steps.cpp
@@ -1,4 +1,5 @@
-// The steps of a rollout: which target may be stepped now within the plan's limits, and how its step ended.
+// The steps of a rollout: decides which target may be stepped now within the plan's limits, and handles the
+// ends of steps.
 #include <algorithm>
 
 #include "fleet/rollout.h"
@@ -7,10 +8,10 @@
 
 namespace {
 
-// How old a report on an instance may be: three rounds of status requests, of which two may get lost.
+// Maximum age of a report on an instance: three rounds of status requests, of which two may be lost.
 constexpr Duration status_valid_for = std::chrono::milliseconds(1600);
-// What an agent may take to report the end of a step, beyond the times that the plan allows for: by then its
-// own lease has ended, too, and the fallback with it.
+// How long an agent may take to report the end of a step beyond the times that the plan allows: by then the
+// agent's own lease has ended, and the fallback, too.
 constexpr Duration step_report_allowance = std::chrono::seconds(40);
 
 }  // namespace
@@ -27,8 +28,8 @@
   InstanceStatus& status = statuses_[instance];
   const bool was_unseen = status.state == InstanceState::unseen;
   if (state == InstanceState::serving) {
-    // One that serves when it is first reported counts as warm, since nobody here knows how long it has
-    // served.
+    // An instance that serves in its first report counts as warm, since the coordinator can't know how long
+    // it has served.
     if (was_unseen) status.serving_since = now - plan_.warm;
     else if (!status.serving()) status.serving_since = now;
   }
@@ -37,8 +38,8 @@
   status.reported_at = now;
 }
 
-// Instances of a zone that are known to serve and are warm. A target with a step in progress does not count,
-// whatever the last report said.
+// Returns the number of instances of a zone that are known to serve and are warm. A target with a step in
+// progress does not count, whatever its last report was.
 int Rollout::serving_in(TimePoint now, const std::string& zone) const {
   int count = 0;
   for (const auto& [instance, status] : statuses_) {
@@ -60,7 +61,7 @@
   const InstanceStatus& status = found->second;
   const auto minimum = plan_.min_serving.find(target.zone);
   if (minimum == plan_.min_serving.end() || !status.serving()) return true;
-  // The step stops it from serving; it is among those counted only if it is warm.
+  // The step stops the target from serving. The count includes the target only if it is warm.
   const bool is_counted = now - status.serving_since >= plan_.warm;
   return serving_in(now, target.zone) - is_counted >= minimum->second;
 }
@@ -80,7 +81,7 @@
   }
 }
 
-// Returns false where the rollout ended, since its state could not be persisted.
+// Returns false if the rollout ended because its state could not be persisted.
 bool Rollout::start_step(TimePoint now, TargetState& target) {
   Step step;
   step.operation = plan_.id;
@@ -90,13 +91,13 @@
   step.version = rolling_back_ ? plan_.version_before : plan_.version;
   step.drain_within = plan_.drain_within;
   step.up_within = plan_.up_within;
-  target.set(Stage::requested, "asked");
+  target.set(Stage::requested, "requested");
   target.requested_at = now;
   target.version = step.version;
   ++started_since_gate_;
   if (!host_.persist(state_)) {
     target.stage = Stage::waiting;
-    end(State::failed, "its state can't be written");
+    end(State::failed, "its state can't be persisted");
     return false;
   }
   host_.step(target.agent, target.instance, step);
@@ -121,7 +122,7 @@
   if (target->stage != Stage::requested && target->stage != Stage::unknown) return;
   target->detail = detail;
   if (rolling_back_ && target->version != plan_.version_before) {
-    // It was in progress when the rollback was requested: now it is stepped back, too.
+    // The step was in progress when the rollback was requested: the target now has to be stepped back, too.
     target->stage = Stage::waiting;
   } else if (end == StepEnd::done) {
     const bool serves = plan_.kind != StepKind::drain;
@@ -140,7 +141,7 @@
   for (TargetState& target : targets_) {
     if (target.stage == Stage::warming && now >= target.warm_at) target.stage = Stage::done;
     if (target.stage != Stage::requested || now - target.requested_at <= step_timeout) continue;
-    target.set(Stage::unknown, "its agent did not say how it ended");
+    target.set(Stage::unknown, "its agent did not report the end of the step in time");
     ++failed_steps_;
   }
 }
--- a/src/fleet/status_summary.cpp
+++ b/src/fleet/status_summary.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::seconds;
 
-// Field tags, lengths and numbers of an encoded message, on average, without names.
+// Average sizes of field tags, lengths and numbers in an encoded message, without names, in bytes.
 constexpr std::size_t unit_overhead = 8;
 constexpr std::size_t mark_overhead = 5;
 constexpr std::size_t summary_overhead = 36;
@@ -30,8 +30,8 @@
 std::size_t unit_size(const Unit& unit) { return unit_overhead + unit.region.size() + unit.zone.size(); }
 
 bool has_valid_traffic(const StatusCounts& counts) {
-  return std::isfinite(counts.traffic) && std::isfinite(counts.done_traffic) && counts.traffic >= 0 &&
-         counts.done_traffic >= 0;
+  return std::isfinite(counts.traffic) && std::isfinite(counts.successful_traffic) && counts.traffic >= 0 &&
+         counts.successful_traffic >= 0;
 }
 
 }  // namespace
@@ -39,14 +39,14 @@
 void StatusCounts::add(const StatusReport& report) {
   ++by_state[static_cast<std::size_t>(report.state)];
   traffic += report.traffic;
-  done_traffic += report.traffic * report.done;
+  successful_traffic += report.traffic * report.done;
   open += report.open;
 }
 
 void StatusCounts::add(const StatusCounts& other) {
   for (std::size_t n = 0; n < instance_state_count; ++n) by_state[n] += other.by_state[n];
   traffic += other.traffic;
-  done_traffic += other.done_traffic;
+  successful_traffic += other.successful_traffic;
   open += other.open;
   agents_fresh += other.agents_fresh;
   agents_old += other.agents_old;
@@ -112,7 +112,8 @@
          summary.age_when_made >= Duration(0) && has_valid_traffic(summary.counts);
 }
 
-// When all that is counted was so, by this agent's clock.
+// Returns the time, by this agent's clock, at which the oldest report in the summary was valid. Returns none
+// if that can't be proven.
 std::optional<TimePoint> SummaryStore::as_of(TimePoint now, const Entry& entry) const {
   if (entry.disputed) return std::nullopt;
   const StatusSummary& summary = entry.summary;
@@ -135,7 +136,7 @@
                          const SummaryDelta& delta) {
   const StatusSummary& summary = delta.summary;
   if (!is_acceptable(summary)) return false;
-  // By what the reporter states it was made then, or later.
+  // By the age that the reporter states, the summary was made at this time or later.
   const TimePoint made = queried_at - std::max(delta.age - summary.age_when_made, Duration(0));
   clocks_[summary.writer].add_bound(now, summary.version.incarnation, reporter, reporter == summary.writer,
                                     made - summary.made_at);
@@ -151,7 +152,8 @@
     known = {summary, now, false, false};
     return true;
   }
-  // One writer never writes two contents under one version. All readers keep the same one, and use neither.
+  // A writer never writes two contents under one version, so two processes write under its name. All readers
+  // keep the same one of the two contents, and use neither.
   if (known.summary != summary) known.disputed = true;
   const auto rank = [](const StatusSummary& ranked) {
     return std::tie(ranked.made_at, ranked.age_when_made, ranked.counts);
@@ -172,7 +174,8 @@
   }
 }
 
-// So that a writer that has lost its disk is not held back by its past for ever.
+// Expiry lets a writer that has lost its disk be read again after a time, even if readers have a past summary
+// of a later incarnation.
 void SummaryStore::expire(TimePoint now) {
   for (auto& [unit, writers] : units_) {
     const Duration limit = freshness_limits(unit.level).old;
@@ -183,15 +186,16 @@
 std::optional<SummaryStore::Selected> SummaryStore::selected(TimePoint now, const Unit& unit) const {
   const auto writers = units_.find(unit);
   if (writers == units_.end()) return std::nullopt;
-  std::vector<Selected> proven;
+  std::vector<Selected> candidates;
   for (const auto& [writer, entry] : writers->second) {
-    if (const std::optional<TimePoint> when = as_of(now, entry)) proven.push_back({&entry.summary, *when});
+    if (const std::optional<TimePoint> when = as_of(now, entry))
+      candidates.push_back({&entry.summary, *when});
   }
-  if (proven.empty()) return std::nullopt;
-  const TimePoint youngest = std::ranges::max(proven, {}, &Selected::as_of).as_of;
-  std::erase_if(proven,
+  if (candidates.empty()) return std::nullopt;
+  const TimePoint youngest = std::ranges::max(candidates, {}, &Selected::as_of).as_of;
+  std::erase_if(candidates,
                 [&](const Selected& candidate) { return candidate.as_of < youngest - coverage_window; });
-  return std::ranges::max(proven, {}, [](const Selected& candidate) {
+  return std::ranges::max(candidates, {}, [](const Selected& candidate) {
     const StatusSummary& summary = *candidate.summary;
     return std::tuple(summary.counts.agents_fresh, candidate.as_of, summary.writer);
   });
--- a/src/fleet/topology.cpp
+++ b/src/fleet/topology.cpp
@@ -45,7 +45,7 @@
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view candidate) {
   Fnv1a hash;
   hash.add(key);
-  hash.add_byte(0);  // occurs in no name: "ab", "c" and "a", "bc" differ
+  hash.add_byte(0);  // occurs in no name, so that "ab", "c" and "a", "bc" get different weights
   hash.add(candidate);
   return mix_bits(hash.value());
 }
@@ -73,7 +73,7 @@
     for (std::uint32_t group = 0; group < group_count; ++group)
       weights.emplace_back(rendezvous_weight(to_string({Level::group, region, zone, group}), name), group);
     std::ranges::sort(weights, std::greater<>());
-    // One always has room: the groups together hold more than the zone has members.
+    // One group always has room, since the groups together can hold more members than the zone has.
     const auto chosen = std::ranges::find_if(
         weights, [&](const auto& weight) { return sizes[weight.second] < max_group_size; });
     ++sizes[chosen->second];
--- a/src/fleet/writer_clock.cpp
+++ b/src/fleet/writer_clock.cpp
@@ -7,8 +7,8 @@
 void WriterClock::add_bound(TimePoint now, std::uint64_t incarnation, const std::string& reporter,
                             bool is_writer, Duration offset) {
   std::erase_if(bounds_, [&](const Bound& bound) { return now - bound.added_at > bound_lifetime; });
-  // A later incarnation of which nothing has been received for so long is no obstacle to a writer that has
-  // lost its disk.
+  // Once all bounds of a later incarnation have expired, an earlier one is accepted again: it may come from a
+  // writer that has lost its disk.
   if (incarnation < incarnation_ && !bounds_.empty()) return;
   if (incarnation != incarnation_) {
     incarnation_ = incarnation;
--- a/src/fleet/zone_disruption.h
+++ b/src/fleet/zone_disruption.h
@@ -1,5 +1,5 @@
-// Which zones would lose most of their serving instances by an operator's command, so that it needs to be
-// confirmed. Stateless.
+// Finds the zones that would lose most of their serving instances through an operator's command, which then
+// needs a confirmation. Stateless.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace pearchute::fleet {
 
-// An instance as far as its state is known.
+// An instance and whether it is known to serve.
 struct InstanceAvailability {
   std::string name, zone;
   bool serves = false;
@@ -19,7 +19,8 @@
   int serving = 0, stopping = 0;  // instances
 };
 
-// The zones that stopping these instances would disrupt, by name. Empty: no confirmation is needed.
+// Returns the zones, sorted by name, that stopping the named instances would disrupt. If there are none, no
+// confirmation is needed.
 std::vector<ZoneDisruption> zone_disruptions(const std::vector<InstanceAvailability>& fleet,
                                              const std::vector<std::string>& stopped);
 
--- a/tests/test_configuration.cpp
+++ b/tests/test_configuration.cpp
@@ -1,5 +1,6 @@
-// Versions of the fleet's configuration: the order of versions and the conflict rule as small cases, then
-// seeded histories with every kind of trouble, and broken variants that the checker must catch.
+// Tests of configuration versions: the order of versions and the conflict rule as small cases, the spread
+// among three agents, seeded histories with all kinds of faults, and broken variants that the checker must
+// catch.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
@@ -12,6 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// Persists the state in memory.
 struct Disk final : ConfigReplica::Host {
   bool writable = true;
   ConfigReplica::State state;
@@ -42,7 +44,7 @@
   assert(replica.publish({second, "three", false}) == PublishResult::not_written);
   assert(replica.mark().digest == second && disk.state.current->mark.digest == second);
   disk.writable = true;
-  // A new epoch is above all numbers of the one before, and descends from it.
+  // A version of a new epoch is greater than all versions of the epoch before, and descends from them.
   assert(replica.publish({second, "anew", true}) == PublishResult::accepted && replica.mark().epoch == 2);
   for (int n = 0; n < 100; ++n) {
     assert(replica.publish({replica.mark().digest, std::to_string(n), false}) == PublishResult::accepted);
@@ -58,24 +60,25 @@
   assert(a.publish({"", "one", true}) == PublishResult::accepted);
   const ConfigDocument first = document(left);
   assert(b.receive(first) && !b.receive(first) && b.mark() == a.mark());
-  // What is altered on its way is not taken.
+  // A document that was altered on its way is not accepted.
   ConfigDocument altered = first;
   altered.content = "other", altered.mark.number = 9;
   assert(!b.receive(altered) && b.mark() == first.mark);
   altered.mark.digest = digest_of(altered);
   altered.ancestors.assign(ConfigDocument::max_ancestors + 1, first.mark.digest);
   assert(!b.receive(altered));
-  // A descendant replaces without a conflict, and the older one then changes nothing.
+  // A descendant replaces its ancestor without a conflict. Receiving the ancestor again changes nothing.
   assert(a.publish({first.mark.digest, "two", false}) == PublishResult::accepted);
   assert(b.receive(document(left)) && b.state().superseded.empty());
   assert(!b.receive(first) && b.state().superseded.empty());
-  // What can't be written is not held.
+  // A document that can't be persisted is not accepted.
   assert(a.publish({a.mark().digest, "three", false}) == PublishResult::accepted);
   right.writable = false;
   assert(!b.receive(document(left)) && b.mark().number == 2);
 }
 
-// Both sides of a cut publish: whatever the order of what comes then, all hold the same.
+// Both sides of a partition publish. All replicas then reach the same state, whatever the order in which they
+// receive the documents.
 void conflicts() {
   Disk left, right;
   ConfigReplica a(left, "a1", {}), b(right, "b1", {});
@@ -91,17 +94,17 @@
   assert(b.receive(longer) && b.state().superseded.size() == 1);
   assert(b.state().superseded[0].mark == shorter.mark && b.state().superseded[0].by == longer.mark);
   assert(!a.receive(shorter) && a.state() == b.state());
-  std::knuth_b chance(3);
+  std::knuth_b random(3);
   for (int n = 0; n < 100; ++n) {
-    std::ranges::shuffle(all, chance);
+    std::ranges::shuffle(all, random);
     Disk disk;
     ConfigReplica other(disk, "c1", {});
     for (const ConfigDocument& one : all) other.receive(one);
-    for (int m = 0; m < 3; ++m) other.receive(all[chance() % all.size()]);
+    for (int m = 0; m < 3; ++m) other.receive(all[random() % all.size()]);
     other.receive_superseded(a.state().superseded);
     assert(other.state() == a.state());
   }
-  // Equal numbers: the greater digest, wherever it is.
+  // Of two versions with the same number the one with the greater digest wins, wherever it was published.
   Disk third, fourth;
   ConfigReplica c(third, "c1", a.state()), d(fourth, "d1", a.state());
   assert(c.publish({c.mark().digest, "c four", false}) == PublishResult::accepted);
@@ -114,6 +117,7 @@
 
 // ---- Several agents, message by message
 
+// Three agents, each in a zone of its own.
 struct Agents {
   Disk disks[3];
   std::vector<std::unique_ptr<ConfigSpread>> all;
@@ -133,6 +137,7 @@
     if (n < all.size()) all[n] = std::move(one);
     else all.push_back(std::move(one));
   }
+  // Exchanges messages for this time. The exchanges of silent agents are missed.
   void run(Duration time, const std::set<std::size_t>& silent = {}) {
     for (const Duration end = now + time; now < end; now += milliseconds(50)) {
       for (std::size_t n = 0; n < 3; ++n) {
@@ -146,13 +151,13 @@
   }
 };
 
-std::vector<InstanceConfig> seen(std::initializer_list<std::pair<const char*, ConfigMark>> all,
-                                 const std::string& why_not = "") {
+std::vector<InstanceConfig> instances_with(std::initializer_list<std::pair<const char*, ConfigMark>> all,
+                                           const std::string& reason = "") {
   std::vector<InstanceConfig> instances;
   for (const auto& [name, mark] : all) {
     InstanceConfig& one = instances.emplace_back();
     one.instance = name, one.in_force = mark;
-    if (mark.epoch == 0) one.not_in_force_reason = why_not;
+    if (mark.epoch == 0) one.not_in_force_reason = reason;
   }
   return instances;
 }
@@ -167,25 +172,26 @@
   assert(agents.all[0]->confirmed());
   const ConfigMark mark = agents.all[0]->replica().mark(), none;
   for (const auto& one : agents.all) assert(one->to_apply()->mark == mark);
-  // Nobody has said anything yet: unknown everywhere.
+  // No agent has acknowledged the version yet: it is unknown everywhere whether it is in force.
   ConfigReport report = agents.all[2]->report();
   assert(report.not_in_force == 3 && report.names[0] == "a0: unknown" && report.zones.size() == 3);
-  agents.all[0]->set_instances(agents.now, seen({{"i0", mark}}));
-  agents.all[1]->set_instances(agents.now, seen({{"i1", none}, {"i2", mark}}, "refused: settings"));
+  agents.all[0]->set_instances(agents.now, instances_with({{"i0", mark}}));
+  agents.all[1]->set_instances(agents.now, instances_with({{"i1", none}, {"i2", mark}}, "refused: settings"));
   agents.run(seconds(3));
   for (const auto& one : agents.all) {
     report = one->report();
     assert(report.not_in_force == 2 && report.zones.at("z0").in_force == 1);
     assert(report.names[0] == "a1/i1: refused: settings" && report.names[1] == "a2: unknown");
   }
-  agents.all[1]->set_instances(agents.now, seen({{"i1", mark}, {"i2", mark}}));
+  agents.all[1]->set_instances(agents.now, instances_with({{"i1", mark}, {"i2", mark}}));
   agents.all[2]->set_instances(agents.now, {});
   agents.run(seconds(3));
   for (const auto& one : agents.all) assert(one->report().not_in_force == 0);
-  // What was in force and is not any more is taken back, also by an agent that has lost its memory of it.
+  // An agent withdraws its acknowledgement when the version is no longer in force, even after a restart in
+  // which it has lost the acknowledgement.
   agents.start(1);
   agents.run(seconds(3));
-  agents.all[1]->set_instances(agents.now, seen({{"i1", none}, {"i2", mark}}));
+  agents.all[1]->set_instances(agents.now, instances_with({{"i1", none}, {"i2", mark}}));
   agents.run(seconds(3));
   for (const auto& one : agents.all) {
     report = one->report();
@@ -193,7 +199,7 @@
   }
 }
 
-// An agent whose disk is lost, or is older, applies and publishes nothing until it has heard others.
+// An agent whose disk is lost or has an older state applies and publishes nothing until peers have answered.
 void lost_disk() {
   Agents agents;
   agents.run(seconds(5));
@@ -213,7 +219,7 @@
     assert(agents.all[1]->to_apply()->content == "two");
     assert(agents.all[1]->publish(agents.now, {first, "other", false}) == PublishResult::stale_parent);
   }
-  // With all disks lost nothing is known, and only a new epoch begins.
+  // After the loss of all disks no version is known, and only one of a new epoch is accepted.
   for (std::size_t n = 0; n < 3; ++n) agents.disks[n].state = {}, agents.start(n);
   agents.run(seconds(5));
   assert(agents.all[0]->verified() && !agents.all[0]->to_apply());
@@ -232,7 +238,7 @@
   return result;
 }
 
-Shape with_trouble(std::uint64_t seed) {
+Shape shape_with_faults(std::uint64_t seed) {
   Shape shape;
   shape.seed = seed;
   shape.loss = 0.1, shape.repeated = 0.1;
@@ -240,10 +246,10 @@
   return shape;
 }
 
-void histories() {
+void random_histories() {
   std::uint64_t published = 0, confirmed = 0, conflicts = 0, lost = 0, kills = 0, refused = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Shape shape = with_trouble(seed);
+    Shape shape = shape_with_faults(seed);
     if (seed % 20 == 0) shape.agents = 50;
     if (seed % 3 == 0) shape.instances_each = 2;
     const auto result = play(shape);
@@ -258,13 +264,13 @@
   assert(published > 200 && confirmed > 100 && conflicts > 10 && lost > 100 && kills > 500);
 }
 
-void repeatable() {
-  const Shape shape = with_trouble(7);
+void same_seed_same_history() {
+  const Shape shape = shape_with_faults(7);
   assert(play(shape).digest == play(shape).digest);
 }
 
-// The target: in force everywhere within 3 s at 630 agents.
-void large() {
+// With 630 agents a version has to be in force everywhere within 3 s.
+void large_fleet() {
   Shape shape;
   shape.agents = 630, shape.calm_publications = 1, shape.calm_loss = 0.01;
   const auto result = play(shape);
@@ -274,10 +280,10 @@
   assert(result.in_force.at(0) < seconds(3) && result.rest_bytes_a_second < 1000);
 }
 
-// Whether the checker finds a broken variant in some of its first histories.
-bool caught(Variant variant) {
+// Returns whether the checker catches a broken variant in one of the first 20 histories.
+bool is_caught(Variant variant) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Shape shape = with_trouble(seed);
+    Shape shape = shape_with_faults(seed);
     shape.variant = variant;
     shape.calm_publications = 0;
     if (!lab::ConfigSimulation(shape).play().clean()) return true;
@@ -292,9 +298,9 @@
   conflicts();
   acknowledging();
   lost_disk();
-  histories();
-  repeatable();
-  large();
-  assert(caught(Variant::tells_before_write));
-  assert(caught(Variant::applies_unverified));
+  random_histories();
+  same_seed_same_history();
+  large_fleet();
+  assert(is_caught(Variant::tells_before_write));
+  assert(is_caught(Variant::applies_unverified));
 }
--- a/tests/test_gossip_state.cpp
+++ b/tests/test_gossip_state.cpp
@@ -1,4 +1,5 @@
-// What agents know of each other: merging as a table of small cases, then thousands of seeded histories.
+// Tests of gossip among agents: merging, ages, incarnations and bounds as small cases, the schedule of
+// queries, and seeded histories with faults.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
@@ -11,26 +12,27 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// Persists the incarnation in memory, and records the last event of each agent.
 struct Disk final : GossipState::Host {
   bool writable = true;
-  std::uint64_t kept = 0;
-  int overruled = 0;
-  std::map<std::string, std::string> last;
-  bool persist_incarnation(std::uint64_t incarnation) override {
-    if (writable) kept = incarnation;
+  std::uint64_t incarnation = 0;
+  std::map<std::string, std::string> last_event;
+  bool persist_incarnation(std::uint64_t next) override {
+    if (writable) incarnation = next;
     return writable;
   }
-  void on_event(const std::string& agent, std::string_view what) override { last[agent] = what; }
+  void on_event(const std::string& agent, std::string_view event) override { last_event[agent] = event; }
 };
 
-StatusReport word(const std::string& instance, std::uint64_t life = 1) {
-  StatusReport one;
-  one.instance = instance, one.state = InstanceState::serving, one.process_incarnation = life;
-  return one;
+StatusReport report_on(const std::string& instance, std::uint64_t process_incarnation = 1) {
+  StatusReport report;
+  report.instance = instance, report.state = InstanceState::serving;
+  report.process_incarnation = process_incarnation;
+  return report;
 }
 const TimePoint now = seconds(100);
 
-// Whatever order, whatever repeats: the same in the end.
+// The result of merging does not depend on the order of answers or on repeated answers.
 void merging() {
   Disk disk;
   std::vector<std::vector<ReportDelta>> answers;
@@ -38,24 +40,25 @@
   writer.set_agents({"r"});
   std::map<std::string, ReportVersion> marks;
   for (int n = 0; n < 6; ++n) {
-    std::vector<StatusReport> all = {word("i" + std::to_string(n)), word("j", static_cast<std::uint64_t>(n))};
+    std::vector<StatusReport> all = {report_on("i" + std::to_string(n)),
+                                     report_on("j", static_cast<std::uint64_t>(n))};
     writer.publish(all);
     answers.push_back(writer.answer(now, n % 2 == 0 ? std::map<std::string, ReportVersion>{} : marks));
     marks["w"] = writer.known(now, "w").mark;
   }
-  std::knuth_b chance(7);
+  std::knuth_b random(7);
   for (int round = 0; round < 200; ++round) {
-    Disk other;
-    GossipState reader(other, "r", 0, 2);
+    Disk reader_disk;
+    GossipState reader(reader_disk, "r", 0, 2);
     reader.set_agents({"w"});
-    std::vector<std::vector<ReportDelta>> some = answers;
-    for (int n = 0; n < 4; ++n) some.push_back(answers[chance() % answers.size()]);
-    std::ranges::shuffle(some, chance);
-    for (const auto& news : some) reader.receive(now, now - milliseconds(5), news);
-    reader.receive(now, now, answers[4]);  // the last that is whole
+    std::vector<std::vector<ReportDelta>> received = answers;
+    for (int n = 0; n < 4; ++n) received.push_back(answers[random() % answers.size()]);
+    std::ranges::shuffle(received, random);
+    for (const auto& answer : received) reader.receive(now, now - milliseconds(5), answer);
+    reader.receive(now, now, answers[4]);  // the last answer with all entries
     reader.receive(now, now, answers[5]);
-    const auto words = reader.reports("w");
-    assert(words.size() == 2 && words.contains("i5") && words.at("j").process_incarnation == 5);
+    const auto reports = reader.reports("w");
+    assert(reports.size() == 2 && reports.contains("i5") && reports.at("j").process_incarnation == 5);
     assert(reader.known(now, "w").freshness == Freshness::fresh);
     assert(reader.known(now, "w").mark == writer.known(now, "w").mark);
   }
@@ -65,81 +68,83 @@
   Disk disk, between_disk, reader_disk;
   GossipState writer(disk, "w", 0, 1), between(between_disk, "b", 0, 2), reader(reader_disk, "r", 0, 3);
   between.set_agents({"w", "r"}), reader.set_agents({"w", "b"});
-  writer.publish({word("i")});
+  writer.publish({report_on("i")});
   assert(reader.known(now, "w").freshness == Freshness::unknown && !reader.known(now, "w").age);
-  // The third agent's clock is another one; it asked a second before it is asked itself.
-  const Duration its = seconds(5000);
-  between.receive(its, its - milliseconds(10), writer.answer(now, between.marks()));
-  reader.receive(now, now - milliseconds(200), between.answer(its + seconds(1), reader.marks()));
+  // The agent in between has another clock. It has had the report for 1 s when the reader queries it.
+  const TimePoint between_now = seconds(5000);
+  between.receive(between_now, between_now - milliseconds(10), writer.answer(now, between.marks()));
+  reader.receive(now, now - milliseconds(200), between.answer(between_now + seconds(1), reader.marks()));
   const auto known = reader.known(now, "w");
   assert(known.age == seconds(1) + milliseconds(210) && known.freshness == Freshness::fresh);
-  // An older one changes nothing; time makes it old, and then unknown.
+  // An older answer does not change the age. With time the reports become old, then unknown.
   reader.receive(now, now - seconds(9), writer.answer(now, reader.marks()));
   assert(reader.known(now, "w").age == known.age);
   assert(reader.known(now + seconds(3), "w").freshness == Freshness::old);
   reader.on_timer(now + seconds(3));
-  assert(reader_disk.last["w"] == "old");
+  assert(reader_disk.last_event["w"] == "old");
   assert(reader.known(now + seconds(20), "w").freshness == Freshness::unknown);
-  assert(reader.reports("w").size() == 1);  // what is old is still what was said last
-  // Dropped from the charter: its word goes, and a third agent does not bring it back.
+  assert(reader.reports("w").size() == 1);  // the last reports are kept whatever their age
+  // After the writer is removed from the agents its reports are dropped, and another agent's answer does not
+  // bring them back.
   reader.set_agents({"b"});
-  reader.receive(now, now, between.answer(its, reader.marks()));
+  reader.receive(now, now, between.answer(between_now, reader.marks()));
   assert(reader.reports("w").empty() && !reader.known(now, "w").age);
 }
 
-// Restarted with its disk lost, it learns of its own past, and goes beyond it.
+// An agent that restarts with a lost disk receives its own past reports, and begins a greater incarnation.
 void own_past() {
   Disk disk, reader_disk;
   auto writer = std::make_unique<GossipState>(disk, "w", 7ULL << 32, 1);
   GossipState reader(reader_disk, "r", 0, 2);
   reader.set_agents({"w"});
-  writer->publish({word("old")});
-  assert(disk.kept >> 32 == 8);
+  writer->publish({report_on("old")});
+  assert(disk.incarnation >> 32 == 8);
   reader.receive(now, now, writer->answer(now, reader.marks()));
-  disk.kept = 0;
+  disk.incarnation = 0;
   writer = std::make_unique<GossipState>(disk, "w", 0, 4);
   writer->set_agents({"r"});
-  writer->publish({word("new")});
+  writer->publish({report_on("new")});
   reader.receive(now, now, writer->answer(now, reader.marks()));
-  assert(reader.reports("w").contains("old"));  // it can't tell which is the later one
+  assert(reader.reports("w").contains("old"));  // the reader can't tell which one is later
   writer->receive(now, now, reader.answer(now, writer->marks()));
-  assert(disk.kept >> 32 == 9 && writer->known(now, "w").mark.incarnation == disk.kept);
-  writer->publish({word("new")});
+  assert(disk.incarnation >> 32 == 9 && writer->known(now, "w").mark.incarnation == disk.incarnation);
+  writer->publish({report_on("new")});
   reader.receive(now, now, writer->answer(now, reader.marks()));
   assert(reader.reports("w").size() == 1 && reader.reports("w").contains("new"));
-  // An echo of what it has said itself changes nothing.
+  // An answer with the agent's own present reports changes nothing.
   writer->receive(now, now, reader.answer(now, writer->marks()));
-  assert(disk.kept >> 32 == 9);
-  // Before it has looked at its instances it says nothing, rather than that it owns none.
+  assert(disk.incarnation >> 32 == 9);
+  // Before its first publish() an agent answers nothing, since an empty delta would mean that it owns none.
   GossipState early(disk, "e", 0, 5);
   assert(early.can_publish() && early.answer(now, {}).empty());
-  // Without a disk nothing is said under a new incarnation.
+  // If the incarnation can't be persisted, nothing is published under it.
   Disk full;
   full.writable = false;
-  GossipState mute(full, "m", 3, 1);
-  mute.publish({word("x")});
-  assert(!mute.can_publish() && mute.answer(now, {}).empty());
+  GossipState silent(full, "m", 3, 1);
+  silent.publish({report_on("x")});
+  assert(!silent.can_publish() && silent.answer(now, {}).empty());
   full.writable = true;
-  mute.publish({word("x")});
-  assert(mute.can_publish() && mute.answer(now, {}).size() == 1 && full.kept > 3);
+  silent.publish({report_on("x")});
+  assert(silent.can_publish() && silent.answer(now, {}).size() == 1 && full.incarnation > 3);
 }
 
-// What is let go is named until there are too many such names; then all is said anew.
+// Removed instances are reported until there are too many of them; then a new incarnation begins. Answers and
+// records stay within their bounds.
 void bounds() {
   Disk disk, reader_disk;
   GossipState writer(disk, "w", 0, 1), reader(reader_disk, "r", 0, 2);
   reader.set_agents({"w"});
   const auto exchange = [&] { reader.receive(now, now, writer.answer(now, reader.marks())); };
   for (int n = 0; n < 1000; ++n) {
-    writer.publish({word("keeps"), word("i" + std::to_string(n))});
+    writer.publish({report_on("stays"), report_on("i" + std::to_string(n))});
     if (n % 7 == 0) exchange();
   }
   exchange();
   assert(reader.reports("w").size() == 2 && reader.reports("w").contains("i999"));
-  assert(reader.bytes() < 100'000 && writer.bytes() < 100'000 && disk.kept >> 32 > 1);
-  // A full charter comes in parts, each within bounds, and is fresh once all of it is here.
+  assert(reader.bytes() < 100'000 && writer.bytes() < 100'000 && disk.incarnation >> 32 > 1);
+  // The reports on the maximum number of instances are sent in parts, and used once all parts are received.
   std::vector<StatusReport> many;
-  for (int n = 0; n < 3000; ++n) many.push_back(word(std::string(120, 'x') + std::to_string(n)));
+  for (int n = 0; n < 3000; ++n) many.push_back(report_on(std::string(120, 'x') + std::to_string(n)));
   writer.publish(many);
   int parts = 0;
   while (reader.known(now, "w").mark != writer.known(now, "w").mark) {
@@ -148,8 +153,8 @@
     if (parts == 1) assert(reader.known(now, "w").instance_count < GossipState::max_instances);
   }
   assert(parts > 1 && reader.reports("w").size() == GossipState::max_instances);
-  // Two that speak under one name are no source: what they say is not taken for known.
-  ReportDelta first{"w", {99ULL << 32, 1}, {}, true, 0, 1, {{1, "i", word("i", 1)}}}, second = first;
+  // If two processes publish under one name, the agent is disputed and its status unknown.
+  ReportDelta first{"w", {99ULL << 32, 1}, {}, true, 0, 1, {{1, "i", report_on("i", 1)}}}, second = first;
   second.entries[0].report->process_incarnation = 2;
   reader.receive(now, now, {first});
   assert(reader.known(now, "w").freshness == Freshness::fresh);
@@ -158,36 +163,37 @@
   assert(reader.reports("w").at("i").process_incarnation == 2);
 }
 
-// A silent peer has one question open, and is asked less and less; the others go on as before.
-void asking() {
-  AntiEntropyScheduler asks(3);
+// A silent peer has at most one query in flight and is queried ever less often; the other peers are queried
+// as before.
+void query_schedule() {
+  AntiEntropyScheduler scheduler(3);
   std::set<std::string> peers;
   for (int n = 0; n < 8; ++n) peers.insert("p" + std::to_string(n));
-  asks.set_peers(peers);
-  std::map<std::string, int> asked;
+  scheduler.set_peers(peers);
+  std::map<std::string, int> query_counts;
   std::map<std::string, Duration> open;
   Duration t = seconds(1);
   for (int round = 0; round < 400; ++round) {
     for (const auto& [peer, since] : std::map(open)) {
-      if (t - since >= AntiEntropyScheduler::answer_timeout) asks.missed(t, peer), open.erase(peer);
+      if (t - since >= AntiEntropyScheduler::answer_timeout) scheduler.missed(t, peer), open.erase(peer);
     }
-    const auto due = asks.due(t);
+    const auto due = scheduler.due(t);
     assert(due.size() <= AntiEntropyScheduler::default_max_concurrent);
     for (const std::string& peer : due) {
-      ++asked[peer];
+      ++query_counts[peer];
       if (peer == "p3") assert(open.emplace(peer, t).second);
-      else asks.answered(t + milliseconds(3), peer);
+      else scheduler.answered(t + milliseconds(3), peer);
     }
-    assert(asks.in_flight() <= 1);
-    const TimePoint next = asks.next(t);
+    assert(scheduler.in_flight() <= 1);
+    const TimePoint next = scheduler.next(t);
     assert(next - t >= 3 * AntiEntropyScheduler::round_interval / 4 &&
            next - t <= 5 * AntiEntropyScheduler::round_interval / 4);
     t = next;
   }
-  assert(asked["p3"] < 50 && asked["p0"] > 120 && asked["p7"] > 120);
+  assert(query_counts["p3"] < 50 && query_counts["p0"] > 120 && query_counts["p7"] > 120);
 }
 
-void histories() {
+void random_histories() {
   struct Case {
     const char* name;
     int seeds;
@@ -196,10 +202,10 @@
   const Case cases[] = {
       {"loss and repeats", 60, {.loss = 0.3, .doubled = 0.3}},
       {"kills", 60, {.loss = 0.05, .doubled = 0.05, .kills = true}},
-      {"stops", 60, {.doubled = 0.1, .stops = true}},
-      {"parts", 60, {.loss = 0.05, .doubled = 0.1, .most_in_answer = 500, .drops = true}},
-      {"cuts", 60, {.cuts = true}},
-      {"charters", 40, {.loss = 0.05, .drops = true}},
+      {"pauses", 60, {.doubled = 0.1, .stops = true}},
+      {"answers in parts", 60, {.loss = 0.05, .doubled = 0.1, .most_in_answer = 500, .drops = true}},
+      {"partitions", 60, {.cuts = true}},
+      {"membership changes", 40, {.loss = 0.05, .drops = true}},
       {"all", 120, {.loss = 0.1, .doubled = 0.1, .kills = true, .stops = true, .cuts = true, .drops = true}},
   };
   for (const Case& c : cases) {
@@ -220,6 +226,6 @@
   ages();
   own_past();
   bounds();
-  asking();
-  histories();
+  query_schedule();
+  random_histories();
 }
--- a/tests/test_levels.cpp
+++ b/tests/test_levels.cpp
@@ -1,5 +1,5 @@
-// Status by levels: placement, summaries and their ages by tables, the exchange by seeded histories, and a
-// broken variant that the checks have to catch.
+// Tests of the exchange of status by levels: placement, summaries and their ages as small cases, the exchange
+// as seeded histories with faults, and a broken variant that the checker has to catch.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
@@ -54,7 +54,7 @@
   std::vector<Member> members = fleet_of(630);
   const Topology one(members);
   std::ranges::reverse(members);
-  members.push_back(members.front());  // named twice
+  members.push_back(members.front());  // a duplicate name
   const Topology other(members);
   for (const Member& member : members)
     assert(one.placement(member.name)->group == other.placement(member.name)->group);
@@ -66,12 +66,13 @@
   assert(one.children(region).size() == 4 && one.siblings(region).size() == 1);
 }
 
-void few_move_when_members_come_or_go() {
+void few_members_move_when_the_list_changes() {
   std::vector<Member> members = fleet_of(630);
   const Topology before(members);
   const std::vector<Member> without_one(members.begin() + 1, members.end());
   assert(moved(before, Topology(without_one), members) <= Topology::max_group_size);
-  // One more group in a zone takes its share, and what the bound displaces, in that zone only.
+  // 20 new members give the zone more groups. Members move there, or are displaced by the limit of the group
+  // size, in this zone only.
   std::vector<Member> with_more = members;
   for (int n = 0; n < 20; ++n) with_more.push_back({"new-" + std::to_string(n), "region-0", "zone-0"});
   assert(moved(before, Topology(with_more), members) <= 60);
@@ -106,7 +107,7 @@
 
 void merging_is_a_semilattice() {
   struct Arrival {
-    std::string teller;
+    std::string reporter;
     SummaryDelta delta;
   };
   std::vector<Arrival> arrivals;
@@ -121,15 +122,16 @@
     SummaryStore store = store_of_four();
     for (int repeat = 0; repeat < 2; ++repeat) {
       for (const std::size_t n : order)
-        store.merge(seconds(100), seconds(100), arrivals[n].teller, arrivals[n].delta);
+        store.merge(seconds(100), seconds(100), arrivals[n].reporter, arrivals[n].delta);
     }
     assert(store.size() == 2);
     assert(store.version(zone_0, "a")->number == 3 && store.version(zone_0, "b")->number == 3);
-    assert(store.selected(seconds(100), zone_0)->summary->counts.agents_fresh == 4);  // never added up
+    // The counts of two writers are not added up.
+    assert(store.selected(seconds(100), zone_0)->summary->counts.agents_fresh == 4);
   } while (std::ranges::next_permutation(order).found);
 }
 
-void two_contents_under_one_version_are_not_read() {
+void two_contents_under_one_version_are_not_used() {
   SummaryStore one = store_of_four(), other = store_of_four();
   const SummaryDelta first{summary_of("a", 1, seconds(1), 4), milliseconds(500)};
   const SummaryDelta second{summary_of("a", 1, seconds(1), 3), milliseconds(500)};
@@ -145,13 +147,13 @@
   }
 }
 
-void strangers_and_nonsense_are_not_accepted() {
+void unknown_writers_and_invalid_summaries_are_not_accepted() {
   SummaryStore store = store_of_four();
-  StatusSummary stranger = summary_of("z", 1, seconds(1));
-  assert(!store.merge(seconds(9), seconds(9), "a", {stranger, {}}));
-  StatusSummary elsewhere = summary_of("a", 1, seconds(1));
-  elsewhere.unit.zone = "zone-1";
-  assert(!store.merge(seconds(9), seconds(9), "a", {elsewhere, {}}));
+  StatusSummary unknown_writer = summary_of("z", 1, seconds(1));
+  assert(!store.merge(seconds(9), seconds(9), "a", {unknown_writer, {}}));
+  StatusSummary other_zone = summary_of("a", 1, seconds(1));
+  other_zone.unit.zone = "zone-1";
+  assert(!store.merge(seconds(9), seconds(9), "a", {other_zone, {}}));
   assert(!store.merge(seconds(9), seconds(9), "a", {summary_of("a", 1, seconds(1), 1000), {}}));
   assert(!store.merge(seconds(9), seconds(9), "a", {summary_of("a", 1, seconds(1), 4, seconds(-1)), {}}));
   assert(store.size() == 0);
@@ -159,7 +161,7 @@
 
 void ages_count_from_the_oldest_report() {
   SummaryStore store = store_of_four();
-  // Made 0.2 s before it was asked for, of reports up to 2 s old.
+  // The summary was made 0.2 s before the question, from reports up to 2 s old.
   const SummaryDelta delta{summary_of("a", 1, seconds(1), 4, seconds(2)), milliseconds(2200)};
   store.merge(milliseconds(50'100), seconds(50), "a", delta);
   assert(seconds(50) - store.selected(milliseconds(50'100), zone_0)->as_of == milliseconds(2200));
@@ -170,25 +172,25 @@
   assert(store.size() == 0);
 }
 
-void one_teller_can_not_make_it_younger() {
+void one_reporter_can_not_make_a_summary_younger() {
   SummaryStore store = store_of_four();
   const SummaryDelta honest{summary_of("a", 1, seconds(1)), seconds(8)};
   const SummaryDelta deceiving{summary_of("a", 1, seconds(1)), milliseconds(500)};
-  // Until two have told it, or its writer, nothing is known of its age.
+  // The age is unknown until two reporters, or the writer itself, have passed the summary on.
   for (int n = 0; n < 3; ++n) store.merge(seconds(50), seconds(50), "b", deceiving);
   assert(store.freshness(seconds(50), zone_0) == Freshness::unknown);
   store.merge(seconds(50), seconds(50), "c", honest);
   assert(seconds(50) - store.selected(seconds(50), zone_0)->as_of == seconds(8));
-  // Nor can it later, for any other version.
+  // The same reporter can't understate the age of a later version either.
   store.merge(seconds(60), seconds(60), "b", {summary_of("a", 2, seconds(2)), Duration(0)});
   assert(store.selected(seconds(60), zone_0)->summary->version.number == 2);
   assert(seconds(60) - store.selected(seconds(60), zone_0)->as_of >= seconds(17));
-  // Its own writer is believed about its own clock.
+  // The writer's own bound of its clock is used.
   store.merge(seconds(60), seconds(60), "a", {summary_of("a", 3, milliseconds(18'400)), milliseconds(600)});
   assert(seconds(60) - store.selected(seconds(60), zone_0)->as_of == milliseconds(600));
 }
 
-void clocks_are_claimed_for_a_while() {
+void clock_bounds_expire() {
   WriterClock clock;
   clock.add_bound(seconds(1), 7, "b", false, seconds(100));
   assert(!clock.offset(seconds(1), 7));
@@ -196,20 +198,20 @@
   assert(clock.offset(seconds(1), 7) == seconds(90) && !clock.offset(seconds(1), 8));
   for (int n = 0; n < 10; ++n) clock.add_bound(seconds(2), 7, "b", false, seconds(1000 + n));
   assert(clock.offset(seconds(2), 7) <= seconds(90));
-  assert(!clock.offset(seconds(62), 7));  // too long ago
+  assert(!clock.offset(seconds(62), 7));  // all bounds have expired
   clock.add_bound(seconds(63), 8, "b", false, seconds(5));
-  clock.add_bound(seconds(63), 7, "c", false, seconds(5));  // of the process before
+  clock.add_bound(seconds(63), 7, "c", false, seconds(5));  // of the writer's earlier process: ignored
   assert(!clock.offset(seconds(63), 7) && !clock.offset(seconds(63), 8));
 }
 
-void coverage_decides_among_the_young() {
+void coverage_decides_among_young_summaries() {
   SummaryStore store = store_of_four();
   store.merge(seconds(50), seconds(50), "a", {summary_of("a", 1, seconds(1), 4), milliseconds(1500)});
   store.merge(seconds(50), seconds(50), "b", {summary_of("b", 1, seconds(1), 1), milliseconds(500)});
   assert(store.selected(seconds(50), zone_0)->summary->writer == "a");
   store.merge(seconds(53), seconds(53), "b", {summary_of("b", 2, seconds(4), 1), milliseconds(500)});
   assert(store.selected(seconds(53), zone_0)->summary->writer == "b");
-  // Only what is better is told.
+  // An answer has the summary only if it is better than the asker's.
   const SummaryMark better{id_of(zone_0), milliseconds(600), 4}, worse{id_of(zone_0), seconds(5), 1};
   assert(!store.answer(seconds(53), zone_0, &better) && store.answer(seconds(53), zone_0, &worse));
   assert(store.answer(seconds(53), zone_0, nullptr));
@@ -223,7 +225,7 @@
 
 // ---- Histories
 
-LevelSimulation::Shape trouble(std::uint64_t seed) {
+LevelSimulation::Shape shape_with_faults(std::uint64_t seed) {
   LevelSimulation::Shape shape;
   shape.seed = seed;
   shape.agents = 5 + static_cast<int>(seed % 30);
@@ -243,7 +245,7 @@
 
 void histories_are_clean() {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    const LevelSimulation::Result result = LevelSimulation(trouble(seed)).play();
+    const LevelSimulation::Result result = LevelSimulation(shape_with_faults(seed)).play();
     if (!result.clean()) print(seed, result);
     assert(result.clean() && result.checks > 0 && result.summaries_written > 0);
   }
@@ -258,20 +260,20 @@
   if (!result.clean()) print(shape.seed, result);
   assert(result.clean() && result.recoveries.size() == std::size(LevelSimulation::all_faults));
   for (const LevelSimulation::Recovery& recovery : result.recoveries) {
-    // A zone or region that is cut off goes on by itself, and whatever else fails blinds nobody to its own.
+    // The agents of a region that is cut off still know the status of their own region.
     if (recovery.fault == LevelSimulation::Fault::region_cut) assert(recovery.cut_off_blind == 0);
     assert(recovery.recovered < shape.calm);
   }
 }
 
 void same_seed_same_history() {
-  const std::uint64_t first = LevelSimulation(trouble(3)).play().digest;
-  assert(first == LevelSimulation(trouble(3)).play().digest);
-  assert(first != LevelSimulation(trouble(4)).play().digest);
+  const std::uint64_t first = LevelSimulation(shape_with_faults(3)).play().digest;
+  assert(first == LevelSimulation(shape_with_faults(3)).play().digest);
+  assert(first != LevelSimulation(shape_with_faults(4)).play().digest);
 }
 
 void age_from_sending_is_caught() {
-  LevelSimulation::Shape shape = trouble(2);
+  LevelSimulation::Shape shape = shape_with_faults(2);
   shape.age_from_sending = true;
   assert(LevelSimulation(shape).play().stale_as_fresh > 0);
 }
@@ -281,14 +283,14 @@
 int main() {
   groups_are_bounded();
   placement_depends_on_the_list_only();
-  few_move_when_members_come_or_go();
+  few_members_move_when_the_list_changes();
   merging_is_a_semilattice();
-  two_contents_under_one_version_are_not_read();
-  strangers_and_nonsense_are_not_accepted();
+  two_contents_under_one_version_are_not_used();
+  unknown_writers_and_invalid_summaries_are_not_accepted();
   ages_count_from_the_oldest_report();
-  one_teller_can_not_make_it_younger();
-  clocks_are_claimed_for_a_while();
-  coverage_decides_among_the_young();
+  one_reporter_can_not_make_a_summary_younger();
+  clock_bounds_expire();
+  coverage_decides_among_young_summaries();
   unknown_is_not_zero();
   histories_are_clean();
   faults_are_recovered_from();
