--- a/src/fleet/budget_leases.h
+++ b/src/fleet/budget_leases.h
@@ -145,7 +145,7 @@
     TimePoint first_requested_at{};
     int eighths = 0;  // granted; 0: none yet
     TimePoint until{};
-    bool ended = false;  // refused, or no longer needed
+    bool ended = false;  // the lease or its renewal was refused; no more requests are sent
   };
 
   static ShareKey key_of(const GrantedLease& granted);
--- a/src/fleet/restart.h
+++ b/src/fleet/restart.h
@@ -32,7 +32,7 @@
 
   // The process that answers, and its state.
   struct Identity {
-    std::uint64_t started = 0, process = 0;  // these differ between two processes of the manager
+    std::uint64_t started = 0, process = 0;  // together they identify the process
     bool serves = false;        // it has started; directives on the manager may still make it reject requests
     std::string build, digest;  // of its program and of its configuration
   };
--- a/src/fleet/status_summary.cpp
+++ b/src/fleet/status_summary.cpp
@@ -106,7 +106,8 @@
 bool SummaryStore::is_acceptable(const StatusSummary& summary) const {
   const std::optional<Placement> writer = topology_->placement(summary.writer);
   if (!writer || writer->at(summary.unit.level) != summary.unit) return false;
-  // No writer counts more agents than it was configured with, with a margin for configurations that differ.
+  // A writer counts no more agents than its unit has by its own configuration. The limit has a margin, since
+  // the writer's configuration may differ from this agent's.
   const std::size_t configured = topology_->ranked_members(summary.unit).size();
   return summary.counts.agents() <= 2 * configured + Topology::max_group_size &&
          summary.age_when_made >= Duration(0) && has_valid_traffic(summary.counts);
--- a/src/fleet/time.h
+++ b/src/fleet/time.h
@@ -1,4 +1,5 @@
-// Types for the times in the fleet's decisions. These decisions read no clock: the caller passes the time.
+// Types for durations and points in time in src/fleet. Nothing there reads a clock: the caller passes the
+// time.
 #pragma once
 
 #include <chrono>
--- a/tests/test_configuration.cpp
+++ b/tests/test_configuration.cpp
@@ -275,7 +275,7 @@
   shape.agents = 630, shape.calm_publications = 1, shape.calm_loss = 0.01;
   const auto result = play(shape);
   assert(result.clean());
-  std::printf("630 agents: in force in %lld ms, %.0f bytes/s at rest\n",
+  std::printf("630 agents: in force in %lld ms, %.0f bytes/s when idle\n",
               static_cast<long long>(result.in_force.at(0).count() / 1000), result.rest_bytes_a_second);
   assert(result.in_force.at(0) < seconds(3) && result.rest_bytes_a_second < 1000);
 }
