--- a/src/core/arrival_order.cpp
+++ b/src/core/arrival_order.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// Clients write calls of a key at least 60 ms apart: of two that came closer together than that, which no
-// such client writes, the order of reading is as good as any.
-constexpr std::chrono::milliseconds closer_than_clients_write(50);
+// Clients send the requests of a key at least 60 ms apart. Two requests of a key that arrived within a
+// shorter time do not come from such a client, so the order in which they were read is as good as any other.
+constexpr std::chrono::milliseconds min_client_spacing(50);
 
-// Whether it can't be told which of the two came first.
+// Whether both have the same key and their arrival bounds leave open which of them arrived first.
 bool overlap(const ArrivalOrder::Call& one, const ArrivalOrder::Call& other) {
   const bool is_open = one.earliest < other.latest && other.earliest < one.latest;
   const Duration within = std::max(one.latest, other.latest) - std::min(one.earliest, other.earliest);
-  return one.key == other.key && is_open && within >= closer_than_clients_write;
+  return one.key == other.key && is_open && within >= min_client_spacing;
 }
 
 }  // namespace
@@ -28,12 +28,13 @@
 }
 
 std::vector<ArrivalOrder::Settled> ArrivalOrder::settle(TimePoint now, TimePoint read_up_to) {
-  // The middle of the bounds tells the order of all calls of a key whose bounds are apart.
+  // The midpoints of the bounds give the arrival order of all requests of a key whose bounds do not overlap.
   std::ranges::stable_sort(waiting_, {}, [](const Call& call) {
     return call.earliest.time_since_epoch() + call.latest.time_since_epoch();
   });
-  const auto is_overdue = [&](const Call& call) { return now - call.read >= waits_at_most; };
-  // What came between the others' bounds, or before, holds up those of its key.
+  const auto is_overdue = [&](const Call& call) { return now - call.read >= max_wait; };
+  // A request is held back until everything has been read up to its own latest bound, and up to the latest
+  // bound of each request of its key that may have arrived before it.
   const auto is_settled = [&](const Call& call) {
     return is_overdue(call) || std::ranges::none_of(waiting_, [&](const Call& other) {
              return other.key == call.key && other.latest > read_up_to &&
@@ -41,18 +42,18 @@
            });
   };
   std::vector<Settled> settled;
-  std::vector<Call> gone, left;
+  std::vector<Call> released, remaining;
   for (const Call& call : waiting_) {
     if (!is_settled(call)) {
-      left.push_back(call);
+      remaining.push_back(call);
       continue;
     }
     const bool all_is_read = call.latest <= read_up_to;
-    const bool is_apart = std::ranges::none_of(gone, [&](const Call& one) { return overlap(one, call); });
+    const bool is_apart = std::ranges::none_of(released, [&](const Call& one) { return overlap(one, call); });
     settled.push_back({call.id, all_is_read && is_apart});
-    gone.push_back(call);
+    released.push_back(call);
   }
-  waiting_ = std::move(left);
+  waiting_ = std::move(remaining);
   return settled;
 }
 
--- a/src/core/attempt_events.cpp
+++ b/src/core/attempt_events.cpp
@@ -1,4 +1,4 @@
-// The events of attempts: what engines report while one is outstanding, and how it ends.
+// Handles the events of attempts: reports of engines about outstanding attempts, and the ends of attempts.
 #include <algorithm>
 
 #include "core/units.h"
@@ -8,16 +8,18 @@
 
 namespace {
 
-// An idempotent attempt is cancelled and retried when its projected time is this multiple of the typical one,
-// and the time left exceeds restart_gain_ratio typical times. Estimates alone don't vary that much.
+// An attempt of an idempotent request is cancelled and retried when its projected total time exceeds
+// restart_ratio times the typical time and its projected remaining time exceeds restart_gain_ratio times the
+// typical time. Errors of the estimates alone do not reach these ratios.
 constexpr double restart_ratio = 6;
 constexpr double restart_gain_ratio = 2;
-constexpr double least_share_done = 0.002;
+constexpr double min_share_done = 0.002;
 
 }  // namespace
 
-// Null where nothing may be reported of it.
-AttemptRecord* WorkloadManager::note_report(TimePoint now, RequestId id, int attempt_index) {
+// Records that the engine has reported something about the attempt. Returns null if the attempt is not
+// outstanding.
+AttemptRecord* WorkloadManager::record_report(TimePoint now, RequestId id, int attempt_index) {
   AttemptRecord* attempt = requests_.find_outstanding(id, attempt_index);
   if (!attempt) return nullptr;
   outliers_.on_response(now, engines_.at(attempt->engine).health);
@@ -31,12 +33,12 @@
 }
 
 void WorkloadManager::on_stream_started(TimePoint now, RequestId id, int attempt_index) {
-  note_report(now, id, attempt_index);
+  record_report(now, id, attempt_index);
   if (RequestState* state = requests_.find(id)) state->is_streaming = true;
 }
 
 void WorkloadManager::on_progress(TimePoint now, RequestId id, int attempt_index, double share_done) {
-  AttemptRecord* attempt = note_report(now, id, attempt_index);
+  AttemptRecord* attempt = record_report(now, id, attempt_index);
   if (!attempt || !service_.allows_cancel) return;
   const RequestState& state = requests_.at(id);
   const bool is_idempotent = work_.type(state).idempotency == Idempotency::idempotent;
@@ -46,7 +48,7 @@
     return;
   }
   const double elapsed_ms = to_ms(now - attempt->sent_at);
-  const double total_ms = elapsed_ms / std::max(share_done, least_share_done);
+  const double total_ms = elapsed_ms / std::max(share_done, min_share_done);
   const double typical_ms =
       work_.ideal_ms(state) * latency_.p10_ratio(state.request.type) * std::max(1.0, latency_.fleet_ratio());
   const bool is_slow = total_ms > restart_ratio * typical_ms;
@@ -57,20 +59,22 @@
 }
 
 void WorkloadManager::on_spill(TimePoint now, RequestId id, int attempt_index, double missing_mb) {
-  const AttemptRecord* attempt = note_report(now, id, attempt_index);
+  const AttemptRecord* attempt = record_report(now, id, attempt_index);
   if (attempt) work_.on_spill(requests_.at(id).request, attempt->grant_mb, missing_mb);
 }
 
-// Only this tells of data loads of other managers: for as long as a load typically takes, the engine comes
-// last for requests on that data set, and an idempotent request that found it loading goes elsewhere.
+// This report is the only sign of data loads by other managers. For the typical duration of a load, the
+// engine is ranked last for requests on that data set. The waiting attempt of an idempotent request is
+// cancelled if another engine can take it; a request that cannot move is rejected if the request table is
+// nearly full.
 void WorkloadManager::on_engine_wait(TimePoint now, RequestId id, int attempt_index, WaitCause cause) {
-  AttemptRecord* attempt = note_report(now, id, attempt_index);
+  AttemptRecord* attempt = record_report(now, id, attempt_index);
   if (!attempt || cause != WaitCause::data_load) return;
   RequestState& state = requests_.at(id);
   attempt->waits_for_data_load = true;
   const DataSetId data_set = state.request.data_set;
   const double load_ms = work_.typical_data_load_ms() * std::max(1.0, latency_.fleet_ratio());
-  engines_.at(attempt->engine).ledger.note_data_load_by_others(data_set, now + from_ms(load_ms));
+  engines_.at(attempt->engine).ledger.record_data_load_by_others(data_set, now + from_ms(load_ms));
   const bool may_move = service_.allows_cancel && !state.is_finished && !attempt->is_cancelling &&
                         retries_.may_have_attempt(state) &&
                         work_.type(state).idempotency == Idempotency::idempotent;
@@ -110,14 +114,15 @@
   on_load_report(now, engine, load);
   if (outcome == Outcome::succeeded) work_.on_success(state.request, elapsed, work_ms, memory_mb);
   learn_from_outcome(now, engine, state, *attempt, outcome, elapsed);
-  note_uncertainty(now, engine, state, *attempt, outcome);
-  settle_after_attempt(now, state, outcome, is_finished);
+  record_uncertain_outcome(now, engine, state, *attempt, outcome);
+  requeue_or_reject(now, state, outcome, is_finished);
   erase_if_done(id);
   queue_.release(now);
 }
 
-// Where nothing can be cancelled, what times out executes on, and keeps its reservation for as long as it
-// would take at the engine's pace: else engines fill up again and again with work that nobody waits for.
+// Where attempts cannot be cancelled, an attempt that has timed out continues to execute. It keeps its
+// reservation for its estimated remaining time at the engine's latency ratio; otherwise the engine would
+// repeatedly be filled up with work that no client waits for.
 void WorkloadManager::release_reservation(TimePoint now, Engine& engine, const RequestState& state,
                                           const AttemptRecord& attempt, Outcome outcome) {
   if (outcome == Outcome::timed_out && !service_.allows_cancel) {
@@ -145,11 +150,11 @@
     case Outcome::connection_reset:
       record_error(now, engine, state, attempt, outcome);
       break;
-    case Outcome::engine_full:  // no sign of life: one that hangs is full, too
+    case Outcome::engine_full:  // does not count as a response, since an engine that hangs is full, too
       outliers_.on_full(now, engine.health);
       latency_.on_engine_full(engine.latency);
       break;
-    case Outcome::unreachable:  // it has died, with what was executing there
+    case Outcome::unreachable:  // the engine is taken as dead, together with all that it was executing
       engine.ledger.release_all_abandoned();
       record_failure(now, engine, EjectionReason::unreachable);
       break;
@@ -165,7 +170,8 @@
   }
 }
 
-// Where a request fails on a second engine, neither engine is to blame.
+// If a request fails on a second engine, too, the request is at fault: the error counts against neither
+// engine.
 void WorkloadManager::record_error(TimePoint now, Engine& engine, RequestState& state, AttemptRecord& attempt,
                                    Outcome outcome) {
   if (outcome == Outcome::engine_error) outliers_.on_response(now, engine.health);
@@ -194,26 +200,27 @@
   sink_.trace_event("engine " + std::to_string(engine.id().value) + " is left out");
 }
 
-// What may have executed, and where; and the quiet period of its key. A result that crosses a cancellation is
-// one, and yet the attempt was cancelled when it was written, so its end is uncertain.
-void WorkloadManager::note_uncertainty(TimePoint now, const Engine& engine, RequestState& state,
-                                       const AttemptRecord& attempt, Outcome outcome) {
+// Records that the attempt may have executed, and where, and starts the quiet period of its ordered key. For
+// the order by key a cancelled attempt has an uncertain outcome, even if its result arrives after the
+// cancellation.
+void WorkloadManager::record_uncertain_outcome(TimePoint now, const Engine& engine, RequestState& state,
+                                               const AttemptRecord& attempt, Outcome outcome) {
   if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !state.first_uncertain_attempt_at) {
     state.first_uncertain_attempt_at = attempt.sent_at;
     state.uncertain_zone = engine.endpoint.zone;
     state.uncertain_cell = engine.endpoint.cell;
   }
-  const bool has_crossed =
+  const bool result_crossed_cancellation =
       attempt.is_cancelling && (outcome == Outcome::succeeded || outcome == Outcome::engine_error);
   const bool is_ordered = state.request.key && work_.type(state).ordered_by_key;
-  if (!is_ordered || (end_is_certain(outcome) && !has_crossed)) return;
+  if (!is_ordered || (proves_ended(outcome) && !result_crossed_cancellation)) return;
   key_queues_.begin_quiet_period(now, *state.request.key);
   sink_.schedule_wakeup(service_.key_quiet_period + service_.event_interval, key_token);
 }
 
-// After its last outstanding attempt a request that is not finished is queued again, or rejected.
-void WorkloadManager::settle_after_attempt(TimePoint now, RequestState& state, Outcome outcome,
-                                           bool is_finished) {
+// Queues an unfinished request again, or rejects it, once it has no outstanding attempt.
+void WorkloadManager::requeue_or_reject(TimePoint now, RequestState& state, Outcome outcome,
+                                        bool is_finished) {
   if (is_finished) return finish(state);
   if (state.is_finished || state.outstanding > 0) return;
   queue_.push(state);
--- a/src/core/data_affinity.cpp
+++ b/src/core/data_affinity.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-constexpr double tick_decay = 0.99;  // at each tick: over about ten seconds
-constexpr double least_remembered_requests = 0.001;
-// Requests that are added to the sum, so that a few at the start don't seem to be all.
+constexpr double tick_decay = 0.99;  // per tick: a time constant of about ten seconds
+constexpr double min_remembered_requests = 0.001;
+// Added to the total, so that a data set does not get a large share from a few requests after the start.
 constexpr double prior_requests = 20;
-// So many that none of several bears more than a mean engine's load of the data set.
+// Preferred engines for each mean engine's load that a data set draws. With two, no preferred engine gets
+// more of the data set's load than a mean engine bears.
 constexpr double preferred_engines_per_mean_load = 2.0;
 
 }  // namespace
@@ -27,12 +28,12 @@
 void DataAffinity::decay() {
   all_requests_ *= tick_decay;
   for (auto& [data_set, requests] : requests_) requests *= tick_decay;
-  std::erase_if(requests_, [](const auto& one) { return one.second < least_remembered_requests; });
+  std::erase_if(requests_, [](const auto& one) { return one.second < min_remembered_requests; });
 }
 
 bool DataAffinity::PreferredEngines::contains(EngineId engine) const {
   const std::uint64_t hash = rendezvous_hash(data_set_, engine);
-  return hash >= least_hash_ || hash == same_zone_hash_;
+  return hash >= min_hash_ || hash == same_zone_hash_;
 }
 
 DataAffinity::PreferredEngines DataAffinity::preferred(DataSetId data_set, const EngineMap& engines) const {
@@ -48,11 +49,11 @@
   }
   const auto requests = requests_.find(data_set);
   const double share = requests == requests_.end() ? 0 : requests->second / (all_requests_ + prior_requests);
-  const double wanted = share * preferred_engines_per_mean_load * static_cast<double>(hashes.size());
+  const double preferred_count = share * preferred_engines_per_mean_load * static_cast<double>(hashes.size());
   const std::size_t count =
-      std::min<std::size_t>(static_cast<std::size_t>(std::max(1.0, wanted)), hashes.size());
+      std::min<std::size_t>(static_cast<std::size_t>(std::max(1.0, preferred_count)), hashes.size());
   std::ranges::sort(hashes, std::greater());
-  preferred.least_hash_ = hashes.empty() ? 0 : hashes[count - 1];
+  preferred.min_hash_ = hashes.empty() ? 0 : hashes[count - 1];
   return preferred;
 }
 
--- a/src/core/data_affinity.h
+++ b/src/core/data_affinity.h
@@ -1,7 +1,8 @@
 // Data affinity: which engines are preferred for a data set because their caches hold it.
 //
-// Managers agree without exchanging messages, by rendezvous hashing: the first engine of all by the data
-// set's hash, the first of the own zone, and two for each mean engine's load that the data set draws.
+// Managers agree on them without exchanging messages, by rendezvous hashing: the engines with the highest
+// hash for the data set are preferred, two for each mean engine's load that the data set draws and at least
+// one, and in addition the engine with the highest hash in the manager's own zone.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +13,16 @@
 
 namespace pearchute {
 
-// Chooses the preferred engines of data sets; keeps how often each data set is requested.
+// Chooses the preferred engines of data sets, by the request rate of each data set.
 class DataAffinity {
  public:
   explicit DataAffinity(ZoneId own_zone) : own_zone_(own_zone) {}
 
   void on_request(DataSetId data_set);
+  // Decays the request counts; called once per tick.
   void decay();
 
-  // The preferred engines of one data set, at one moment.
+  // The preferred engines of one data set at one point in time.
   class PreferredEngines {
    public:
     bool contains(EngineId engine) const;
@@ -28,14 +30,14 @@
    private:
     friend class DataAffinity;
     DataSetId data_set_;
-    std::uint64_t least_hash_ = 0;
+    std::uint64_t min_hash_ = 0;
     std::uint64_t same_zone_hash_ = 0;
   };
   PreferredEngines preferred(DataSetId data_set, const EngineMap& engines) const;
 
  private:
   ZoneId own_zone_;
-  std::map<DataSetId, double> requests_;  // by data set, smoothed
+  std::map<DataSetId, double> requests_;  // decayed request counts
   double all_requests_ = 0;
 };
 
--- a/src/core/deadline_policy.h
+++ b/src/core/deadline_policy.h
@@ -1,5 +1,5 @@
-// Deadlines: when a request's final answer goes out, which requests can't meet their latency objective, and
-// when a rejected client should come back.
+// Deadlines: when a request's final answer is due, which requests cannot meet their latency objective, and
+// when the client of a rejected request should retry.
 #pragma once
 
 #include "core/latency_model.h"
@@ -9,32 +9,33 @@
 
 namespace pearchute {
 
-// Stateless: deadlines follow from the settings, the request, and learned work and latency.
+// Derives deadlines from the settings, the request, and learned work and latency. Stateless.
 class DeadlinePolicy {
  public:
   // All must outlive it.
   DeadlinePolicy(const ServiceDefinition& service, const WorkModel& work, const LatencyModel& latency)
       : service_(service), work_(work), latency_(latency) {}
 
-  // Sets `deadline` and `objective_at` of a request that arrives.
+  // Sets `deadline` and `objective_at` of a newly arrived request.
   void on_request(TimePoint now, RequestState& state) const;
-  // On arrival: it would not be answered within its objective at the pace of the fleet.
+  // On arrival: whether the request would miss its latency objective at the current latency of the fleet.
   bool is_unreachable(TimePoint now, const RequestState& state) const;
-  // While queued: it would not be answered within its objective even at best.
+  // While queued: whether the request would miss its latency objective even in its ideal time.
   bool is_missed(TimePoint now, const RequestState& state) const;
-  // Whether an attempt that begins now could still be on its way when the final answer goes out.
+  // Whether an attempt that starts now could still be in transit when the final answer is sent.
   bool is_too_close(TimePoint now, const RequestState& state) const {
     return now + service_.event_interval >= state.deadline;
   }
-  // A client that has disconnected reconnects at once, or not at all.
-  bool client_is_gone(TimePoint now, const RequestState& state) const;
-  // When the client of a rejected request should send it again; 0: no Retry-After.
+  // Whether the client has been disconnected for over a second; a client that reconnects does so within that.
+  bool has_client_abandoned(TimePoint now, const RequestState& state) const;
+  // After which time the client of a rejected request should retry; 0: no Retry-After.
   Duration retry_after(TimePoint now, const RequestState& state) const;
-  // How long an attempt that has timed out is taken to execute on where it can't be cancelled, at an engine
-  // with that latency ratio.
+  // For how long an attempt that has timed out is assumed to continue executing where it cannot be cancelled,
+  // at an engine with this latency ratio.
   Duration remaining_execution(const RequestState& state, double latency_ratio) const;
-  // Twice what all but one in twenty requests of its type take.
-  Duration overdue_after(const RequestState& state, Duration least) const;
+  // The age at which an attempt is overdue: twice the 95th percentile for its type and work, at least
+  // `min_age`.
+  Duration overdue_after(const RequestState& state, Duration min_age) const;
 
  private:
   const ServiceDefinition& service_;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,5 +1,5 @@
-// One engine of the endpoint list, as the decisions know it. Each member is the state of one decision, which
-// alone changes it; the others read it through its interface.
+// The state of one engine of the endpoint list. Each member after `is_up` is the state of one decision; only
+// that decision modifies it, and the others read it through its interface.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace pearchute {
 
-// All that is known of an engine.
+// One engine, as the decisions see it.
 struct Engine {
   EngineEndpoint endpoint;
   MachineKind machine;
@@ -23,7 +23,8 @@
   EngineLatency latency;
   EngineHealth health;
   EngineSlowStart slow_start;
-  std::set<std::pair<TimePoint, std::pair<RequestId, int>>> outstanding;  // own attempts, oldest first
+  std::set<std::pair<TimePoint, std::pair<RequestId, int>>>
+      outstanding;  // this manager's attempts, oldest first
 
   EngineId id() const { return endpoint.id; }
   bool can_be_forgotten() const { return endpoint.state == EngineState::removed && outstanding.empty(); }
--- a/src/core/engine_ledger.cpp
+++ b/src/core/engine_ledger.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::chrono::seconds report_lifetime(2);
-// Threads that an attempt is taken to use where none of this manager's own tells it.
+// Threads per attempt to assume where this manager has no attempt at the engine to derive them from.
 constexpr double default_threads_per_attempt = 1.5;
-// Threads for each core beyond which an engine gets no more done.
+// Threads per core beyond which an engine's throughput does not increase.
 constexpr double saturating_threads_per_core = 1.5;
-// The part of the reported free threads that this manager may use at least.
-constexpr double least_share_of_free_threads = 0.5;
+// The minimum share of the reported free threads that this manager may use.
+constexpr double min_share_of_free_threads = 0.5;
 
 }  // namespace
 
@@ -42,8 +42,9 @@
   });
 }
 
-// Where engines report how many requests they hold, this manager may also use half of the threads that are
-// free there. Memory that others reserved is the one thing that separate ledgers cannot add up.
+// If the engine reports its outstanding requests, this manager may also use at least half of the threads that
+// are free there. The reported memory share gives the reservations of other managers, which the separate
+// ledgers of the managers cannot show.
 void EngineLedger::on_load_report(TimePoint now, const LoadReport& report, const MachineKind& machine,
                                   double share) {
   if (report.outstanding) {
@@ -51,7 +52,7 @@
         attempts_ > 0 ? double(reserved_threads_) / attempts_ : default_threads_per_attempt;
     const double used = std::max(*report.outstanding, static_cast<double>(attempts_)) * threads;
     const double saturation = saturating_threads_per_core * machine.cores;
-    reported_slots_ = reserved_threads_ + std::max(share, least_share_of_free_threads) * (saturation - used);
+    reported_slots_ = reserved_threads_ + std::max(share, min_share_of_free_threads) * (saturation - used);
     reported_at_ = now;
   }
   if (!report.memory_share) return;
@@ -67,13 +68,13 @@
 }
 
 void EngineLedger::end_data_load(DataSetId data_set) {
-  if (--own_loads_[data_set] <= 0) own_loads_.erase(data_set);
+  if (--own_data_loads_[data_set] <= 0) own_data_loads_.erase(data_set);
 }
 
 bool EngineLedger::is_loading(TimePoint now, DataSetId data_set) const {
-  if (own_loads_.contains(data_set)) return true;
-  const auto others = others_loads_.find(data_set);
-  return others != others_loads_.end() && now < others->second;
+  if (own_data_loads_.contains(data_set)) return true;
+  const auto others = data_loads_by_others_.find(data_set);
+  return others != data_loads_by_others_.end() && now < others->second;
 }
 
 void EngineLedger::grow_starvation_reservation(double mb, double floor_mb) {
--- a/src/core/grant_policy.h
+++ b/src/core/grant_policy.h
@@ -1,9 +1,9 @@
-// Floor-and-headroom arithmetic: what an engine has room for, and the one fixed grant of memory that a
-// request would get there.
+// Floor-and-headroom arithmetic: how much an engine has room for, and the fixed memory grant that a request
+// would get there.
 //
-// Capacity: this manager's share of an engine's memory. Slots: threads it may use there at once. Floor:
-// capacity divided by the slots, the least grant; headroom: what stays free so that each slot left can still
-// have a floor.
+// Capacity: this manager's share of an engine's memory. Slots: the threads that it may use there at once.
+// Floor: the minimum grant, which is the capacity divided by the slots. Headroom: the memory that is kept
+// free so that each unused slot can still get a floor.
 #pragma once
 
 #include <optional>
@@ -17,32 +17,36 @@
 
 namespace pearchute {
 
-// Works out capacities, slots and grants; stateless but for the settings.
+// Computes capacities, slots and grants. Stateless except for the settings.
 class GrantPolicy {
  public:
   // All must outlive it.
   GrantPolicy(const ServiceDefinition& service, const WorkModel& work, const LatencyModel& latency,
               const SlowStart& slow_start);
 
-  // This manager's share of the fleet's capacity, 0 .. 1: twice an even share, at most all of it.
+  // This manager's share of the fleet's capacity, 0 .. 1: twice an even share, but no more than 1.
   double fleet_share() const { return fleet_share_; }
+  // Slots of a newly listed engine, before any latency is learned.
   double initial_slots(const MachineKind& machine) const;
 
   double capacity_mb(const Engine& engine) const;
   double slots(TimePoint now, const Engine& engine) const;
   double floor_mb(TimePoint now, const Engine& engine) const;
-  // Where an engine's slots are less than one request of the largest type, such shares make one shared
-  // pool: else many managers' single requests add up past what the engines bear.
+  // Whether the engine belongs to the shared pool: its fair-share slots are fewer than the threads of one
+  // request of the largest type. Without the pool, every manager could send one request to every engine, and
+  // the sum over many managers would overload the engines.
   bool is_pooled(const Engine& engine) const;
-  // Whether its slots now, learned ones included, are less than a request of the largest type: it counts in
-  // the pool's sum. Unlike is_pooled, which goes by the fair share alone.
+  // Whether the engine's slots count in the sum of the shared pool: they are fewer than the threads of one
+  // request of the largest type. Unlike is_pooled, this uses the current, learned slots instead of the fair
+  // share.
   bool counts_in_pool(TimePoint now, const Engine& engine) const;
-  // Slots that are free in the shared pool. `overcommit`: a multiple of its slots.
+  // Free slots of the shared pool, if `overcommit` times its slots may be used.
   double free_pool_slots(TimePoint now, const EngineMap& engines, double overcommit) const;
   double pool_overcommit(const RequestState& state) const;
 
-  // The grant in MB that the request would get there now. Without pressure (latency ratio up to 2, not full
-  // in the last 2 s, a slot to spare) reserved memory is no limit; else none where the ledger has no room.
+  // The grant in MB that the request would get at the engine now, or none if the ledger has no room. Without
+  // pressure (latency ratio up to 2, no rejection as full in the last 2 s, and slots left besides this
+  // request) reserved memory does not limit the grant.
   std::optional<double> grant_mb(TimePoint now, const Engine& engine, const RequestState& state) const;
 
  private:
--- a/src/core/key_order_records.cpp
+++ b/src/core/key_order_records.cpp
@@ -23,7 +23,7 @@
   const Queue& queue = queues_.at(key->second);
   const Entry& first = queue.entries.front();
   if (first.id != id) return Violation::out_of_order;
-  // The first request itself may be retried without a quiet period.
+  // Retries of the first request itself need no quiet period.
   if (first.attempts == 0 && now < queue.quiet_until) return Violation::quiet_period;
   return std::nullopt;
 }
@@ -59,7 +59,7 @@
   const Found found = find(id);
   if (!found.entry || found.entry->outstanding == 0) return;
   found.entry->outstanding -= 1;
-  if (!end_is_certain(outcome) || found.entry->is_cancelled) begin_quiet_period(now, *found.queue);
+  if (!proves_ended(outcome) || found.entry->is_cancelled) begin_quiet_period(now, *found.queue);
   erase_if_done(id);
 }
 
--- a/src/core/key_order_records.h
+++ b/src/core/key_order_records.h
@@ -1,6 +1,6 @@
-// The rule on order by key, as the rule guard checks it: which requests of a key are open, in which order
-// they came, which have an attempt outstanding, and until when a key is quiet after an attempt with an
-// uncertain outcome. Recorded by what happens at the sockets, apart from the decisions' own queues
+// The records by which the rule guard checks the order by key: the open requests of each key in order of
+// arrival, their outstanding attempts, and the end of the key's quiet period after an attempt with an
+// uncertain outcome. They follow the events at the sockets, independently of the queues of the decisions
 // (KeyQueues). No I/O, no clock.
 #pragma once
 
@@ -14,31 +14,33 @@
 
 namespace pearchute {
 
-// Open requests by key, as seen at the sockets.
+// The open requests of each ordered key, as observed at the sockets.
 class KeyOrderRecords {
  public:
-  // Why an attempt may not leave.
+  // Why an attempt must not be sent.
   enum class Violation {
     out_of_order,  // an earlier request of the key is open
-    quiet_period,  // the key is quiet
+    quiet_period,  // the quiet period of the key has not ended
   };
 
   explicit KeyOrderRecords(Duration quiet_period = {}) : quiet_period_(quiet_period) {}
   void on_request(RequestId id, OrderKey key);
-  // What forbids that an attempt of the request leaves now, if anything does.
+  // The rule that sending an attempt of the request would violate now; none if it may be sent.
   std::optional<Violation> forbids(TimePoint now, RequestId id) const;
   void on_attempt_left(RequestId id);
-  // No byte of it has left this machine after all.
+  // The attempt was counted as sent, but no byte of it has left this machine.
   void on_attempt_retracted(RequestId id);
-  // Whatever its engine says from then on, its end is uncertain.
+  // From now on the attempt's end is uncertain, whatever outcome its engine reports.
   void on_attempt_cancelled(TimePoint now, RequestId id);
   // REQUIRES: the attempt had left.
   void on_attempt_ended(TimePoint now, RequestId id, Outcome outcome);
-  // It has its final answer, or its client has gone.
+  // The request has its final answer, or its client has disconnected.
   void on_finished(RequestId id);
-  // How long the key stays quiet; zero where it is not.
+  // The remaining quiet period of the key; zero if none is running.
   Duration quiet_left(TimePoint now, OrderKey key) const;
+  // Drops keys without open requests whose quiet period has ended.
   void forget_idle(TimePoint now);
+  // The number of recorded keys.
   std::size_t keys() const { return queues_.size(); }
 
  private:
@@ -55,7 +57,7 @@
     std::deque<Entry> entries;  // in order of arrival
     TimePoint quiet_until{};
   };
-  // Where a request is recorded.
+  // The record of a request and the queue that contains it.
   struct Found {
     Queue* queue = nullptr;
     Entry* entry = nullptr;  // null where the request is not recorded
--- a/src/core/key_queues.h
+++ b/src/core/key_queues.h
@@ -1,6 +1,6 @@
-// Order by key, as the decisions keep it: requests of one key execute one at a time, in order of arrival, and
-// after an attempt with an uncertain outcome the key is quiet for a while before the next one begins.
-// The rule guard keeps records of its own (KeyOrderRecords), by what it sees at the sockets.
+// Order by key, as the decisions maintain it: requests of one key execute one at a time in order of arrival,
+// and after an attempt with an uncertain outcome the next request starts only after the key's quiet period.
+// The rule guard has independent records (KeyOrderRecords), which follow the events at the sockets.
 #pragma once
 
 #include <deque>
@@ -13,20 +13,21 @@
 // The open requests of each ordered key.
 class KeyQueues {
  public:
-  // `quiet_period`: after an attempt with an uncertain outcome.
+  // `quiet_period`: the pause of a key after an attempt with an uncertain outcome.
   explicit KeyQueues(Duration quiet_period) : quiet_period_(quiet_period) {}
 
   void add(OrderKey key, RequestId id) { queues_[key].requests.push_back(id); }
   void remove(OrderKey key, RequestId id);
-  // Whether it is the oldest open request of its key; true for a key without any.
+  // Whether the request is the oldest open request of its key; true if the key has no open request.
   bool is_first(OrderKey key, RequestId id) const;
   bool is_quiet(TimePoint now, OrderKey key) const;
-  // Never shortens a quiet period that lasts.
+  // Starts the quiet period, or extends a running one; never shortens it.
   void begin_quiet_period(TimePoint now, OrderKey key);
+  // Drops keys without open requests whose quiet period has ended.
   void forget_idle(TimePoint now);
 
  private:
-  // One key.
+  // The open requests and the quiet period of one key.
   struct Queue {
     std::deque<RequestId> requests;  // open, in order of arrival
     TimePoint quiet_until{};
--- a/src/core/load_shedder.h
+++ b/src/core/load_shedder.h
@@ -1,6 +1,6 @@
-// Load shedding: which requests are not admitted because the engines, or this manager's own core, can't serve
-// all of them. A request's cost is the engine time that it asks for a unit of weight (1 / value density);
-// what costs most is shed first.
+// Load shedding: decides which requests are not admitted because the engines, or this manager's own processor
+// core, cannot serve all of them. The cost of a request is the engine time that it needs per unit of priority
+// weight (1 / value density); the requests with the highest cost are shed first.
 #pragma once
 
 #include <vector>
@@ -11,25 +11,26 @@
 
 namespace pearchute {
 
-// Keeps rates, mean costs and the threshold above which requests are shed.
+// Maintains request rates, mean costs and the cost threshold above which requests are shed.
 class LoadShedder {
  public:
-  // `service` is read here only; `work` must outlive it.
+  // `service` is used only by the constructor; `work` must outlive the shedder.
   LoadShedder(const ServiceDefinition& service, const WorkModel& work);
 
-  // A request has arrived; returns its cost in ms of work for a unit of weight.
+  // A request has arrived. Returns its cost in ms of work per unit of priority weight.
   double on_request(const RequestState& state);
-  // Whether the request that has just arrived is shed. `is_small`: estimated as small for its type, which
-  // spares it under overload of the engines, so that a type that costs more than others is not
-  // shed as a whole.
+  // Whether the newly arrived request is shed. `is_small`: its estimate is small for its type, which exempts
+  // it while engines are overloaded, so that a type with a high cost is not shed entirely.
   bool sheds(double cost, bool is_small) const;
 
-  // The periodic tick was due and comes now; ticks that come late again and again tell that this manager's
-  // own core is short. `lateness_bound`: later than this is late.
+  // The periodic tick is delivered. Repeated late ticks show that this manager's own core is overloaded.
+  // `lateness_bound`: a tick with a greater delay counts as late.
   void on_tick(TimePoint now, Duration lateness_bound);
+  // Decays rates and sums; called once per tick.
   void decay();
-  // `is_crowded`: a request that may start has been queued for longer than `queue_delay_bound`.
-  void adjust_threshold(bool is_crowded);
+  // Adjusts the cost threshold; called once per tick. `is_queue_delayed`: a request that may start has been
+  // queued for longer than `queue_delay_bound`.
+  void adjust_threshold(bool is_queue_delayed);
   static constexpr Duration queue_delay_bound = std::chrono::milliseconds(100);
 
   double requests_per_second() const { return requests_per_second_; }
@@ -39,16 +40,16 @@
 
   const WorkModel& work_;
   double over_quota_weight_;
-  std::vector<double> tenant_shares_;            // of all tenants' quotas
+  std::vector<double> tenant_shares_;            // of the sum of all quotas, 0 .. 1
   std::vector<double> tenant_rates_per_second_;  // smoothed
   double requests_per_second_ = 0;               // smoothed
-  double threshold_;                             // the largest cost that is admitted
-  double largest_cost_ = 0;                      // recently
+  double threshold_;                             // the maximum cost that is admitted
+  double max_recent_cost_ = 0;                   // decays towards the mean
   double mean_cost_ = 0;
-  double recent_work_ms_ = 0;  // decayed sum over all arrivals, shed or not
-  double recent_weight_ = 0;   // the same of work / cost
+  double recent_work_ms_ = 0;  // decayed sum over all arrivals, including shed ones
+  double recent_weight_ = 0;   // the same sum of work / cost
   TimePoint next_tick_at_{};
-  int late_ticks_ = 0;  // of late, less those in time
+  int late_ticks_ = 0;  // late ticks minus ticks in time, 0 .. 10
 };
 
 }  // namespace pearchute
--- a/src/core/placement_rules.h
+++ b/src/core/placement_rules.h
@@ -1,5 +1,5 @@
-// The definitions of where a request may be executed. Shared by the placement, which decides by them, and by
-// the rule guard, which checks by records of its own.
+// The rules on where a request may execute. Placement applies them, and the rule guard checks them against
+// its own records.
 #pragma once
 
 #include <algorithm>
@@ -8,15 +8,16 @@
 
 namespace pearchute {
 
-// Whether the type may be executed at the endpoint's zone and kind of machine.
+// Whether requests of the type may execute in the endpoint's zone and on its kind of machine.
 inline bool allows_placement(const RequestType& type, const EngineEndpoint& endpoint) {
-  const auto is_named = [](const auto& allowed, auto id) {
+  const auto is_allowed = [](const auto& allowed, auto id) {
     return !allowed || std::ranges::count(*allowed, id) > 0;
   };
-  return is_named(type.zones, endpoint.zone) && is_named(type.kinds, endpoint.kind);
+  return is_allowed(type.zones, endpoint.zone) && is_allowed(type.kinds, endpoint.kind);
 }
 
-// Whether the endpoint drops a repeat of a request whose first uncertain attempt was at that zone and cell.
+// Whether the endpoint recognizes a repeat of a request whose first uncertain attempt was in this zone and
+// cell.
 inline bool recognizes_repeat(const RequestType& type, const EngineEndpoint& endpoint, ZoneId uncertain_zone,
                               CellId uncertain_cell) {
   switch (type.deduplication_scope) {
--- a/src/core/placement_scorer.h
+++ b/src/core/placement_scorer.h
@@ -1,10 +1,10 @@
-// Placement: which engine a request goes to. Among the engines that may execute it, that admit it (slow
-// start) and whose ledger has room, the one with the highest score.
+// Placement: chooses the engine with the highest score for a request, among the engines that may execute it,
+// that admit it (slow start) and whose ledger has room.
 //
-// The score is the memory in MB that stays spare there after the grant, scaled by the engine's health and
-// raised or lowered by terms that are each a function below. Equal scores: fewer attempts, less reserved
-// memory, and then a position in the list that differs by manager, lest fresh ledgers all pick the same
-// engine.
+// The score is the memory in MB that would remain spare at the engine after the grant. The capacity is scaled
+// by the engine's health, and bonuses and penalties are added, each by a function below. Ties are resolved by
+// fewer attempts, then less reserved memory, then the position in the list, which differs by manager, so that
+// managers with empty ledgers do not all choose the same engine.
 #pragma once
 
 #include <optional>
@@ -21,17 +21,18 @@
 
 namespace pearchute {
 
-// Where a request is sent, and with which grant.
+// The engine that a request is sent to, and its memory grant.
 struct Placement {
   Engine* engine = nullptr;
   double grant_mb = 0;
   bool at_preferred_engine = false;  // by data affinity
 };
 
-// Scores engines for a request; stateless but for the settings.
+// Scores engines for a request. Stateless except for the settings.
 class PlacementScorer {
  public:
-  // What placement asks. All must outlive it. `random` decides between preferences where they compete.
+  // The decisions that placement uses; all must outlive it. `random` decides whether the preferences for
+  // affinity, zone and machine size apply to a choice.
   struct Inputs {
     const ServiceDefinition& service;
     const WorkModel& work;
@@ -43,22 +44,22 @@
   };
   explicit PlacementScorer(const Inputs& inputs);
 
-  // Whether the request may be sent to the engine at all: placement, deduplication scope, ejection,
-  // probation, no other attempt of it there.
+  // Whether the request may be sent to the engine at all. Checks the engine's state, allowed placement,
+  // deduplication scope, ejection and probation, and that the request has no outstanding attempt there.
   bool is_eligible(TimePoint now, const RequestState& state, const Engine& engine) const;
-  // The best engine; none where no eligible one has room. Draws random numbers.
+  // Returns the engine with the highest score; none if no eligible engine has room. Draws random numbers.
   std::optional<Placement> choose(TimePoint now, const RequestState& state, EngineMap& engines) const;
 
  private:
-  // What holds for one choice over all engines.
+  // Values that are the same for all engines in one choice.
   struct Choice {
     TimePoint now;
     const RequestState& state;
     const RequestType& type;
     DataAffinity::PreferredEngines preferred;
     bool pool_is_full = false;
-    bool heeds_affinity = false;  // at pooled engines
-    bool heeds_zones = true;      // at pooled engines
+    bool uses_affinity = false;  // for engines of the shared pool
+    bool uses_zones = true;      // for engines of the shared pool
     double largest_typical_work_ms = 0;
   };
   // Compared member by member, in this order.
@@ -78,8 +79,8 @@
   bool is_avoided_for_data_load(const Choice& choice, const Engine& engine) const;
   bool is_avoided_as_small(const Engine& engine) const;
 
-  Inputs in_;
-  double largest_memory_mb_ = 1;  // of any kind of machine
+  Inputs inputs_;
+  double max_memory_mb_ = 1;  // the largest of all kinds of machines
 };
 
 }  // namespace pearchute
--- a/src/core/probe_scheduler.h
+++ b/src/core/probe_scheduler.h
@@ -1,5 +1,5 @@
-// Probes of engines whose load only probes report: in turn, as many as their price allows, and none to an
-// engine more often than its report changes.
+// Schedules probes of engines that report their load only in answers to probes. Engines are probed in turn,
+// as often as the cost of probes allows, and no more often than their reported load changes.
 #pragma once
 
 #include <vector>
@@ -9,17 +9,17 @@
 
 namespace pearchute {
 
-// Keeps which engine is next, and how many probes are due.
+// Maintains the next engine in turn and the number of probes that are due.
 class ProbeScheduler {
  public:
   explicit ProbeScheduler(const ServiceDefinition& service);
-  // The engines to probe now. Called once a tick.
+  // Returns the engines to probe now; called once per tick. No engines if probes do not report the load.
   std::vector<EngineId> due(const EngineMap& engines, double requests_per_second);
 
  private:
   bool is_enabled_;
-  double price_;  // of a probe, in requests' worth
-  double due_ = 0;
+  double probe_cost_;  // of one probe, relative to the value of a mean request
+  double due_probes_ = 0;
   EngineId last_probed_{};
 };
 
--- a/src/core/request_queue.h
+++ b/src/core/request_queue.h
@@ -1,7 +1,8 @@
-// The queue of requests that wait for an engine: oldest runnable first, with a bypass budget.
+// The queue of requests that wait for an engine: the oldest runnable request first, with a bypass budget.
 //
-// A younger request may be sent before an older one that finds no room. One that has been bypassed more often
-// than its budget is starved: an engine's memory is reserved for it as it becomes free (EngineLedger).
+// A younger request may be sent before an older one for which no engine has room. A request that has been
+// bypassed more often than its budget allows is starved: memory of one engine is reserved for it as it
+// becomes free (EngineLedger).
 #pragma once
 
 #include <cstddef>
@@ -17,27 +18,27 @@
 
 namespace pearchute {
 
-// Queued requests by arrival.
+// The queued requests in order of arrival.
 class RequestQueue {
  public:
-  // Who decides on single requests, and sends them. Sending takes a request from the queue.
-  class Dispatcher {
+  // Decides on single requests and sends them. Sending a request removes it from the queue.
+  class Delegate {
    public:
-    virtual ~Dispatcher() = default;
+    virtual ~Delegate() = default;
     virtual bool may_start(TimePoint now, const RequestState& state) = 0;
     virtual bool is_eligible(TimePoint now, const RequestState& state, const Engine& engine) const = 0;
     virtual double capacity_mb(const Engine& engine) const = 0;
-    // False where no engine has room.
+    // Sends the request if an engine has room for it; returns whether it was sent.
     virtual bool place(TimePoint now, RequestState& state) = 0;
   };
   // All must outlive it.
-  RequestQueue(RequestTable& requests, const WorkModel& work, EngineMap& engines, Dispatcher& dispatcher)
-      : requests_(requests), work_(work), engines_(engines), dispatcher_(dispatcher) {}
+  RequestQueue(RequestTable& requests, const WorkModel& work, EngineMap& engines, Delegate& delegate)
+      : requests_(requests), work_(work), engines_(engines), delegate_(delegate) {}
 
   std::size_t size() const { return queue_.size(); }
   void push(RequestState& state);
   void remove(RequestState& state);
-  // Visits by arrival; the visitor may remove the request that it is given.
+  // Visits the requests in order of arrival. The visitor may remove the request that it is called with.
   template <class Visit>
   void visit(Visit visit) {
     for (auto at = queue_.begin(); at != queue_.end();) {
@@ -45,10 +46,11 @@
       visit(state);
     }
   }
-  // Sends what may start and finds room, oldest first, and reserves for the starved.
+  // Sends the requests that may start and for which there is room, oldest first, and reserves memory for
+  // starved ones.
   void release(TimePoint now);
-  // Sends the request that has just arrived where it finds room. It frees none, so nothing else is looked at
-  // but what it bypasses.
+  // Sends the newly arrived request if there is room. An arrival frees no capacity, so other requests are not
+  // tried; only their bypass counts increase.
   void release_newcomer(TimePoint now, RequestState& newcomer);
 
  private:
@@ -57,7 +59,7 @@
   RequestTable& requests_;
   const WorkModel& work_;
   EngineMap& engines_;
-  Dispatcher& dispatcher_;
+  Delegate& delegate_;
   std::map<std::uint64_t, RequestId> queue_;  // by arrival sequence
 };
 
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,5 +1,5 @@
-// The open requests: all that have no final answer, or an attempt outstanding. Found by id and by arrival
-// sequence.
+// The open requests, by id and by arrival sequence number. A request is open until it has its final answer
+// and no outstanding attempt.
 #pragma once
 
 #include <cstddef>
@@ -15,20 +15,21 @@
 // Owns the state of each open request.
 class RequestTable {
  public:
-  // Sequence numbers begin here; smaller ones are free for other wake-up tokens.
+  // Sequence numbers start here; smaller numbers serve as other wake-up tokens.
   static constexpr std::uint64_t first_sequence = 16;
 
   RequestState& add(const Request& request);
-  // Null where it is not open.
+  // Returns null if the request is not open.
   RequestState* find(RequestId id);
   RequestState* find_by_sequence(std::uint64_t arrival_sequence);
-  // REQUIRES: it is open.
+  // REQUIRES: the request is open.
   RequestState& at(RequestId id) { return requests_.at(id); }
-  // The attempt, only while it is outstanding: nothing may be reported of others. Null otherwise.
+  // Returns the attempt while it is outstanding, else null: engines may report only on outstanding attempts.
   AttemptRecord* find_outstanding(RequestId id, int attempt_index);
   void erase(RequestId id);
   std::size_t size() const { return requests_.size(); }
-  // By arrival. The visitor may erase the request that it is given; false ends the visit.
+  // Visits the requests in order of arrival until the visitor returns false. The visitor may erase the
+  // request that it is called with.
   template <class Visit>
   void visit_by_arrival(Visit visit) {
     for (auto at = by_sequence_.begin(); at != by_sequence_.end();) {
--- a/src/core/retry_budget_records.h
+++ b/src/core/retry_budget_records.h
@@ -1,6 +1,6 @@
-// The rule on retries, as the rule guard checks it for this manager: in any window of the stated length no
-// more than a minimum and a share of the requests that arrived in it. Counted by what has left for engines.
-// No I/O, no clock.
+// The records by which the rule guard checks this manager's retry budget: in any window of the configured
+// length, no more retries than a minimum plus a ratio of the requests that arrived in it. Retries are counted
+// when they are sent to engines. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -10,7 +10,7 @@
 
 namespace pearchute {
 
-// Requests and retries of the last window.
+// The times of requests and retries within the last window.
 class RetryBudgetRecords {
  public:
   RetryBudgetRecords() = default;
@@ -20,8 +20,8 @@
         ratio_(service.retry_budget_ratio) {}
 
   void on_request(TimePoint now) { add(now, requests_); }
-  void on_retry_left(TimePoint now) { add(now, retries_); }
-  // Whether one more retry would exceed the budget.
+  void on_retry_sent(TimePoint now) { add(now, retries_); }
+  // Whether one more retry now would exceed the budget.
   bool forbids_retry(TimePoint now) const {
     return window_ && count(now, retries_) + 1 > minimum_ + ratio_ * count(now, requests_);
   }
@@ -38,9 +38,9 @@
     return static_cast<double>(count);
   }
 
-  std::optional<Duration> window_;  // none: retries are not limited
-  double minimum_ = 0;              // retries in a window
-  double ratio_ = 0;                // further retries for each request
+  std::optional<Duration> window_;  // none: no budget applies
+  double minimum_ = 0;              // retries that are always allowed in a window
+  double ratio_ = 0;                // additional retries per request
   std::deque<TimePoint> requests_;
   std::deque<TimePoint> retries_;
 };
--- a/src/core/retry_policy.cpp
+++ b/src/core/retry_policy.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-constexpr double rescue_tokens_per_request = 0.1;
-constexpr double most_rescue_tokens = 10.0;
-// Clocks are read up to an event interval apart, here and at the engine's side of the window.
+constexpr double replacement_tokens_per_request = 0.1;
+constexpr double max_replacement_tokens = 10.0;
+// The clock reading may be one event interval old, both here and at the engine's end of the window.
 constexpr int window_margin_intervals = 2;
 
 }  // namespace
 
 void RetryPolicy::on_request(TimePoint now) {
   if (service_.retry_budget_window) requests_.push_back(now);
-  rescue_tokens_ = std::min(rescue_tokens_ + rescue_tokens_per_request, most_rescue_tokens);
+  replacement_tokens_ =
+      std::min(replacement_tokens_ + replacement_tokens_per_request, max_replacement_tokens);
 }
 
 void RetryPolicy::on_retry(TimePoint now) {
@@ -41,10 +42,12 @@
 
 bool RetryPolicy::within_budget(TimePoint now) {
   if (!service_.retry_budget_window) return true;
-  // At the window's edge a request is not counted, a retry is.
-  const TimePoint from = now - *service_.retry_budget_window;
-  while (!requests_.empty() && requests_.front() <= from + service_.event_interval) requests_.pop_front();
-  while (!retries_.empty() && retries_.front() < from - service_.event_interval) retries_.pop_front();
+  // At the edge of the window, requests are not counted and retries are, so that the budget is never
+  // exceeded.
+  const TimePoint window_start = now - *service_.retry_budget_window;
+  while (!requests_.empty() && requests_.front() <= window_start + service_.event_interval)
+    requests_.pop_front();
+  while (!retries_.empty() && retries_.front() < window_start - service_.event_interval) retries_.pop_front();
   const double budget =
       service_.retry_budget_minimum + service_.retry_budget_ratio * static_cast<double>(requests_.size());
   return static_cast<double>(retries_.size()) + 1 <= budget;
@@ -69,8 +72,8 @@
   return *state.first_uncertain_attempt_at + type.deduplication_window - service_.event_interval;
 }
 
-bool RetryPolicy::has_rescue_token() const { return rescue_tokens_ >= 1; }
+bool RetryPolicy::has_replacement_token() const { return replacement_tokens_ >= 1; }
 
-void RetryPolicy::take_rescue_token() { rescue_tokens_ -= 1; }
+void RetryPolicy::take_replacement_token() { replacement_tokens_ -= 1; }
 
 }  // namespace pearchute
--- a/src/core/retry_policy.h
+++ b/src/core/retry_policy.h
@@ -1,10 +1,10 @@
-// Retries: how often and under which conditions a request may have a further attempt, and how a request
-// without a result may be answered.
+// Retries: how often and under which conditions a request may have another attempt, and whether a client may
+// safely resend a request that had no result.
 //
-// Rules: at most max_attempts; a request that is not idempotent has no further attempt once one may have
-// executed; one that is idempotent by key only within its deduplication window; retries stay within a budget,
-// a minimum and a share of the requests of a window. Two attempts at once only for idempotent requests
-// (hedging).
+// Rules: a request has at most max_attempts. Once an attempt may have executed, a non-idempotent request has
+// no further attempt, and one that is idempotent by key has further attempts only within its deduplication
+// window. Retries stay within a budget, which is a minimum plus a ratio of the requests in a window. Only
+// idempotent requests may have two attempts at once (hedged requests).
 #pragma once
 
 #include <deque>
@@ -15,38 +15,41 @@
 
 namespace pearchute {
 
-// Decides on further attempts; keeps the retry budget and the rescue tokens.
+// Decides on further attempts. Maintains the retry budget and the replacement tokens.
 class RetryPolicy {
  public:
   // `service` must outlive it.
   explicit RetryPolicy(const ServiceDefinition& service) : service_(service) {}
 
+  // A request has arrived; a retry is being sent.
   void on_request(TimePoint now);
   void on_retry(TimePoint now);
 
-  // No attempt may follow those that it had, whatever happens.
+  // Whether the request can never have another attempt.
   bool attempts_exhausted(TimePoint now, const RequestType& type, const RequestState& state) const;
-  // Fewer than max_attempts so far, and its client is connected.
+  // Whether the request has had fewer than max_attempts and its client is connected.
   bool may_have_attempt(const RequestState& state) const;
-  // A further attempt while one is outstanding.
+  // Whether the type allows another attempt while one is outstanding.
   bool may_hedge(const RequestType& type) const;
+  // Whether the retry budget allows a retry now.
   bool within_budget(TimePoint now);
-  // The rejected request may safely be sent again by its client: it has had no effect, or repeats are
-  // dropped.
+  // Whether the client of the rejected request may safely send it again: it has had no effect, or engines
+  // drop repeats.
   bool is_safe_to_resend(TimePoint now, const RequestType& type, const RequestState& state) const;
-  // The last moment at which a repeat may leave and still be recognized; none where that does not matter.
+  // The latest time at which the next attempt may be sent so that engines still recognize it as a repeat;
+  // none if there is no such limit.
   std::optional<TimePoint> latest_repeat(const RequestType& type, const RequestState& state) const;
 
-  // Rescues of attempts that are overdue at engines that answer others take a token each,
-  // so that a slow fleet is not flooded with them.
-  bool has_rescue_token() const;
-  void take_rescue_token();
+  // Replacing an overdue attempt at an engine that answers other requests takes a token, so that a slow fleet
+  // is not flooded with replacements. Each request adds a tenth of a token, up to ten tokens.
+  bool has_replacement_token() const;
+  void take_replacement_token();
 
  private:
   const ServiceDefinition& service_;
-  std::deque<TimePoint> requests_;  // within the budget's window
+  std::deque<TimePoint> requests_;  // arrival times within the budget's window
   std::deque<TimePoint> retries_;
-  double rescue_tokens_ = 0;
+  double replacement_tokens_ = 0;
 };
 
 }  // namespace pearchute
--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// An answer up to this late only earns nothing; a later one counts as a lost request.
-constexpr std::chrono::milliseconds latest_answer(500);
+// An answer that is late by up to this earns no value; one that is later counts as a lost request.
+constexpr std::chrono::milliseconds max_answer_lateness(500);
 
-// The timeout told to an engine may exceed the time left by this much: time passes between telling it and
-// this check.
-constexpr std::chrono::milliseconds time_told_slack(150);
+// The timeout that is sent to an engine may exceed the time left by this much, since time passes between its
+// computation and this check.
+constexpr std::chrono::milliseconds engine_timeout_slack(150);
 
 }  // namespace
 
@@ -44,7 +44,7 @@
   const auto at = records_.find(attempt.request);
   if (at == records_.end()) return;
   Record& record = at->second;
-  if (record.attempts > 0) retries_.on_retry_left(now);
+  if (record.attempts > 0) retries_.on_retry_sent(now);
   record.attempts += 1;
   record.outstanding += 1;
   record.last_sent_at = now;
@@ -139,7 +139,7 @@
   if (!facts.client_is_there) return Rule::client_is_there;
   if (facts.engine != EngineState::up) return Rule::engine_takes_work;
   const Duration left = facts.end - facts.now;
-  if (facts.time_told && *facts.time_told > left + time_told_slack) return Rule::time_told;
+  if (facts.time_told && *facts.time_told > left + engine_timeout_slack) return Rule::time_told;
   return std::nullopt;
 }
 
@@ -195,7 +195,7 @@
 void RuleGuard::on_answering(const AnsweringFacts& facts) {
   ++checked_;
   if (facts.answered) count_violation(Rule::one_answer);
-  if (facts.now > facts.end + latest_answer) count_violation(Rule::answer_in_time);
+  if (facts.now > facts.end + max_answer_lateness) count_violation(Rule::answer_in_time);
 }
 
 std::uint64_t RuleGuard::broken_in_all() const {
--- a/src/core/rule_guard.h
+++ b/src/core/rule_guard.h
@@ -1,10 +1,10 @@
-// The rules of the service, checked at four moments: before a request's bytes go to an engine, before it is
-// retried, before a client's connection is closed, and before a request is admitted.
+// Checks the rules of the service at four points: before the bytes of an attempt are sent to an engine,
+// before a request is retried, before a client's connection is closed, and before a request is admitted.
 //
-// Whoever acts asks here first and is told which rule forbids it, if one does. What was suppressed is
-// counted, and so is what was found violated after the fact; a run is sound while the latter stays at zero.
-// The guard keeps records of its own of what happened at the sockets, so that the decisions are not the judge
-// of their own work. It decides nothing else: no I/O, no clock. Not thread-safe.
+// A caller asks before it acts, and the guard returns the rule that forbids the action, if any. It counts the
+// actions that it suppressed and the violations that it found after the fact; a run is correct only if there
+// are no violations. The guard keeps its own records of the events at the sockets, so that its checks are
+// independent of the state of the decisions. No I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -21,25 +21,25 @@
 
 namespace pearchute {
 
-// The enumerators are named like their keys in counters and log lines.
+// Each enumerator has the name of its key in counters and log lines.
 enum class Rule : std::size_t {
-  one_answer,         // a request has one final answer, and no attempt leaves after it
-  answer_in_time,     // the final answer goes out within half a second of the deadline
-  no_silent_close,    // a request that was read is answered before its connection closes
-  client_is_there,    // no attempt begins for a client that has disconnected
-  engine_takes_work,  // none begins at an engine that drains or is removed
-  time_is_left,       // none begins after the deadline
-  runs_once,          // a request that is not idempotent and may have executed is not retried
-  one_attempt_out,    // nor has it two attempts outstanding
-  attempts_are_few,   // at most max_attempts
-  not_while_ending,   // none is admitted once a shutdown answers all open requests
-  order_by_key,       // no attempt begins while an earlier request of its key is open
-  key_rests,          // nor within the key's quiet period after an uncertain outcome
-  cold_budget,        // an engine that is warming up gets no more work than this manager's share (slow start)
-  placement,          // only where its request type is allowed
-  repeat_group,       // a retry by key only within the deduplication scope
+  one_answer,         // a request has one final answer, and no attempt is sent after it
+  answer_in_time,     // the final answer is sent no later than half a second after the deadline
+  no_silent_close,    // a request that was read is answered before its connection is closed
+  client_is_there,    // no attempt starts for a client that has disconnected
+  engine_takes_work,  // no attempt starts at an engine that is draining or removed
+  time_is_left,       // no attempt starts after the deadline
+  runs_once,          // a non-idempotent request that may have executed is not retried
+  one_attempt_out,    // only hedged requests have two attempts outstanding
+  attempts_are_few,   // a request has at most max_attempts
+  not_while_ending,   // no request is admitted once a shutdown answers all open requests
+  order_by_key,       // no attempt starts while an earlier request of its key is open
+  key_rests,          // no attempt starts within its key's quiet period after an uncertain outcome
+  cold_budget,        // an engine in slow start gets no more work than this manager's share of its limit
+  placement,          // an attempt goes only to engines that its request type allows
+  repeat_group,       // a retry by key goes only to engines in the deduplication scope
   attempt_budget,     // retries stay within the retry budget
-  time_told,          // an engine is told no more time than the client has left
+  time_told,          // the timeout sent to an engine does not exceed the time that the client has left
   count
 };
 inline constexpr std::size_t rule_count = static_cast<std::size_t>(Rule::count);
@@ -49,98 +49,112 @@
     "order_by_key",   "key_rests",      "cold_budget",     "placement",        "repeat_group",
     "attempt_budget", "time_told"};
 
-// An attempt whose first byte is about to go.
+// An attempt whose first byte is about to be sent.
 struct SendingFacts {
   TimePoint now{};
-  TimePoint end{};  // of the client's time
-  bool answered = false;
+  TimePoint end{};        // the client's deadline
+  bool answered = false;  // the request has its final answer
   bool client_is_there = true;
   EngineState engine = EngineState::up;
-  std::optional<Duration> time_told = std::nullopt;  // to the engine
+  std::optional<Duration> time_told = std::nullopt;  // the timeout that is sent to the engine
 };
 
-// A request as it is taken.
+// A newly arrived request.
 struct ArrivedRequest {
   RequestId id;
   RequestTypeId type;
-  std::optional<OrderKey> order_key;  // in a class that keeps order
+  std::optional<OrderKey> order_key;  // only for types that are ordered by key
 };
 
-// Which attempt of which request goes where, and what it counts against the part of a cold engine.
+// An attempt of a request at an engine, and the work that it counts against the slow start limit of the
+// engine.
 struct AttemptFacts {
   RequestId request;
   EngineId engine;
   double work_ms = 0;
-  double largest_typical_work_ms = 0;  // of any class
+  double largest_typical_work_ms = 0;  // the largest typical work of any request type
 };
 
-// An attempt that has been decided on, and those before it.
+// An attempt that the decisions have decided to send, and the attempts of its request before it.
 struct RepeatFacts {
   TimePoint now{};
   Idempotency idempotency = Idempotency::idempotent;
   Duration deduplication_window{};
-  int attempts = 0;  // so far
+  int attempts = 0;  // previous ones
   int max_attempts = 1;
   int outstanding = 0;
-  bool allows_hedging = false;                          // allowed by the settings
-  std::optional<TimePoint> first_uncertain_attempt_at;  // when the first attempt that may have run was sent
+  bool allows_hedging = false;
+  // When the first attempt was sent that may have executed; none if no attempt may have executed.
+  std::optional<TimePoint> first_uncertain_attempt_at;
 };
 
-// A client's connection that is about to be closed, by this side.
+// A client's connection that this manager is about to close.
 struct ClosingFacts {
-  bool request_is_open = false;   // one was read and has no answer
-  bool client_has_left = false;   // or has asked for it elsewhere
-  bool has_unread_bytes = false;  // with the system: they may be a request
+  bool request_is_open = false;   // a request was read and has no final answer
+  bool client_has_left = false;   // the client has closed the connection, or asks on another one
+  bool has_unread_bytes = false;  // the socket's receive buffer has data, which may be a request
 };
 
-// A final answer that is about to go out.
+// A final answer that is about to be sent.
 struct AnsweringFacts {
   TimePoint now{};
-  TimePoint end{};
-  bool answered = false;
+  TimePoint end{};        // the client's deadline
+  bool answered = false;  // the request already has a final answer
 };
 
-// Checks the rules, and counts what it suppresses and what it finds violated.
+// Checks the rules, and counts suppressed actions and violations.
 class RuleGuard {
  public:
-  // The figures that the rules go by; without them the rules on order, budgets and placement ask for nothing.
+  // Sets the parameters of the rules. Before this call, the rules on order, budgets and placement forbid
+  // nothing.
   void configure(const ServiceDefinition& service);
 
-  // What happens at the sockets, as it happens.
+  // Events at the sockets, in the order in which they occur.
   void on_endpoint_update(TimePoint now, EndpointUpdate kind, const std::vector<EngineEndpoint>& engines);
   void on_request(TimePoint now, const ArrivedRequest& request);
   void on_attempt_left(TimePoint now, const AttemptFacts& attempt);
-  void on_attempt_retracted(RequestId request);  // no byte of it has left this machine after all
-  void on_attempt_cancelled(TimePoint now, RequestId request);  // of one that has left
+  // The attempt was reported as sent, but no byte of it has left this machine.
+  void on_attempt_retracted(RequestId request);
+  // An attempt that was sent is cancelled.
+  void on_attempt_cancelled(TimePoint now, RequestId request);
   void on_attempt_ended(TimePoint now, const AttemptFacts& attempt, Outcome outcome);
-  void on_finished(RequestId request);  // it has its final answer, or its client has gone
+  // The request has its final answer, or its client has disconnected.
+  void on_finished(RequestId request);
+  // Drops the records of keys without open requests whose quiet period has ended.
   void forget_idle(TimePoint now);
+  // The remaining quiet period of the key; zero if none is running.
   Duration quiet_left(TimePoint now, OrderKey key) const { return order_.quiet_left(now, key); }
 
-  // The rule that forbids it; it is counted as suppressed.
+  // Return the rule that forbids sending the attempt, and count it as suppressed; none if it may be sent.
+  // Without an AttemptFacts, only the rules that need no records are checked.
   std::optional<Rule> forbids_sending(const SendingFacts& facts);
   std::optional<Rule> forbids_sending(const SendingFacts& facts, const AttemptFacts& attempt);
-  // The same; whoever decided on it has violated the rule, so it is counted as a violation, too.
+  // Returns the rule that forbids the attempt because of those before it. The decisions must not decide on
+  // such an attempt, so it is counted both as suppressed and as a violation.
   std::optional<Rule> forbids_repeating(const RepeatFacts& facts);
+  // Returns the rule that forbids admitting a request. `answers_all`: a shutdown answers all open requests.
   std::optional<Rule> forbids_taking(bool answers_all);
-  // Of closes that can wait; those of a client that keeps to no bound can't.
+  // Returns the rule that forbids closing the connection now. For closes that can be postponed; on_closing is
+  // for those that cannot, such as closing on a client that exceeds a limit.
   std::optional<Rule> forbids_closing(const ClosingFacts& facts);
-  // What can't be suppressed is counted as a violation.
+  // Actions that cannot be suppressed; a broken rule is counted as a violation.
   void on_closing(const ClosingFacts& facts);
   void on_answering(const AnsweringFacts& facts);
 
+  // Numbers of checks, of suppressed actions and of violations.
   std::uint64_t checked() const { return checked_; }
   std::uint64_t held_back(Rule rule) const { return held_back_[static_cast<std::size_t>(rule)]; }
   std::uint64_t broken(Rule rule) const { return broken_[static_cast<std::size_t>(rule)]; }
   std::uint64_t broken_in_all() const;
 
  private:
-  // A request that has not been answered, or has an attempt outstanding.
+  // A request that has no final answer or has an outstanding attempt.
   struct Record {
     RequestTypeId type;
     int attempts = 0;
     int outstanding = 0;
-    std::optional<TimePoint> first_uncertain_attempt_at;  // when the first attempt that may have run left
+    // When the first attempt was sent that may have executed; none if no attempt may have executed.
+    std::optional<TimePoint> first_uncertain_attempt_at;
     TimePoint last_sent_at{};
     ZoneId uncertain_zone{-1};
     CellId uncertain_cell{};
--- a/src/core/slow_start.cpp
+++ b/src/core/slow_start.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-// A list that tells of a start late counts as having told it by then.
-constexpr std::chrono::seconds longest_listing_delay(5);
-// The part of the stated limit that is used: speeds and learned means are uncertain.
+// An engine start counts as listed at most this long after it happened, even if the list reports it later.
+constexpr std::chrono::seconds max_listing_delay(5);
+// The share of the configured limit that managers use, since engine speeds and learned means are uncertain.
 constexpr double used_share_of_limit = 0.8;
-// After its own start a manager does not know what its predecessor has sent in the first window.
+// In the first window after its start, a manager uses this share, since it does not know how much work its
+// predecessor has sent.
 constexpr double share_after_own_start = 0.5;
 constexpr double share_beside_time_slots = 0.5;
-// Time slots: six short ones begin in each window and one long one, every eighth of which has a larger share.
-// Fully used they average two thirds of the budget.
+// Time slots: in each window six short slots and one long slot begin, and every eighth long slot has a larger
+// share. Fully used, they take two thirds of the budget on average.
 constexpr int short_slots_per_window = 6;
 constexpr double short_slot_share = 1.0 / 16;
 constexpr int long_slots_per_window = 1;
@@ -34,8 +35,8 @@
   if (service.slow_start_limit_multiple <= 0 || service.slow_start_window <= Duration(0) || !started_at) {
     return false;
   }
-  const TimePoint known_by = std::min(listed_at, *started_at + longest_listing_delay);
-  return now < std::max(*started_at, known_by) + service.slow_start_duration;
+  const TimePoint listed_by = std::min(listed_at, *started_at + max_listing_delay);
+  return now < std::max(*started_at, listed_by) + service.slow_start_duration;
 }
 
 double slow_start_limit_ms(const ServiceDefinition& service, int cores) {
@@ -62,11 +63,11 @@
 }
 
 double SlowStart::capacity_share(TimePoint now, const Engine& engine) const {
-  const double warmed = is_warming_up(now, engine)
-                            ? (now - engine.slow_start.listed_at) / (1.0 * service_.slow_start_duration)
-                            : 1;
+  const double warm_up_progress =
+      is_warming_up(now, engine) ? (now - engine.slow_start.listed_at) / (1.0 * service_.slow_start_duration)
+                                 : 1;
   const double initial = service_.slow_start_initial_capacity;
-  return initial + (1 - initial) * std::min(warmed, 1.0);
+  return initial + (1 - initial) * std::min(warm_up_progress, 1.0);
 }
 
 bool SlowStart::fits(TimePoint now, const Engine& engine, Duration within, double work_ms,
@@ -83,9 +84,9 @@
   const Duration window = service_.slow_start_window;
   const bool time_slots = uses_time_slots(now, engine, largest_typical_work_ms);
   const double budget = budget_ms(engine);
-  const double known_share = now.time_since_epoch() < window ? share_after_own_start : 1;
+  const double share_factor = now.time_since_epoch() < window ? share_after_own_start : 1;
   const double own_share =
-      budget / service_.managers * (time_slots ? share_beside_time_slots : 1) * known_share;
+      budget / service_.managers * (time_slots ? share_beside_time_slots : 1) * share_factor;
   if (fits(now, engine, window, work.typical_ms, own_share)) return true;
   return time_slots && admits_in_time_slot(now, engine, work.warm_up_ms);
 }
@@ -104,26 +105,27 @@
   return fits(now, engine, length, work_ms, budget * share);
 }
 
-// The number of the own time slot that lasts now, where all managers have theirs in the order of their
-// indices, so many new ones a window, from the engine's start.
+// The number of the current time slot, if it is this manager's; none otherwise. Slots are counted from the
+// engine's start, `slots_per_window` of them begin in each window, and managers own them in the order of
+// their indices.
 std::optional<std::uint64_t> SlowStart::own_time_slot(TimePoint now, const Engine& engine,
                                                       int slots_per_window, Duration length) const {
   const TimePoint started_at = *engine.endpoint.started_at;
   const Duration since_start = now - started_at;
   if (since_start < Duration(0)) return std::nullopt;
   const Duration window = service_.slow_start_window;
-  const auto passed = static_cast<std::uint64_t>(since_start * slots_per_window / window);
+  const auto slots_begun = static_cast<std::uint64_t>(since_start * slots_per_window / window);
   const auto managers = static_cast<std::uint64_t>(service_.managers);
-  // Slot 0 belongs to a manager by hash, those that follow to the ones before it.
+  // A hash of the engine chooses the owner of slot 0; the following slots belong to the managers after it.
   const auto first = rendezvous_hash(std::int64_t{slots_per_window}, engine.id()) % managers;
   const auto own = (first + static_cast<std::uint64_t>(service_.instance_index)) % managers;
-  const std::uint64_t slots_ago = (passed + managers - own) % managers;
-  if (slots_ago > passed) return std::nullopt;
-  const auto slot = static_cast<Duration::rep>(passed - slots_ago);
-  const TimePoint began = started_at + slot * window / slots_per_window;
-  // A slot that began before this manager did may have been used by its predecessor.
-  if (began < TimePoint{} || now - began > length) return std::nullopt;
-  return passed - slots_ago;
+  const std::uint64_t slots_ago = (slots_begun + managers - own) % managers;
+  if (slots_ago > slots_begun) return std::nullopt;
+  const auto slot = static_cast<Duration::rep>(slots_begun - slots_ago);
+  const TimePoint slot_start = started_at + slot * window / slots_per_window;
+  // A slot that began before this manager started may have been used by its predecessor.
+  if (slot_start < TimePoint{} || now - slot_start > length) return std::nullopt;
+  return slots_begun - slots_ago;
 }
 
 void SlowStart::on_sent(TimePoint now, Engine& engine, const Work& work,
--- a/src/core/slow_start_records.cpp
+++ b/src/core/slow_start_records.cpp
@@ -22,9 +22,9 @@
 
 void SlowStartRecords::on_endpoint_update(TimePoint now, EndpointUpdate kind,
                                           const std::vector<EngineEndpoint>& endpoints) {
-  std::set<EngineId> named;
+  std::set<EngineId> listed_ids;
   for (const EngineEndpoint& endpoint : endpoints) {
-    named.insert(endpoint.id);
+    listed_ids.insert(endpoint.id);
     Record& record = engines_[endpoint.id];
     const bool is_new =
         record.endpoint.id != endpoint.id || record.endpoint.started_at != endpoint.started_at;
@@ -33,7 +33,7 @@
   }
   std::erase_if(engines_, [&](const auto& one) {
     const bool is_removed = one.second.endpoint.state == EngineState::removed;
-    return is_removed || (kind != EndpointUpdate::delta && !named.contains(one.first));
+    return is_removed || (kind != EndpointUpdate::delta && !listed_ids.contains(one.first));
   });
 }
 
@@ -46,9 +46,9 @@
   return pearchute::is_warming_up(service_, now, record.endpoint.started_at, record.listed_at);
 }
 
-// An even share of the limit. Where half of that is less than a single request, managers may use time slots,
-// of which the largest allows half of the limit. More than SlowStart uses of either: the guard checks the
-// stated limit.
+// This manager's share: an even share of the limit, or half of the limit, which is the largest time slot, if
+// a typical request may need over half of an even share, so that managers may use time slots. SlowStart uses
+// less in both cases; the guard checks the configured limit.
 double SlowStartRecords::own_share_ms(const Record& record, double largest_typical_work_ms) const {
   const auto kind = static_cast<std::size_t>(std::max(record.endpoint.kind.value, 0));
   const int cores = kind < service_.kinds.size() ? service_.kinds[kind].cores : 1;
--- a/src/core/tick_interval.h
+++ b/src/core/tick_interval.h
@@ -1,4 +1,4 @@
-// How often the decisions' periodic work is done.
+// The interval of the periodic work of the decisions.
 #pragma once
 
 #include "core/types.h"
--- a/src/core/units.h
+++ b/src/core/units.h
@@ -1,4 +1,4 @@
-// Conversions, running means and hashes that several decisions share. No state, no I/O.
+// Conversions, running means and hashes that several decisions share. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,18 +11,18 @@
 
 inline constexpr double infinite = std::numeric_limits<double>::infinity();
 inline constexpr double microseconds_per_ms = 1000;
-// The longest duration that is worked out of learned figures; keeps sums of moments within range.
-inline constexpr double longest_ms = 4e6;
+// The upper bound of durations that are computed from learned values; prevents overflow of time points.
+inline constexpr double max_duration_ms = 4e6;
 
 inline double to_ms(Duration duration) { return static_cast<double>(duration.count()) / microseconds_per_ms; }
 
-// The duration, clamped to 0 .. longest_ms.
+// The duration, clamped to 0 .. max_duration_ms.
 inline Duration from_ms(double ms) {
-  return Duration(static_cast<Duration::rep>(std::clamp(ms, 0.0, longest_ms) * microseconds_per_ms));
+  return Duration(static_cast<Duration::rep>(std::clamp(ms, 0.0, max_duration_ms) * microseconds_per_ms));
 }
 
-// The mean of the samples so far; past `sample_limit` of them it decays, each new one weighing
-// 1/sample_limit.
+// The mean of all samples. Beyond `sample_limit` samples it is an exponential moving average, in which each
+// new sample has the weight 1/sample_limit.
 class RunningMean {
  public:
   void add(double sample) {
@@ -37,7 +37,7 @@
   double count_ = 0;
 };
 
-// A hash for rendezvous hashing: the same at every manager, so that they agree without exchanging
+// The hash for rendezvous hashing. It is identical at all managers, so they agree without exchanging
 // messages.
 inline std::uint64_t rendezvous_hash(std::int64_t key, EngineId engine) {
   std::uint64_t x = static_cast<std::uint64_t>(key) * 0x9E3779B97F4A7C15ULL + engine.value;
--- a/src/core/work_model.cpp
+++ b/src/core/work_model.cpp
@@ -6,33 +6,34 @@
 
 namespace {
 
-constexpr double bias_samples = 50;  // that correct a bias by most of its error
-constexpr double least_work_ratio = 0.2;
-constexpr double largest_work_ratio = 5.0;
-// An engine that is short of memory makes requests spill, too, so spills correct no further than this.
-constexpr double largest_memory_bias_by_spills = 1.5;
-// Half of the headroom that engines choose by themselves, since the bias is learned.
+constexpr double bias_samples = 50;  // each sample corrects a bias by 1/50 of its error
+constexpr double min_work_ratio = 0.2;
+constexpr double max_work_ratio = 5.0;
+// Requests also spill when an engine is short of memory, so spills raise a memory bias no further than this.
+constexpr double max_memory_bias_from_spills = 1.5;
+// Half of the headroom that engines add when they choose a grant themselves; the learned bias covers the
+// rest.
 constexpr double memory_headroom = 1.125;
 constexpr double negligible_share_of_typical_work = 0.25;
-// Below these multiples of the mean work a request has priority 3, 2 or 1.
+// A request whose work is below these multiples of the mean has priority 3, 2 or 1.
 constexpr double priority_3_below = 0.5;
 constexpr double priority_2_below = 2;
 constexpr double priority_1_below = 6;
-constexpr double least_sample_weight = 0.01;
+constexpr double min_sample_weight = 0.01;
 constexpr double sample_weight_range = 0.19;
-constexpr double least_mean_work_ms = 1e-6;
+constexpr double min_mean_work_ms = 1e-6;
 
 }  // namespace
 
 WorkModel::WorkModel(const std::vector<RequestType>& types) {
   for (const RequestType& type : types) {
     types_.push_back({.type = type, .work_ms = {}, .memory_mb = {}});
-    largest_threads_ = std::max(largest_threads_, type.threads);
+    max_threads_ = std::max(max_threads_, type.threads);
   }
 }
 
 double WorkModel::on_request(const Request& request) {
-  Figures& type = figures(request.type);
+  TypeEstimates& type = estimates(request.type);
   if (request.work_ms) type.work_ms.add(*request.work_ms);
   if (request.memory_mb) type.memory_mb.add(*request.memory_mb);
   const double work_ms = request.work_ms.value_or(type.work_ms.value());
@@ -42,11 +43,11 @@
 
 void WorkModel::on_success(const Request& request, Duration elapsed, std::optional<double> work_ms,
                            std::optional<double> memory_mb) {
-  Figures& type = figures(request.type);
+  TypeEstimates& type = estimates(request.type);
   if (!request.work_ms) {
     type.work_ms.add(work_ms.value_or(to_ms(elapsed) * type.type.threads));
   } else if (work_ms) {
-    const double ratio = std::clamp(*work_ms / *request.work_ms, least_work_ratio, largest_work_ratio);
+    const double ratio = std::clamp(*work_ms / *request.work_ms, min_work_ratio, max_work_ratio);
     type.work_bias += (ratio - type.work_bias) / bias_samples;
   }
   if (memory_mb && !request.memory_mb) {
@@ -58,56 +59,59 @@
 
 void WorkModel::on_spill(const Request& request, double grant_mb, double missing_mb) {
   const double estimate_mb = request.memory_mb.value_or(0);
-  if (estimate_mb <= 0 || grant_mb < estimate_mb) return;  // not the estimate's fault
-  double& bias = figures(request.type).memory_bias;
+  if (estimate_mb <= 0 || grant_mb < estimate_mb)
+    return;  // the spill does not show that the estimate is too low
+  double& bias = estimates(request.type).memory_bias;
   const double corrected = bias + ((grant_mb + missing_mb) / estimate_mb - bias) / bias_samples;
-  bias = std::min(corrected, largest_memory_bias_by_spills);
+  bias = std::min(corrected, max_memory_bias_from_spills);
 }
 
 double WorkModel::ideal_ms(const RequestState& state) const {
-  const Figures& type = figures(state.request.type);
+  const TypeEstimates& type = estimates(state.request.type);
   return state.work_ms * type.work_bias / type.type.threads;
 }
 
 double WorkModel::needed_mb(const RequestState& state) const {
-  const Figures& type = figures(state.request.type);
+  const TypeEstimates& type = estimates(state.request.type);
   const double estimate_mb = state.request.memory_mb.value_or(0);
   return estimate_mb > 0 ? memory_headroom * type.memory_bias * estimate_mb : type.memory_mb.value();
 }
 
-// Until anything is known of a type, its whole latency objective on all its threads.
-double WorkModel::typical_work_ms(const Figures& type) const {
+// Until the work of a type is learned, assumes that a request uses all its threads for its whole latency
+// objective.
+double WorkModel::typical_work_ms(const TypeEstimates& type) const {
   const double learned_ms = type.work_ms.value() * type.work_bias;
   return learned_ms > 0 ? learned_ms : to_ms(type.type.latency_objective) * type.type.threads;
 }
 
 double WorkModel::largest_typical_work_ms() const {
   double largest = 0;
-  for (const Figures& type : types_) largest = std::max(largest, typical_work_ms(type));
+  for (const TypeEstimates& type : types_) largest = std::max(largest, typical_work_ms(type));
   return largest;
 }
 
-double WorkModel::largest_typical_memory_mb() const {
+double WorkModel::max_typical_memory_mb() const {
   double largest = 0;
-  for (const Figures& type : types_) largest = std::max(largest, type.memory_mb.value() * type.memory_bias);
+  for (const TypeEstimates& type : types_)
+    largest = std::max(largest, type.memory_mb.value() * type.memory_bias);
   return largest;
 }
 
 double WorkModel::warm_up_work_ms(const RequestState& state) const {
-  const double estimate_ms = state.work_ms * std::max(1.0, figures(state.request.type).work_bias);
+  const double estimate_ms = state.work_ms * std::max(1.0, estimates(state.request.type).work_bias);
   return state.request.work_ms ? estimate_ms : std::max(estimate_ms, typical_work_ms(state));
 }
 
 double WorkModel::typical_data_load_ms() const {
   double longest = 0;
-  for (const Figures& type : types_) {
+  for (const TypeEstimates& type : types_) {
     if (type.type.loads_data_set) longest = std::max(longest, type.work_ms.value() / type.type.threads);
   }
   return longest;
 }
 
 bool WorkModel::is_small_for_type(const RequestState& state) const {
-  return state.request.work_ms && state.work_ms <= figures(state.request.type).work_ms.value();
+  return state.request.work_ms && state.work_ms <= estimates(state.request.type).work_ms.value();
 }
 
 bool WorkModel::is_negligible(const RequestState& state) const {
@@ -117,7 +121,7 @@
 }
 
 double WorkModel::relative_size(const RequestState& state) const {
-  return state.work_ms / std::max(mean_work_ms_.value(), least_mean_work_ms);
+  return state.work_ms / std::max(mean_work_ms_.value(), min_mean_work_ms);
 }
 
 int WorkModel::priority(const RequestState& state) const {
@@ -128,8 +132,8 @@
 }
 
 double WorkModel::sample_weight(const RequestState& state) const {
-  const double size = state.work_ms / std::max(2 * mean_work_ms_.value(), least_mean_work_ms);
-  return least_sample_weight + sample_weight_range * std::min(1.0, size);
+  const double size = state.work_ms / std::max(2 * mean_work_ms_.value(), min_mean_work_ms);
+  return min_sample_weight + sample_weight_range * std::min(1.0, size);
 }
 
 }  // namespace pearchute
--- a/src/core/workload_manager.cpp
+++ b/src/core/workload_manager.cpp
@@ -1,4 +1,4 @@
-// The events of clients, of endpoint discovery and of wake-ups; admission and final answers.
+// Handles events of clients, endpoint discovery and wake-ups, and implements admission and final answers.
 #include "core/workload_manager.h"
 
 #include <algorithm>
@@ -15,18 +15,18 @@
 using std::chrono::seconds;
 
 constexpr milliseconds subscription_backoff_base(500);
-constexpr seconds least_backoff_limit(1);
+constexpr seconds min_backoff_limit(1);
 constexpr int subscription_attempts_within_poll = 4;
-constexpr double least_jitter = 0.75;
-constexpr double jitter_range = 0.5;
+constexpr double min_jitter_factor = 0.75;
+constexpr double jitter_factor_range = 0.5;
 constexpr std::size_t random_bits = 32;
-constexpr int upper_half_bits = 32;  // of a seed
-// Bounds a scan of the queue, which is made when an attempt ends and at each tick.
-constexpr std::size_t longest_queue = 600;
-// Near the most open requests a tenth of the table is kept free for those that arrive.
+constexpr int seed_upper_half_shift = 32;
+// Bounds the cost of a queue scan, which runs whenever an attempt ends and at each tick.
+constexpr std::size_t max_queue_length = 600;
+// Above nine tenths of max_open_requests, requests are evicted to keep room for new ones.
 constexpr double table_tenths = 10;
 constexpr double table_tenths_in_use = 9;
-constexpr seconds longest_counted_timeout(60);
+constexpr seconds max_counted_timeout(60);
 
 ServiceDefinition normalized(ServiceDefinition service) {
   service.managers = std::max(1, service.managers);
@@ -35,7 +35,7 @@
 }
 
 Duration shortest_timeout(const std::vector<RequestType>& types) {
-  Duration shortest = longest_counted_timeout;
+  Duration shortest = max_counted_timeout;
   for (const RequestType& type : types) shortest = std::min(shortest, type.request_timeout);
   return shortest;
 }
@@ -44,7 +44,7 @@
 
 WorkloadManager::WorkloadManager(const ServiceDefinition& service, std::uint64_t seed, DecisionSink& sink)
     : sink_(sink),
-      random_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> upper_half_bits))),
+      random_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> seed_upper_half_shift))),
       service_(normalized(service)),
       work_(service_.types),
       latency_(work_, service_.zone, shortest_timeout(service_.types)),
@@ -60,11 +60,11 @@
       queue_(requests_, work_, engines_, *this),
       kinds_(service_.kinds),
       subscription_backoff_(subscription_backoff_base) {
-  // Read by the constructors above; the decisions keep a reference to the rest.
+  // Only the constructors above read these lists; the decisions keep references to the other settings.
   service_.types.clear();
   service_.tenants.clear();
   service_.kinds.clear();
-  if (service_.endpoints_on_request) sink_.subscribe_endpoints();
+  if (service_.requires_subscription) sink_.subscribe_endpoints();
   sink_.schedule_wakeup(tick_interval, tick_token);
 }
 
@@ -95,8 +95,8 @@
   const int kind = endpoint.kind.value;
   engine.machine = kind >= 0 ? kinds_[static_cast<std::size_t>(kind)] : MachineKind{};
   if (is_first) engine.ledger.set_fair_share_slots(grants_.initial_slots(engine.machine));
-  const bool has_come_back = engine.is_up && !was_up;
-  if (!is_first && !has_restarted && !has_come_back) return;
+  const bool is_up_again = engine.is_up && !was_up;
+  if (!is_first && !has_restarted && !is_up_again) return;
   engine.slow_start.listed_at = now;
   outliers_.reset(now, engine.health);
   latency_.reset(engine.latency, is_first);
@@ -105,23 +105,24 @@
 }
 
 void WorkloadManager::remove_unnamed(const std::vector<EngineEndpoint>& endpoints) {
-  std::set<EngineId> named;
-  for (const EngineEndpoint& endpoint : endpoints) named.insert(endpoint.id);
+  std::set<EngineId> listed_ids;
+  for (const EngineEndpoint& endpoint : endpoints) listed_ids.insert(endpoint.id);
   for (auto& [id, engine] : engines_) {
-    if (named.contains(id)) continue;
+    if (listed_ids.contains(id)) continue;
     engine.is_up = false;
     engine.endpoint.state = EngineState::removed;
   }
 }
 
-// Discovery is overrun: exponential backoff with jitter.
+// Retries the subscription with exponential backoff and jitter, since endpoint discovery is overloaded.
 void WorkloadManager::on_endpoints_refused(TimePoint) {
-  if (!service_.endpoints_on_request) return;
-  const double jitter = least_jitter + jitter_range * std::generate_canonical<double, random_bits>(random_);
+  if (!service_.requires_subscription) return;
+  const double jitter =
+      min_jitter_factor + jitter_factor_range * std::generate_canonical<double, random_bits>(random_);
   sink_.schedule_wakeup(from_ms(to_ms(subscription_backoff_) * jitter), subscribe_token);
-  const Duration longest =
-      std::max<Duration>(least_backoff_limit, service_.poll_within / subscription_attempts_within_poll);
-  subscription_backoff_ = std::min(2 * subscription_backoff_, longest);
+  const Duration max_backoff =
+      std::max<Duration>(min_backoff_limit, service_.max_poll_interval / subscription_attempts_within_poll);
+  subscription_backoff_ = std::min(2 * subscription_backoff_, max_backoff);
 }
 
 // ---- Clients
@@ -136,22 +137,22 @@
   sink_.schedule_wakeup(state.deadline - now, state.arrival_sequence);
   affinity_.on_request(request.data_set);
   const double cost = shedder_.on_request(state);
-  if (const auto reason = admission_verdict(now, state, cost)) return reject(now, state, *reason);
+  if (const auto reason = admission_rejection(now, state, cost)) return reject(now, state, *reason);
   queue_.push(state);
   queue_.release_newcomer(now, state);
 }
 
-// Why the request that has just arrived is not admitted; none where it is.
-std::optional<RejectionReason> WorkloadManager::admission_verdict(TimePoint now, const RequestState& state,
-                                                                  double cost) const {
+// Returns why the newly arrived request is not admitted, or none if it is admitted.
+std::optional<RejectionReason> WorkloadManager::admission_rejection(TimePoint now, const RequestState& state,
+                                                                    double cost) const {
   if (state.deadline <= now) return RejectionReason::deadline_exceeded;
-  // The others of its key are in order whichever came first, once this one is rejected.
+  // Rejecting this request leaves the order of the other requests of its key well defined.
   if (!state.request.arrival_order_known && work_.type(state).ordered_by_key) {
     return RejectionReason::arrival_order_unknown;
   }
   if (shedder_.sheds(cost, work_.is_small_for_type(state))) return RejectionReason::overload;
   if (deadlines_.is_unreachable(now, state)) return RejectionReason::deadline_unreachable;
-  if (queue_.size() >= longest_queue) return RejectionReason::queue_full;
+  if (queue_.size() >= max_queue_length) return RejectionReason::queue_full;
   return std::nullopt;
 }
 
@@ -163,8 +164,8 @@
   queue_.release(now);
 }
 
-// Nothing begins for a client that has gone. What is outstanding goes on, since a client whose connection
-// broke reconnects.
+// No attempt is started while the client is disconnected. Outstanding attempts continue, since a client whose
+// connection broke may reconnect.
 void WorkloadManager::on_client_disconnected(TimePoint now, RequestId id) {
   RequestState* state = requests_.find(id);
   if (state && !state->client_disconnected_at) state->client_disconnected_at = now;
@@ -187,7 +188,7 @@
       reject(now, *state, RejectionReason::deadline_exceeded);
     }
   } else if (token >= RequestTable::first_sequence) {
-    return;  // of a request that is no longer open: nothing is free by that
+    return;  // the request is no longer open; no capacity has become free
   }
   queue_.release(now);
 }
@@ -250,7 +251,8 @@
     const double grant_mb = service_.engines_take_grants ? attempt.grant_mb : 0;
     sink_.set_execution_terms(id, grant_mb, work_.priority(state));
   }
-  // A repeat that waits for a connection must not leave once engines no longer recognize it.
+  // A retry that waits for a connection must not be sent after the deduplication window, when engines would
+  // no longer recognize it as a repeat.
   if (const auto latest = retries_.latest_repeat(type, state)) {
     sink_.limit_send_delay(id, std::max(*latest - now, Duration(1)));
   }
@@ -259,7 +261,7 @@
 
 // ---- Final answers
 
-// Over nine tenths of max_open_requests: evict_late and on_engine_wait then evict.
+// Whether over nine tenths of max_open_requests are open; evict_late_requests and on_engine_wait then evict.
 bool WorkloadManager::is_table_nearly_full() const {
   return service_.max_open_requests > 0 &&
          table_tenths * static_cast<double>(requests_.size()) >
--- a/src/core/workload_manager.h
+++ b/src/core/workload_manager.h
@@ -1,9 +1,10 @@
-// The decisions of one workload manager, behind one interface: an event for each thing that can happen,
-// actions through a DecisionSink.
+// The decisions of one workload manager behind one interface: the caller reports each event by a method call,
+// and the manager acts through a DecisionSink.
 //
-// The manager owns the open requests and the engines, and calls the decisions in order; each decision is a
-// class of its own with its own state (see docs/architecture.md for the list). It has no I/O, no clock and no
-// thread: identical events and seed give identical actions. Not thread-safe; one thread calls it.
+// The manager owns the open requests and the engines, and invokes the decisions in a fixed order. Each
+// decision is a class with its own state (docs/architecture.md lists them). The manager has no I/O, no clock
+// and no thread, so identical events and an identical seed give identical actions. It is not thread-safe: all
+// calls must come from one thread.
 #pragma once
 
 #include <cstdint>
@@ -32,50 +33,53 @@
 
 namespace pearchute {
 
-// Event methods: `now` never goes back; attempts of a request count from 0; events of requests, attempts and
-// engines that are not known (any more) are ignored.
-class WorkloadManager final : private RequestQueue::Dispatcher {
+// For all event methods: `now` must not decrease from call to call, attempts of a request are numbered from
+// 0, and events about unknown or already forgotten requests, attempts and engines are ignored.
+class WorkloadManager final : private RequestQueue::Delegate {
  public:
-  // `sink` must outlive it. Acts through it at once: schedules its tick, subscribes to endpoints.
+  // `sink` must outlive the manager. The constructor already uses it: it schedules the periodic tick and
+  // subscribes to the endpoint list where the service requires a subscription.
   WorkloadManager(const ServiceDefinition& service, std::uint64_t seed, DecisionSink& sink);
   WorkloadManager(const WorkloadManager&) = delete;
   WorkloadManager& operator=(const WorkloadManager&) = delete;
 
   // Endpoint discovery
   void on_endpoint_update(TimePoint now, EndpointUpdate kind, const std::vector<EngineEndpoint>& endpoints);
+  // Endpoint discovery refused the subscription because it is overloaded.
   void on_endpoints_refused(TimePoint now);
 
   // Clients
   void on_request(TimePoint now, const Request& request);
   void on_request_cancelled(TimePoint now, RequestId id);
-  // The client has disconnected and may come again: nothing of the request leaves meanwhile.
+  // The client has disconnected and may reconnect. Until it does, no attempt of the request is sent.
   void on_client_disconnected(TimePoint now, RequestId id);
   void on_client_reconnected(TimePoint now, RequestId id);
 
-  // Engines, about attempts that are outstanding
+  // Engines: reports about outstanding attempts
   void on_stream_started(TimePoint now, RequestId id, int attempt_index);
   void on_progress(TimePoint now, RequestId id, int attempt_index, double share_done);
   void on_spill(TimePoint now, RequestId id, int attempt_index, double missing_mb);
   void on_engine_wait(TimePoint now, RequestId id, int attempt_index, WaitCause cause);
-  // `is_finished`: the client has its answer. `work_ms` and `memory_mb` are what the request needed, where
-  // answers tell it.
+  // `is_finished`: the client has received its final answer. `work_ms` and `memory_mb` are what the request
+  // needed, if the answer reports it.
   void on_attempt_ended(TimePoint now, RequestId id, int attempt_index, Outcome outcome, Duration elapsed,
                         bool is_finished, std::optional<double> work_ms, std::optional<double> memory_mb,
                         const LoadReport& load);
   void on_probe_ended(TimePoint now, EngineId engine, Outcome outcome, Duration elapsed,
                       const LoadReport& load);
 
-  // A wake-up that was scheduled through the sink
+  // A wake-up that was scheduled through the sink is due.
   void on_wakeup(TimePoint now, std::uint64_t token);
-  // The program ends before these requests would: each gets its final answer now.
+  // The program shuts down: each open request receives its final answer now.
   void closing(TimePoint now);
 
-  // What the decisions go by, for operators. Reading changes no decision.
+  // Estimates that the decisions use, for operators. Reading them does not affect any decision.
   struct EngineEstimate {
     double slots = 0;  // threads
     double capacity_mb = 0;
-    bool is_cold = false;  // warming up
+    bool is_cold = false;  // in slow start
   };
+  // Calls `visit(engine, estimate)` for each engine, by id.
   template <class Visit>
   void tell_engines(TimePoint now, Visit visit) const {
     for (const auto& [id, engine] : engines_) {
@@ -84,19 +88,19 @@
       visit(engine, estimate);
     }
   }
-  // What a queued request waits for.
+  // What a queued request waits for; `not_queued` also for unknown requests.
   enum class QueuedFor { not_queued, key_order, key_quiet_period, retry_budget, capacity };
   QueuedFor queued_for(TimePoint now, RequestId id);
   std::size_t queued_requests() const { return queue_.size(); }
-  // What a request of the type typically needs, in ms on one thread.
+  // Typical work of a request of the type, in ms on one thread.
   double typical_work_ms(RequestTypeId type) const { return work_.typical_work_ms(type); }
   double largest_typical_work_ms() const { return work_.largest_typical_work_ms(); }
 
  private:
-  // Tokens of wake-ups that are not for a request; a request's is its arrival sequence.
+  // Wake-up tokens that do not belong to a request. The token of a request is its arrival sequence number.
   enum WakeupToken : std::uint64_t { tick_token = 1, subscribe_token = 2, key_token = 3 };
 
-  // RequestQueue::Dispatcher
+  // RequestQueue::Delegate
   bool may_start(TimePoint now, const RequestState& state) override;
   bool is_eligible(TimePoint now, const RequestState& state, const Engine& engine) const override;
   double capacity_mb(const Engine& engine) const override { return grants_.capacity_mb(engine); }
@@ -105,11 +109,11 @@
   void send(TimePoint now, RequestState& state, const Placement& placement);
   void update_endpoint(TimePoint now, const EngineEndpoint& endpoint);
   void remove_unnamed(const std::vector<EngineEndpoint>& endpoints);
-  std::optional<RejectionReason> admission_verdict(TimePoint now, const RequestState& state,
-                                                   double cost) const;
+  std::optional<RejectionReason> admission_rejection(TimePoint now, const RequestState& state,
+                                                     double cost) const;
 
   // Attempts (attempt_events.cpp)
-  AttemptRecord* note_report(TimePoint now, RequestId id, int attempt_index);
+  AttemptRecord* record_report(TimePoint now, RequestId id, int attempt_index);
   void cancel_attempt(RequestId id, AttemptRecord& attempt, int attempt_index);
   void release_reservation(TimePoint now, Engine& engine, const RequestState& state,
                            const AttemptRecord& attempt, Outcome outcome);
@@ -117,9 +121,9 @@
                           Outcome outcome, Duration elapsed);
   void record_error(TimePoint now, Engine& engine, RequestState& state, AttemptRecord& attempt,
                     Outcome outcome);
-  void note_uncertainty(TimePoint now, const Engine& engine, RequestState& state,
-                        const AttemptRecord& attempt, Outcome outcome);
-  void settle_after_attempt(TimePoint now, RequestState& state, Outcome outcome, bool is_finished);
+  void record_uncertain_outcome(TimePoint now, const Engine& engine, RequestState& state,
+                                const AttemptRecord& attempt, Outcome outcome);
+  void requeue_or_reject(TimePoint now, RequestState& state, Outcome outcome, bool is_finished);
   void record_failure(TimePoint now, Engine& engine, EjectionReason reason);
   void on_load_report(TimePoint now, Engine& engine, const LoadReport& load);
 
@@ -132,15 +136,15 @@
   // The periodic tick (periodic_tick.cpp)
   void on_tick(TimePoint now);
   void tick_engine(TimePoint now, Engine& engine);
-  void watch_attempts(TimePoint now, Engine& engine);
-  void rescue(TimePoint now, const Engine& engine, RequestId id, int attempt_index);
-  bool is_crowded(TimePoint now);
-  void reject_hopeless(TimePoint now);
-  void evict_late(TimePoint now);
+  void replace_overdue_attempts(TimePoint now, Engine& engine);
+  void replace_overdue_attempt(TimePoint now, const Engine& engine, RequestId id, int attempt_index);
+  bool is_queue_delayed(TimePoint now);
+  void reject_unservable(TimePoint now);
+  void evict_late_requests(TimePoint now);
 
   DecisionSink& sink_;
   std::knuth_b random_;
-  ServiceDefinition service_;  // its lists are emptied once read
+  ServiceDefinition service_;  // without the lists, which the constructor clears after use
   WorkModel work_;
   LatencyModel latency_;
   SlowStart slow_start_;
--- a/src/service/flatten.h
+++ b/src/service/flatten.h
@@ -1,5 +1,6 @@
-// Nested JSON settings as dotted names and plain values, in the form of the simulator's first message. It
-// changes shape only: no name, unit or value.
+// Converts nested JSON settings to dotted names and plain values, which is the form of the simulator's first
+// message. Only the structure changes; names, units and values stay the same, except for the characters that
+// plain_name replaces.
 #pragma once
 
 #include <deque>
@@ -10,9 +11,11 @@
 
 namespace pearchute::service {
 
-// A name as it stands in flattened values, where spaces and commas set values apart.
+// Returns the text with spaces, commas, tabs and line breaks replaced by underscores, since these characters
+// separate flattened values.
 std::string plain_name(std::string text);
 
+// The flattened settings; owns the texts that values() refers to.
 class FlatValues {
  public:
   explicit FlatValues(const nlohmann::json& settings);
@@ -22,7 +25,7 @@
   void flatten(const std::string& name, const nlohmann::json& value);
   void add(const std::string& name, std::string value);
 
-  std::deque<std::string> texts_;  // stay in place as more come
+  std::deque<std::string> texts_;  // a deque, since its elements keep their addresses
   NamedValues values_;
 };
 
--- a/src/service/named_values.cpp
+++ b/src/service/named_values.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-[[noreturn]] void reject(std::string_view name, std::string_view value, const char* wanted) {
-  throw Malformed("'" + std::string(name) + "' is '" + std::string(value) + "', not " + wanted);
+[[noreturn]] void reject(std::string_view name, std::string_view value, const char* expected) {
+  throw Malformed("'" + std::string(name) + "': expected " + expected + ", got '" + std::string(value) + "'");
 }
 
 }  // namespace
@@ -23,12 +23,12 @@
   }
 }
 
-std::int64_t whole_in(std::string_view name, std::string_view value) {
+std::int64_t parse_integer(std::string_view name, std::string_view value) {
   std::int64_t result = 0;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), result);
   if (error == std::errc{} && end == value.data() + value.size()) return result;
-  const double number = number_in(name, value);  // a whole number may be written with a point
-  if (number != std::floor(number) || std::abs(number) > 9e15) reject(name, value, "a whole number");
+  const double number = number_in(name, value);  // an integer may be written with a decimal point
+  if (number != std::floor(number) || std::abs(number) > 9e15) reject(name, value, "an integer");
   return static_cast<std::int64_t>(number);
 }
 
@@ -44,7 +44,7 @@
 void NamedValues::add_pair(std::string_view part) {
   const std::size_t equals = part.find('=');
   if (equals == std::string_view::npos || equals == 0) {
-    throw Malformed("'" + std::string(part) + "' is not name=value");
+    throw Malformed("expected name=value, got '" + std::string(part) + "'");
   }
   add(part.substr(0, equals), part.substr(equals + 1));
 }
@@ -65,11 +65,11 @@
 std::optional<std::int64_t> NamedValues::whole(std::string_view name) const {
   const auto value = text(name);
   if (!value || value->empty()) return std::nullopt;
-  return whole_in(name, *value);
+  return parse_integer(name, *value);
 }
 
 std::int64_t NamedValues::required_whole(std::string_view name) const {
-  return whole_in(name, required_text(name));
+  return parse_integer(name, required_text(name));
 }
 
 std::optional<double> NamedValues::number(std::string_view name) const {
@@ -82,7 +82,7 @@
   const auto value = text(name);
   if (!value || *value == "0" || *value == "false" || value->empty()) return false;
   if (*value == "1" || *value == "true") return true;
-  reject(name, *value, "1 or 0");
+  reject(name, *value, "1, 0, true or false");
 }
 
 std::vector<std::string> NamedValues::list(std::string_view name) const {
--- a/src/service/named_values.h
+++ b/src/service/named_values.h
@@ -1,5 +1,5 @@
-// Values by dotted names, as the settings and the simulator's messages hold them, and their typed look-up. It
-// owns no text: what it is given has to outlive it. It knows nothing of what a name means.
+// Values with dotted names, as in the settings and in the simulator's messages, and their typed look-up.
+// NamedValues does not copy texts: names and values must outlive it.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,32 @@
 
 namespace pearchute::service {
 
-// Says what is wrong with a value, in plain words; the caller adds where it stands.
+// A value is missing or unusable. The message names it and the expected values; the caller adds the location.
 using Malformed = MessageError;
 
+// Splits the text at each `by`; returns at least one part, and empty ones, too.
 std::vector<std::string_view> split(std::string_view text, char by);
-std::int64_t whole_in(std::string_view name, std::string_view value);
+// Parse a value; throw Malformed with `name` unless it is an integer (3.0 is accepted, too), or a finite
+// number.
+std::int64_t parse_integer(std::string_view name, std::string_view value);
 double number_in(std::string_view name, std::string_view value);
 
+// A list of name=value pairs. Look-ups return the first pair of the name, and throw Malformed for an unusable
+// value. Optional numbers are none where the name is absent or its value is empty.
 class NamedValues {
  public:
   void clear() { pairs_.clear(); }
   void add(std::string_view name, std::string_view value) { pairs_.emplace_back(name, value); }
-  void add_pair(std::string_view part);  // name=value
+  // Adds a pair that is written as name=value; throws Malformed for anything else.
+  void add_pair(std::string_view part);
+  // The required_ look-ups throw Malformed if the name is absent.
   std::optional<std::string_view> text(std::string_view name) const;
   std::string_view required_text(std::string_view name) const;
   std::optional<std::int64_t> whole(std::string_view name) const;
   std::int64_t required_whole(std::string_view name) const;
   std::optional<double> number(std::string_view name) const;
-  bool flag(std::string_view name) const;                      // false where absent
-  std::vector<std::string> list(std::string_view name) const;  // items set apart by commas
+  bool flag(std::string_view name) const;                      // false if absent or empty
+  std::vector<std::string> list(std::string_view name) const;  // comma-separated; empty if absent
 
  private:
   std::vector<std::pair<std::string_view, std::string_view>> pairs_;
--- a/tests/decision_calls.h
+++ b/tests/decision_calls.h
@@ -1,5 +1,6 @@
-// The one place where the characterization tests touch the C++ interface of the decisions. It has to follow a
-// rename of that interface; the text that it writes has names of its own, which never change.
+// The only code of the characterization tests that uses the C++ interface of the decisions. It must follow
+// renames of that interface. The names in the text that it writes are independent of the interface and never
+// change.
 #pragma once
 
 #include <memory>
@@ -54,7 +55,7 @@
   return "?";
 }
 
-// How an attempt ended, by position in the decisions' own list of outcomes.
+// The outcome of an attempt, in the order of Outcome.
 enum class End { done, error, full, timed_out, unreachable, reset, stopped, never_sent };
 
 inline Outcome outcome_of(End end) {
@@ -83,12 +84,14 @@
   return rule ? std::string(rule_names[static_cast<std::size_t>(*rule)]) : std::string("-");
 }
 
+// An endpoint, as the tests describe it.
 struct EngineFacts {
   int id = 0, zone = 0, kind = 0, cell = 0;
-  int mode = 0;                  // 0: up, 1: draining, 2: gone
-  Microseconds started_at = -1;  // -1: not told
+  int mode = 0;                  // 0: up, 1: draining, 2: removed
+  Microseconds started_at = -1;  // -1: unknown
 };
 
+// A request, as the tests describe it.
 struct RequestFacts {
   std::uint64_t id = 0;
   int request_class = 0, tenant = -1;
@@ -115,7 +118,7 @@
   return all;
 }
 
-// 0: changes, 1: the whole list, 2: a remembered list.
+// 0: delta, 1: snapshot, 2: cached snapshot.
 inline EndpointUpdate news_of(int mode) {
   return mode == 0 ? EndpointUpdate::delta : mode == 1 ? EndpointUpdate::snapshot : EndpointUpdate::cached;
 }
@@ -126,7 +129,8 @@
   return service::decode(values).service;
 }
 
-// What the manager under test does, as canonical text and as calls for whoever plays the world.
+// Receives the actions of the manager under test, as canonical text and as calls to the simulated
+// environment.
 struct WorldCalls {
   virtual ~WorldCalls() = default;
   virtual void act(const std::string& line) = 0;
@@ -136,6 +140,7 @@
   virtual void wake_later(Microseconds delay, std::uint64_t mark) = 0;
 };
 
+// A WorkloadManager whose actions go to a WorldCalls.
 class ManagerUnderTest final : private DecisionSink {
  public:
   ManagerUnderTest(const Settings& settings, std::uint64_t seed, WorldCalls& world)
@@ -146,17 +151,17 @@
   }
   void on_endpoints_refused(Microseconds now) { manager_.on_endpoints_refused(at(now)); }
   void request(Microseconds now, const RequestFacts& facts) {
-    Request job;
-    job.id = RequestId{facts.id};
-    job.type = RequestTypeId{facts.request_class};
-    job.tenant = TenantId{facts.tenant};
-    if (facts.key > 0) job.key = OrderKey{facts.key};
-    job.arrival_order_known = facts.arrival_order_known;
-    job.time_left = Duration(facts.time_left);
-    if (facts.work_ms > 0) job.work_ms = facts.work_ms;
-    if (facts.memory_mb > 0) job.memory_mb = facts.memory_mb;
-    job.data_set = DataSetId{facts.data_set};
-    manager_.on_request(at(now), job);
+    Request request;
+    request.id = RequestId{facts.id};
+    request.type = RequestTypeId{facts.request_class};
+    request.tenant = TenantId{facts.tenant};
+    if (facts.key > 0) request.key = OrderKey{facts.key};
+    request.arrival_order_known = facts.arrival_order_known;
+    request.time_left = Duration(facts.time_left);
+    if (facts.work_ms > 0) request.work_ms = facts.work_ms;
+    if (facts.memory_mb > 0) request.memory_mb = facts.memory_mb;
+    request.data_set = DataSetId{facts.data_set};
+    manager_.on_request(at(now), request);
   }
   void withdrawn(Microseconds now, std::uint64_t id) {
     manager_.on_request_cancelled(at(now), RequestId{id});
@@ -194,13 +199,13 @@
   void on_wakeup(Microseconds now, std::uint64_t mark) { manager_.on_wakeup(at(now), mark); }
   void closing(Microseconds now) { manager_.closing(at(now)); }
 
-  // What it believes, as text.
+  // The estimates of the manager as text.
   std::string beliefs(Microseconds now) const {
     std::string text;
-    manager_.tell_engines(at(now), [&](const auto& engine, const auto& belief) {
+    manager_.tell_engines(at(now), [&](const auto& engine, const auto& estimate) {
       char line[160];
       std::snprintf(line, sizeof line, "engine %u slots %.17g capacity %.17g cold %d\n", engine.id().value,
-                    belief.slots, belief.capacity_mb, belief.is_cold ? 1 : 0);
+                    estimate.slots, estimate.capacity_mb, estimate.is_cold ? 1 : 0);
       text += line;
     });
     char line[120];
@@ -225,48 +230,48 @@
   }
 
  private:
-  void dispatch(RequestId job, EngineId engine, Duration time_limit) override {
-    world_.act("transmit " + std::to_string(job.value) + " " + std::to_string(engine.value) + " " +
+  void dispatch(RequestId request, EngineId engine, Duration time_limit) override {
+    world_.act("transmit " + std::to_string(request.value) + " " + std::to_string(engine.value) + " " +
                std::to_string(time_limit.count()));
-    world_.attempt_begins(job.value, static_cast<int>(engine.value));
+    world_.attempt_begins(request.value, static_cast<int>(engine.value));
   }
-  void set_execution_terms(RequestId job, double grant_mb, int priority) override {
+  void set_execution_terms(RequestId request, double grant_mb, int priority) override {
     char line[120];
-    std::snprintf(line, sizeof line, "terms %llu %.17g %d", static_cast<unsigned long long>(job.value),
+    std::snprintf(line, sizeof line, "terms %llu %.17g %d", static_cast<unsigned long long>(request.value),
                   grant_mb, priority);
     world_.act(line);
   }
-  void limit_send_delay(RequestId job, Duration span) override {
-    world_.act("leave_within " + std::to_string(job.value) + " " + std::to_string(span.count()));
+  void limit_send_delay(RequestId request, Duration delay) override {
+    world_.act("leave_within " + std::to_string(request.value) + " " + std::to_string(delay.count()));
   }
-  void cancel_attempt(RequestId job, int number) override {
-    world_.act("stop " + std::to_string(job.value) + " " + std::to_string(number));
-    world_.attempt_stops(job.value, number);
+  void cancel_attempt(RequestId request, int attempt_index) override {
+    world_.act("stop " + std::to_string(request.value) + " " + std::to_string(attempt_index));
+    world_.attempt_stops(request.value, attempt_index);
   }
-  void on_rejection(RequestId job, RejectionReason reason) override {
-    world_.act("giving_up " + std::to_string(job.value) + " " + text_of(reason));
+  void on_rejection(RequestId request, RejectionReason reason) override {
+    world_.act("giving_up " + std::to_string(request.value) + " " + text_of(reason));
   }
-  void throttle(RequestId job, Duration come_back_in) override {
-    world_.act("reject " + std::to_string(job.value) + " " + std::to_string(come_back_in.count()));
-    world_.request_ends(job.value);
+  void throttle(RequestId request, Duration retry_after) override {
+    world_.act("reject " + std::to_string(request.value) + " " + std::to_string(retry_after.count()));
+    world_.request_ends(request.value);
   }
-  void fail(RequestId job) override {
-    world_.act("fail " + std::to_string(job.value));
-    world_.request_ends(job.value);
+  void fail(RequestId request) override {
+    world_.act("fail " + std::to_string(request.value));
+    world_.request_ends(request.value);
   }
-  void schedule_wakeup(Duration span, std::uint64_t mark) override {
-    world_.act("wake " + std::to_string(span.count()) + " " + std::to_string(mark));
-    world_.wake_later(span.count(), mark);
+  void schedule_wakeup(Duration delay, std::uint64_t token) override {
+    world_.act("wake " + std::to_string(delay.count()) + " " + std::to_string(token));
+    world_.wake_later(delay.count(), token);
   }
   void probe(EngineId engine) override { world_.act("probe " + std::to_string(engine.value)); }
   void subscribe_endpoints() override { world_.act("track"); }
   void trace_event(std::string_view text) override { world_.act("remark " + std::string(text)); }
 
   WorldCalls& world_;
-  WorkloadManager manager_;  // last: it acts as it is made
+  WorkloadManager manager_;  // last member, since its constructor already calls the sink
 };
 
-// The rules that are checked at the sockets, and the records that they go by.
+// The rule guard, and separate instances of the records that it uses.
 class RulesUnderTest {
  public:
   explicit RulesUnderTest(const Settings& settings)
@@ -287,7 +292,8 @@
     if (key > 0) order_.on_request(RequestId{id}, OrderKey{key});
     budget_.on_request(at(now));
   }
-  // What forbids the attempt, if anything, by each of the records in turn.
+  // What forbids the attempt, if anything: by the guard without and with the attempt, then by each kind of
+  // records.
   std::string forbids(Microseconds now, std::uint64_t id, int engine, double work_ms, double largest_ms,
                       Microseconds end, bool answered, bool client_is_there, int mode, Microseconds told) {
     SendingFacts facts;
@@ -313,7 +319,7 @@
     guard_.on_attempt_left(at(now), attempt(id, engine, work_ms, largest_ms));
     order_.on_attempt_left(RequestId{id});
     slow_start_records_.on_attempt_left(at(now), EngineId{static_cast<std::uint32_t>(engine)}, work_ms);
-    if (is_further) budget_.on_retry_left(at(now));
+    if (is_further) budget_.on_retry_sent(at(now));
   }
   void taken_back(std::uint64_t id) {
     guard_.on_attempt_retracted(RequestId{id});
@@ -385,6 +391,7 @@
   RetryBudgetRecords budget_;
 };
 
+// An ArrivalOrder with its results as text.
 class ArrivalsUnderTest {
  public:
   void came(std::uint64_t id, std::uint64_t key, Microseconds earliest, Microseconds latest,
--- a/tests/test_drill.cpp
+++ b/tests/test_drill.cpp
@@ -59,7 +59,7 @@
     std::string input, words;
   };
   const Case cases[] = {
-      {"MARK\tsimTime=x\n", "line 1: 'simTime' is 'x', not a number"},
+      {"MARK\tsimTime=x\n", "line 1: 'simTime': expected a number, got 'x'"},
       {"HELLO\n", "outside a batch"},
       {"MARK\tsimTime=1\nAT\tmanager=0\nWAKE\tmark=1\nEND\n", "line 3: manager 0 has not been launched"},
       {"MARK\tsimTime=1\nWAKE\tmark=1\n", "before any AT"},
@@ -71,10 +71,10 @@
       {"MARK\tsimTime=1\nAT\tmanager=0\n" + launch + "MEMBERSHIP\tmode=all\tbank=7\n",
        "list 7 has not been given"},
       {"MARK\tsimTime=1\nAT\tmanager=0\n" + launch + "ANSWER\thandle=1\tcopy=0\tstateCode=ODD\n",
-       "not known"},
+       "'stateCode': expected one of "},
       {"MARK\tsimTime=1\nPOOL\tbank=0\trows=2\nENTRY\tengine=1\n", "ended within a POOL"},
       {"MARK\tsimTime=9\nEND\nMARK\tsimTime=8\nEND\n", "clock goes back"},
-      {"MARK\tsimTime=9\nAT\tmanager=0\tstray\n", "not name=value"},
+      {"MARK\tsimTime=9\nAT\tmanager=0\tstray\n", "expected name=value, got 'stray'"},
   };
   for (const Case& c : cases) {
     std::string said;
--- a/tests/test_health.cpp
+++ b/tests/test_health.cpp
@@ -1,63 +1,65 @@
-// What is done about engines that err, fall silent, reset or come back, and about dispatches gone wrong.
-#include "bench.h"
+// Outlier detection, overdue attempts, restarts of attempts, and other reactions to faults of engines.
+#include "manager_fixture.h"
 
 using namespace pearchute;
 
-// How many of 40 short jobs engine 1 gets after it has ended twelve in this way.
-void engines_in_trouble() {
+// After twelve attempts at engine 1 with the same outcome: whether it still gets its share of 40 short
+// requests.
+void engines_with_faults() {
   struct Case {
     Outcome outcome;
-    bool avoided;
+    bool is_avoided;
   };
   const Case cases[] = {{Outcome::succeeded, false},
                         {Outcome::engine_error, true},
                         {Outcome::connection_reset, true},
                         {Outcome::unreachable, true}};
   for (const Case& c : cases) {
-    Bench bench;
+    ManagerFixture fixture;
     int id = 0;
-    for (int seen = 0; seen < 12 && id < 300;) {
-      bench.take(++id, 0, 80);
-      const bool first = bench.engine_of(id) == 1;
-      seen += first;
-      bench.end(id, first ? c.outcome : Outcome::succeeded, ms(60));
-      if (first && c.outcome != Outcome::succeeded && bench.dispatches(id) > 1)
-        bench.end(id, Outcome::succeeded, ms(60));
+    for (int ended_at_first = 0; ended_at_first < 12 && id < 300;) {
+      fixture.add_request(++id, 0, 80);
+      const bool first = fixture.last_engine(id) == 1;
+      ended_at_first += first;
+      fixture.end_attempt(id, first ? c.outcome : Outcome::succeeded, ms(60));
+      if (first && c.outcome != Outcome::succeeded && fixture.attempt_count(id) > 1)
+        fixture.end_attempt(id, Outcome::succeeded, ms(60));
     }
-    const std::size_t before = bench.host.sent.size();
-    for (int i = 0; i < 40; ++i) bench.take(++id, 0, 80);
+    const std::size_t before = fixture.sink.sent.size();
+    for (int i = 0; i < 40; ++i) fixture.add_request(++id, 0, 80);
     int first = 0;
-    for (std::size_t k = before; k < bench.host.sent.size(); ++k)
-      first += bench.host.sent[k].engine.value == 1;
-    assert(c.avoided ? first <= 1 : first >= 6);
+    for (std::size_t k = before; k < fixture.sink.sent.size(); ++k)
+      first += fixture.sink.sent[k].engine.value == 1;
+    assert(c.is_avoided ? first <= 1 : first >= 6);
   }
 }
 
-// Whatever all engines do alike, most of them stay open.
-void never_all_closed() {
+// When all engines fail alike, at most a third of them, or one engine, are ejected.
+void limited_ejections() {
   for (const int engines : {1, 2, 6}) {
-    Bench bench(small_service(), engines);
+    ManagerFixture fixture(small_service(), engines);
     std::map<int, int> ended;
     for (int id = 1; id <= 200; ++id) {
-      bench.take(id, 0, 80);
-      while (bench.answers(id) == 0 && bench.dispatches(id) > ended[id])
-        bench.end(id, Outcome::engine_error, ms(30), ended[id]++);
+      fixture.add_request(id, 0, 80);
+      while (fixture.final_answers(id) == 0 && fixture.attempt_count(id) > ended[id])
+        fixture.end_attempt(id, Outcome::engine_error, ms(30), ended[id]++);
     }
     std::map<std::uint32_t, int> used;
-    const std::size_t before = bench.host.sent.size();
-    for (int id = 201; id <= 260; ++id) bench.take(id, 0, 80);
-    for (std::size_t k = before; k < bench.host.sent.size(); ++k) used[bench.host.sent[k].engine.value] += 1;
+    const std::size_t before = fixture.sink.sent.size();
+    for (int id = 201; id <= 260; ++id) fixture.add_request(id, 0, 80);
+    for (std::size_t k = before; k < fixture.sink.sent.size(); ++k)
+      used[fixture.sink.sent[k].engine.value] += 1;
     assert(static_cast<int>(used.size()) >= engines - std::max(1, engines / 3));
   }
 }
 
-// An engine that takes work and answers nothing: what may run again goes elsewhere, in the way the service
-// allows.
-void silence() {
+// An engine accepts attempts and does not answer: requests that may be retried are hedged or cancelled, as
+// the service allows.
+void silent_engine() {
   struct Case {
     bool allows_hedging, allows_cancel;
     Idempotency idempotency;
-    bool copied, stopped;
+    bool is_hedged, is_cancelled;
   };
   const Case cases[] = {{true, false, Idempotency::idempotent, true, false},
                         {false, true, Idempotency::idempotent, false, true},
@@ -69,21 +71,22 @@
     ServiceDefinition service = small_service();
     service.allows_hedging = c.allows_hedging, service.allows_cancel = c.allows_cancel;
     service.types[1].idempotency = c.idempotency;
-    Bench bench(service);
-    bench.take(1, 1, 1000);
-    bench.pass(seconds(8));
-    assert((bench.dispatches(1) > 1) == c.copied);
-    assert((bench.host.stopped.size() > 0) == c.stopped);
-    if (c.copied) assert(bench.host.sent[0].engine != bench.host.sent[1].engine);
+    ManagerFixture fixture(service);
+    fixture.add_request(1, 1, 1000);
+    fixture.advance(seconds(8));
+    assert((fixture.attempt_count(1) > 1) == c.is_hedged);
+    assert((fixture.sink.cancelled_attempts.size() > 0) == c.is_cancelled);
+    if (c.is_hedged) assert(fixture.sink.sent[0].engine != fixture.sink.sent[1].engine);
   }
 }
 
-// A dispatch whose notes show a bad plan is started again; one that is merely slow is left.
-void bad_plans() {
+// An attempt whose progress reports show a far too long execution is cancelled for a retry; one that is
+// merely slow continues.
+void restart_of_slow_attempts() {
   struct Case {
     double share_done;
     Idempotency idempotency;
-    bool stopped;
+    bool is_cancelled;
   };
   const Case cases[] = {{0.02, Idempotency::idempotent, true},
                         {0.5, Idempotency::idempotent, false},
@@ -93,50 +96,51 @@
     ServiceDefinition service = small_service();
     service.allows_cancel = true, service.progress_interval = seconds(1);
     service.types[1].idempotency = c.idempotency;
-    Bench bench(service);
-    bench.take(1, 1, 2000);
-    bench.now += seconds(1);
-    bench.manager.on_progress(bench.now, RequestId{1}, 0, c.share_done);
-    assert((bench.host.stopped.size() == 1) == c.stopped);
+    ManagerFixture fixture(service);
+    fixture.add_request(1, 1, 2000);
+    fixture.now += seconds(1);
+    fixture.manager.on_progress(fixture.now, RequestId{1}, 0, c.share_done);
+    assert((fixture.sink.cancelled_attempts.size() == 1) == c.is_cancelled);
   }
 }
 
-// A refused list is asked for again, later each time.
-void on_endpoints_refused() {
+// A refused subscription to the endpoint list is repeated after a delay.
+void refused_subscription() {
   ServiceDefinition service = small_service();
-  service.endpoints_on_request = true;
-  service.poll_within = seconds(10);
-  Bench bench(service, 0);
-  assert(bench.host.subscriptions == 1);
+  service.requires_subscription = true;
+  service.max_poll_interval = seconds(10);
+  ManagerFixture fixture(service, 0);
+  assert(fixture.sink.subscriptions == 1);
   for (int i = 2; i <= 5; ++i) {
-    bench.manager.on_endpoints_refused(bench.now);
-    assert(bench.host.subscriptions == i - 1);
-    bench.pass(seconds(4));
-    assert(bench.host.subscriptions == i);
+    fixture.manager.on_endpoints_refused(fixture.now);
+    assert(fixture.sink.subscriptions == i - 1);
+    fixture.advance(seconds(4));
+    assert(fixture.sink.subscriptions == i);
   }
 }
 
-// An answer that is lost while its engine answers others: found by itself, and no storm of such rescues.
-void lost_answers() {
+// An answer is lost while its engine answers other requests: that attempt is replaced, and no other one.
+void lost_answer() {
   ServiceDefinition service = small_service();
   service.allows_cancel = true;
-  Bench lossy(service, 1);
-  lossy.take(1, 1, 500);
+  ManagerFixture lossy(service, 1);
+  lossy.add_request(1, 1, 500);
   for (int id = 2; id <= 80; ++id) {
-    lossy.take(id, 0, 80);
-    lossy.pass(ms(100));
-    if (lossy.dispatches(id)) lossy.end(id, Outcome::succeeded, ms(80));
+    lossy.add_request(id, 0, 80);
+    lossy.advance(ms(100));
+    if (lossy.attempt_count(id)) lossy.end_attempt(id, Outcome::succeeded, ms(80));
   }
-  assert(lossy.host.stopped.size() == 1 && lossy.host.stopped[0].first.value == 1);
+  assert(lossy.sink.cancelled_attempts.size() == 1 && lossy.sink.cancelled_attempts[0].first.value == 1);
 }
 
-// What errs wherever it goes is the job's fault, what errs on one engine alone that engine's; a part of
-// resets may be the network's, many are the engine's. Few errors don't put an engine on trial.
-void whose_fault() {
+// Errors of a request at several engines are attributed to the request, errors at one engine alone to that
+// engine. Few connection resets are attributed to the network, many to the engine. Few errors do not eject an
+// engine.
+void attribution_of_errors() {
   struct Case {
     Outcome outcome;
-    int one_in;  // of its dispatches on engine 1
-    bool done_elsewhere, avoided;
+    int error_interval;  // one in so many attempts at engine 1 fails
+    bool succeeds_elsewhere, is_avoided;
   };
   const Case cases[] = {
       {Outcome::engine_error, 1, true, true},      {Outcome::engine_error, 1, false, false},
@@ -144,61 +148,65 @@
       {Outcome::connection_reset, 4, true, false}, {Outcome::engine_error, 2, true, true},
       {Outcome::engine_error, 5, true, false}};
   for (const Case& c : cases) {
-    Bench bench;
-    int seen = 0;
+    ManagerFixture fixture;
+    int ended_at_first = 0;
     for (int id = 1; id <= 60; ++id) {
-      bench.take(id, 0, 80);
-      for (int ended = 0; ended < bench.dispatches(id); ++ended) {
-        const bool good = c.done_elsewhere && (bench.engine_of(id) != 1 || seen++ % c.one_in != 0);
-        bench.end(id, good ? Outcome::succeeded : c.outcome, ms(60));
+      fixture.add_request(id, 0, 80);
+      for (int ended = 0; ended < fixture.attempt_count(id); ++ended) {
+        const bool succeeds = c.succeeds_elsewhere &&
+                              (fixture.last_engine(id) != 1 || ended_at_first++ % c.error_interval != 0);
+        fixture.end_attempt(id, succeeds ? Outcome::succeeded : c.outcome, ms(60));
       }
     }
     std::map<int, int> used;
-    for (int id = 101; id <= 130; ++id) bench.take(id, 0, 80), used[bench.engine_of(id)] += 1;
-    for (int engine = 1; engine <= 3; ++engine) assert((used[engine] > 1) == (engine != 1 || !c.avoided));
+    for (int id = 101; id <= 130; ++id) fixture.add_request(id, 0, 80), used[fixture.last_engine(id)] += 1;
+    for (int engine = 1; engine <= 3; ++engine) assert((used[engine] > 1) == (engine != 1 || !c.is_avoided));
   }
 }
 
-// A judgement of slowness ends with its cause: after a while of rest a long job is taken on again.
-void judgement_fades() {
-  for (const bool rested : {false, true}) {
-    Bench bench(small_service(), 1);
+// The learned latency of a slow engine decays while it is idle, so that a long request is admitted again.
+void latency_decays() {
+  for (const bool was_idle : {false, true}) {
+    ManagerFixture fixture(small_service(), 1);
     for (int id = 1; id <= 30; ++id) {
-      bench.take(id, 1, 1000);
-      if (bench.dispatches(id)) bench.end(id, Outcome::succeeded, id < 15 ? ms(500) : ms(6000));
+      fixture.add_request(id, 1, 1000);
+      if (fixture.attempt_count(id))
+        fixture.end_attempt(id, Outcome::succeeded, id < 15 ? ms(500) : ms(6000));
     }
-    bench.pass(rested ? seconds(30) : ms(200));
-    bench.take(100, 1, 14000);
-    assert((bench.dispatches(100) == 1) == rested);
+    fixture.advance(was_idle ? seconds(30) : ms(200));
+    fixture.add_request(100, 1, 14000);
+    assert((fixture.attempt_count(100) == 1) == was_idle);
   }
 }
 
-// One late dispatch is no silence yet; two are, on an engine that has said nothing since.
-void silence_needs_two() {
-  for (const int late : {1, 2}) {
-    Bench bench;
-    for (int id = 1; id <= 6; ++id) bench.take(id, 1, 1000);
-    int left = late;
+// One overdue attempt does not eject an engine as silent; two do if it has not responded since they were
+// sent.
+void silence_needs_two_attempts() {
+  for (const int overdue : {1, 2}) {
+    ManagerFixture fixture;
+    for (int id = 1; id <= 6; ++id) fixture.add_request(id, 1, 1000);
+    int left = overdue;
     for (int id = 1; id <= 6; ++id) {
-      if (bench.engine_of(id) != bench.engine_of(1) || left-- <= 0)
-        bench.end(id, Outcome::succeeded, ms(500));
+      if (fixture.last_engine(id) != fixture.last_engine(1) || left-- <= 0)
+        fixture.end_attempt(id, Outcome::succeeded, ms(500));
     }
-    bench.pass(seconds(4));
+    fixture.advance(seconds(4));
     int used = 0;
     for (int id = 100; id < 130; ++id)
-      bench.take(id, 0, 80), used += bench.engine_of(id) == bench.engine_of(1);
-    assert((used <= 1) == (late == 2));
+      fixture.add_request(id, 0, 80), used += fixture.last_engine(id) == fixture.last_engine(1);
+    assert((used <= 1) == (overdue == 2));
   }
 }
 
-// A job told to stand behind another manager's load moves on at once, while it may, and its like stay away.
-void behind_a_load() {
+// A request that waits for another manager's data load is moved to another engine at once if it may be, and
+// further requests on that data set avoid the engine.
+void wait_for_data_load() {
   struct Case {
     bool allows_cancel;
     Idempotency idempotency;
-    int dispatches;  // most of a job
+    int max_attempts;
     int engines;
-    bool moves;
+    bool is_moved;
   };
   const Case cases[] = {{true, Idempotency::idempotent, 3, 3, true},
                         {true, Idempotency::idempotent, 1, 3, false},
@@ -207,32 +215,33 @@
                         {false, Idempotency::idempotent, 3, 3, false}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.allows_cancel = c.allows_cancel, service.max_attempts = c.dispatches;
+    service.allows_cancel = c.allows_cancel, service.max_attempts = c.max_attempts;
     service.types[0].waits_for_data_load = true, service.types[0].idempotency = c.idempotency;
     service.types[1].loads_data_set = true;
-    Bench bench(service, c.engines);
-    bench.take(5, 1, 2000);  // tells how long loads usually are
-    bench.end(5, Outcome::succeeded, ms(1000));
-    bench.take(10, 0, 80);
-    const int held_there = bench.engine_of(10);
-    bench.manager.on_engine_wait(bench.now, RequestId{10}, 0, WaitCause::data_load);
-    assert((bench.host.stopped.size() == 1) == c.moves);
-    if (!c.moves) continue;
-    bench.end(10, Outcome::cancelled);
-    assert(bench.dispatches(10) == 2 && bench.engine_of(10) != held_there);
+    ManagerFixture fixture(service, c.engines);
+    fixture.add_request(5, 1, 2000);  // shows the typical duration of a load
+    fixture.end_attempt(5, Outcome::succeeded, ms(1000));
+    fixture.add_request(10, 0, 80);
+    const int loading_engine = fixture.last_engine(10);
+    fixture.manager.on_engine_wait(fixture.now, RequestId{10}, 0, WaitCause::data_load);
+    assert((fixture.sink.cancelled_attempts.size() == 1) == c.is_moved);
+    if (!c.is_moved) continue;
+    fixture.end_attempt(10, Outcome::cancelled);
+    assert(fixture.attempt_count(10) == 2 && fixture.last_engine(10) != loading_engine);
     for (int id = 15; id <= 25; id += 5) {  // the same data set
-      bench.take(id, 0, 80);
-      assert(bench.engine_of(id) != held_there);
+      fixture.add_request(id, 0, 80);
+      assert(fixture.last_engine(id) != loading_engine);
     }
   }
 }
 
-// Near the most jobs that may be open at once, what stands still or is late makes room, and only then.
-void places_run_short() {
+// Near the limit of open requests, and only there, requests that wait for a data load or are past their
+// latency objective are evicted.
+void evictions() {
   struct Case {
     std::int64_t max_open_requests;
     int others;
-    bool told_to_wait, gives_up;
+    bool waits_for_load, is_evicted;
   };
   const Case cases[] = {{10, 10, true, true},  {10, 3, true, false},  {0, 10, true, false},
                         {10, 10, false, true}, {10, 3, false, false}, {0, 10, false, false}};
@@ -240,18 +249,19 @@
     ServiceDefinition service = small_service();
     service.allows_cancel = true, service.max_open_requests = c.max_open_requests;
     service.types[0].waits_for_data_load = true, service.types[1].loads_data_set = true;
-    Bench bench(service, 1);
-    bench.take(5, 0, 80);
-    for (int id = 101; id < 101 + c.others; ++id) bench.take(id, 1, 2000, std::nullopt, 50);
-    if (c.told_to_wait) bench.manager.on_engine_wait(bench.now, RequestId{5}, 0, WaitCause::data_load);
-    else bench.pass(ms(700));  // its SLA time is 460 ms, its patience two seconds
-    assert(bench.throttled(5) == c.gives_up);
+    ManagerFixture fixture(service, 1);
+    fixture.add_request(5, 0, 80);
+    for (int id = 101; id < 101 + c.others; ++id) fixture.add_request(id, 1, 2000, std::nullopt, 50);
+    if (c.waits_for_load) fixture.manager.on_engine_wait(fixture.now, RequestId{5}, 0, WaitCause::data_load);
+    else fixture.advance(ms(700));  // its latency objective is 460 ms, its timeout two seconds
+    assert(fixture.is_throttled(5) == c.is_evicted);
   }
 }
 
 int main() {
-  behind_a_load();
-  places_run_short();
-  lost_answers(), whose_fault(), judgement_fades(), silence_needs_two();
-  engines_in_trouble(), never_all_closed(), silence(), bad_plans(), on_endpoints_refused();
+  wait_for_data_load();
+  evictions();
+  lost_answer(), attribution_of_errors(), latency_decays(), silence_needs_two_attempts();
+  engines_with_faults(), limited_ejections(), silent_engine(), restart_of_slow_attempts(),
+      refused_subscription();
 }
--- a/tests/test_rule_guard.cpp
+++ b/tests/test_rule_guard.cpp
@@ -1,5 +1,5 @@
-// The guard of the rules by table, and what it is told: when a client's bytes came, and when an engine
-// started.
+// The rule guard, and the records that its checks depend on: the arrival times of clients' bytes, the start
+// times of engines, and the arrival order of requests.
 #include <cassert>
 #include <chrono>
 #include <cstdio>
@@ -48,7 +48,7 @@
   const Case cases[] = {
       {{now, Idempotency::non_idempotent, {}, 0, 3, 0, false, {}}, std::nullopt},
       {{now, Idempotency::non_idempotent, {}, 1, 3, 0, false, {}},
-       std::nullopt},  // the one before surely never ran
+       std::nullopt},  // the earlier attempt certainly did not execute
       {{now, Idempotency::non_idempotent, {}, 1, 3, 0, false, late}, Rule::runs_once},
       {{now, Idempotency::non_idempotent, {}, 1, 3, 1, true, {}}, Rule::one_attempt_out},
       {{now, Idempotency::idempotent_by_key, window, 1, 3, 0, false, late}, std::nullopt},
@@ -58,13 +58,13 @@
       {{now, Idempotency::idempotent, {}, 1, 3, 1, false, late}, Rule::one_attempt_out},
       {{now, Idempotency::idempotent, {}, 3, 3, 0, true, {}}, Rule::attempts_are_few},
   };
-  std::uint64_t broken = 0;
+  std::uint64_t violations = 0;
   RuleGuard guard;
   for (const Case& one : cases) {
     assert(guard.forbids_repeating(one.facts) == one.rule);
-    broken += one.rule.has_value();
-    assert(guard.broken_in_all() ==
-           broken);  // a decision that breaks a rule is a fault, though it is held back
+    violations += one.rule.has_value();
+    // A decision that breaks a rule counts as a violation, although the attempt is suppressed.
+    assert(guard.broken_in_all() == violations);
   }
 }
 
@@ -80,7 +80,7 @@
   assert(guard.broken(Rule::answer_in_time) == 1);
   guard.on_answering({at(seconds(1)), at(seconds(1)), true});
   assert(guard.broken(Rule::one_answer) == 1 && guard.broken_in_all() == 3);
-  // What can wait is held back where a request is open or may lie unread.
+  // A close that can be postponed is suppressed while a request is open or may be among unread bytes.
   assert(!guard.forbids_closing({false, false, false}) && !guard.forbids_closing({true, true, true}));
   assert(guard.forbids_closing({false, false, true}) == Rule::no_silent_close);
   assert(guard.forbids_closing({true, false, false}) == Rule::no_silent_close);
@@ -90,9 +90,9 @@
 
 void arrivals() {
   ArrivalTimes times;
-  assert(times.of(10, at(seconds(9))) == at(seconds(9)));  // nothing is known
+  assert(times.of(10, at(seconds(9))) == at(seconds(9)));  // no arrival is recorded
   times.came(100, at(seconds(1)));
-  times.came(150, at(milliseconds(1005)));  // together with the first
+  times.came(150, at(milliseconds(1005)));  // close enough to count as arrived with the first
   times.came(300, at(seconds(2)));
   assert(times.of(120, {}) == at(seconds(1)));
   assert(times.of(150, {}) == at(seconds(1)));
@@ -105,36 +105,40 @@
     return std::chrono::duration_cast<milliseconds>(seconds(1000) + span);
   };
   const EngineId one{1}, other{2}, third{3};
-  StartTimes right(unix_time(seconds(0)));
-  right.heard(TimePoint(seconds(0)), true), right.heard(TimePoint(seconds(10)), true),
-      right.heard(TimePoint(seconds(11)), true);
-  assert(right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
-  // Older than the list can have left out: this machine's clock is taken to be ahead.
-  assert(right.start_of(other, unix_time(seconds(-600))) == TimePoint(seconds(11)));
-  right.forget(one);  // and it comes back
-  assert(right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
-  // What began while the list could not be heard is as old as it says.
-  right.heard(TimePoint(seconds(40)), false), right.heard(TimePoint(seconds(40)), false);
-  assert(right.start_of(third, unix_time(seconds(20))) == TimePoint(seconds(20)));
-  // Nor is the first list's word doubted.
+  StartTimes clock_is_right(unix_time(seconds(0)));
+  clock_is_right.heard(TimePoint(seconds(0)), true), clock_is_right.heard(TimePoint(seconds(10)), true),
+      clock_is_right.heard(TimePoint(seconds(11)), true);
+  assert(clock_is_right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
+  // The list could not have omitted an engine of this age, so this machine's clock is assumed to be ahead.
+  assert(clock_is_right.start_of(other, unix_time(seconds(-600))) == TimePoint(seconds(11)));
+  clock_is_right.forget(one);  // and the engine is listed again
+  assert(clock_is_right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
+  // The start time of an engine that started while the list was not current is accepted.
+  clock_is_right.heard(TimePoint(seconds(40)), false), clock_is_right.heard(TimePoint(seconds(40)), false);
+  assert(clock_is_right.start_of(third, unix_time(seconds(20))) == TimePoint(seconds(20)));
+  // The start times in the first list are accepted, too.
   StartTimes without_list(unix_time(seconds(0)));
   without_list.heard(TimePoint(seconds(0)), false), without_list.heard(TimePoint(seconds(30)), false);
   assert(without_list.start_of(one, unix_time(seconds(-600))) == TimePoint(seconds(-600)));
-  StartTimes behind(unix_time(seconds(-3600)));
-  behind.heard(TimePoint(seconds(0)), false);
-  assert(behind.start_of(one, unix_time(seconds(-60))) == TimePoint(seconds(0)));  // none lies ahead
-  assert(behind.start_of(other, unix_time(seconds(-70))) == TimePoint(seconds(-10)));
-  assert(behind.start_of(one, unix_time(seconds(-60))) == TimePoint(seconds(0)));  // told again, the same
-  StartTimes ahead(unix_time(seconds(3600)));
-  ahead.heard(TimePoint(seconds(0)), true), ahead.heard(TimePoint(seconds(10)), true);
-  assert(ahead.start_of(third, unix_time(seconds(10))) == TimePoint(seconds(10)));
-  StartTimes skewed(unix_time(milliseconds(-500)));
-  skewed.heard(TimePoint(seconds(0)), true), skewed.heard(TimePoint(seconds(1)), true);
-  assert(skewed.start_of(one, unix_time(seconds(1))) ==
-         TimePoint(milliseconds(1500)));  // clocks differ a little, and stay
+  StartTimes clock_is_behind(unix_time(seconds(-3600)));
+  clock_is_behind.heard(TimePoint(seconds(0)), false);
+  assert(clock_is_behind.start_of(one, unix_time(seconds(-60))) ==
+         TimePoint(seconds(0)));  // no start time is in the future
+  assert(clock_is_behind.start_of(other, unix_time(seconds(-70))) == TimePoint(seconds(-10)));
+  assert(clock_is_behind.start_of(one, unix_time(seconds(-60))) ==
+         TimePoint(seconds(0)));  // the same when repeated
+  StartTimes clock_is_ahead(unix_time(seconds(3600)));
+  clock_is_ahead.heard(TimePoint(seconds(0)), true), clock_is_ahead.heard(TimePoint(seconds(10)), true);
+  assert(clock_is_ahead.start_of(third, unix_time(seconds(10))) == TimePoint(seconds(10)));
+  StartTimes clock_is_slightly_behind(unix_time(milliseconds(-500)));
+  clock_is_slightly_behind.heard(TimePoint(seconds(0)), true),
+      clock_is_slightly_behind.heard(TimePoint(seconds(1)), true);
+  assert(clock_is_slightly_behind.start_of(one, unix_time(seconds(1))) ==
+         TimePoint(milliseconds(1500)));  // small differences between clocks are not corrected
 }
 
-// A service with one class that keeps order, one that is bound to a zone, one whose repeats a zone knows.
+// A service with a type that is ordered by key, one that is allowed in one zone only, and one whose repeats
+// are recognized within a zone.
 ServiceDefinition ordered_service() {
   ServiceDefinition service;
   RequestType ordered;
@@ -157,33 +161,35 @@
   return service;
 }
 
-constexpr EngineId near_engine{1}, far_engine{2}, cold_engine{3};
+constexpr EngineId near_engine{1}, far_engine{2}, starting_engine{3};
 
-struct ServedGuard : RuleGuard {
-  ServedGuard() {
+// A guard with three listed engines; the third one is in slow start.
+struct ConfiguredGuard : RuleGuard {
+  ConfiguredGuard() {
     configure(ordered_service());
     const MachineKindId kind{0};
     on_endpoint_update(at(Duration(0)), EndpointUpdate::snapshot,
                        {{near_engine, EngineState::up, ZoneId{0}, kind, {}, {}},
                         {far_engine, EngineState::up, ZoneId{1}, kind, {}, {}},
-                        {cold_engine, EngineState::up, ZoneId{0}, kind, {}, at(seconds(0))}});
+                        {starting_engine, EngineState::up, ZoneId{0}, kind, {}, at(seconds(0))}});
   }
-  std::optional<Rule> asks(TimePoint now, const AttemptFacts& attempt) {
+  std::optional<Rule> check_sending(TimePoint now, const AttemptFacts& attempt) {
     return forbids_sending({now, now + seconds(5), false, true, EngineState::up, seconds(5)}, attempt);
   }
 };
 
-// Whatever the module decides: nothing leaves before its turn, nor before its key has rested.
+// The guard forbids an attempt while an earlier request of its key is open or the key's quiet period runs,
+// whatever the decisions want.
 void order_by_key() {
   constexpr OrderKey key{7};
   constexpr RequestTypeId ordered{0};
   constexpr AttemptFacts first{RequestId{1}, near_engine}, second{RequestId{2}, near_engine},
       third{RequestId{3}, near_engine};
-  // How the first attempt ends, whether it was called off before, and whether its key rests then.
+  // The outcome of the first attempt, whether it was cancelled before, and whether a quiet period follows.
   struct Case {
     Outcome outcome;
-    bool called_off;
-    bool rests;
+    bool is_cancelled;
+    bool is_quiet;
   };
   const Case cases[] = {{Outcome::succeeded, false, false},    {Outcome::succeeded, true, true},
                         {Outcome::engine_error, false, false}, {Outcome::engine_error, true, true},
@@ -192,54 +198,56 @@
                         {Outcome::unreachable, false, false},  {Outcome::connection_reset, false, true},
                         {Outcome::timed_out, false, true},     {Outcome::cancelled, false, true}};
   for (const Case& one : cases) {
-    ServedGuard guard;
+    ConfiguredGuard guard;
     for (const AttemptFacts& attempt : {first, second, third})
       guard.on_request(at(Duration(0)), {attempt.request, ordered, key});
-    assert(guard.asks(at(seconds(1)), second) == Rule::order_by_key);
-    assert(!guard.asks(at(seconds(1)), first));
+    assert(guard.check_sending(at(seconds(1)), second) == Rule::order_by_key);
+    assert(!guard.check_sending(at(seconds(1)), first));
     guard.on_attempt_left(at(seconds(1)), first);
-    if (one.called_off) guard.on_attempt_cancelled(at(milliseconds(1010)), first.request);
+    if (one.is_cancelled) guard.on_attempt_cancelled(at(milliseconds(1010)), first.request);
     guard.on_finished(first.request);
-    assert(guard.asks(at(milliseconds(1015)), second) == Rule::order_by_key);  // it is still out
+    assert(guard.check_sending(at(milliseconds(1015)), second) ==
+           Rule::order_by_key);  // the attempt is still outstanding
     guard.on_attempt_ended(at(milliseconds(1020)), first, one.outcome);
-    const TimePoint soon(milliseconds(1021)), rested(milliseconds(1320));
-    assert(guard.asks(soon, third) == Rule::order_by_key);
-    assert(guard.asks(soon, second) == (one.rests ? std::optional(Rule::key_rests) : std::nullopt));
-    assert(!guard.asks(rested, second));
+    const TimePoint early(milliseconds(1021)), after_quiet_period(milliseconds(1320));
+    assert(guard.check_sending(early, third) == Rule::order_by_key);
+    assert(guard.check_sending(early, second) ==
+           (one.is_quiet ? std::optional(Rule::key_rests) : std::nullopt));
+    assert(!guard.check_sending(after_quiet_period, second));
     assert(guard.broken_in_all() == 0 && guard.held_back(Rule::order_by_key) == 3);
   }
-  // What has the turn is tried again without a rest, and one that was taken back has never been out.
-  ServedGuard guard;
+  // Retries of the first request need no quiet period, and a retracted attempt counts as never sent.
+  ConfiguredGuard guard;
   for (const AttemptFacts& attempt : {first, second})
     guard.on_request(at(Duration(0)), {attempt.request, ordered, key});
   guard.on_attempt_left(at(Duration(1)), first);
   guard.on_attempt_ended(at(Duration(2)), first, Outcome::connection_reset);
-  assert(!guard.asks(at(Duration(3)), first));
+  assert(!guard.check_sending(at(Duration(3)), first));
   guard.on_finished(first.request);
-  assert(guard.asks(at(Duration(3)), second) == Rule::key_rests);
-  ServedGuard other;
+  assert(guard.check_sending(at(Duration(3)), second) == Rule::key_rests);
+  ConfiguredGuard other;
   for (const AttemptFacts& attempt : {first, second})
     other.on_request(at(Duration(0)), {attempt.request, ordered, key});
   other.on_attempt_left(at(Duration(1)), first);
   other.on_attempt_retracted(first.request), other.on_finished(first.request);
-  assert(!other.asks(at(Duration(2)), second));
+  assert(!other.check_sending(at(Duration(2)), second));
 }
 
-void places_and_budgets() {
+void placement_and_budgets() {
   constexpr RequestTypeId bound{1}, zonal{2};
-  ServedGuard guard;
+  ConfiguredGuard guard;
   guard.on_request(at(Duration(0)), {RequestId{1}, bound, {}});
-  assert(guard.asks(at(Duration(1)), {RequestId{1}, far_engine}) == Rule::placement);
-  assert(!guard.asks(at(Duration(1)), {RequestId{1}, near_engine}));
-  // What may have run is repeated in its zone only.
+  assert(guard.check_sending(at(Duration(1)), {RequestId{1}, far_engine}) == Rule::placement);
+  assert(!guard.check_sending(at(Duration(1)), {RequestId{1}, near_engine}));
+  // A request that may have executed is retried in its zone only.
   guard.on_request(at(Duration(0)), {RequestId{2}, zonal, {}});
   guard.on_attempt_left(at(Duration(1)), {RequestId{2}, near_engine});
-  assert(guard.asks(at(Duration(2)), {RequestId{2}, near_engine}) == Rule::one_attempt_out);
+  assert(guard.check_sending(at(Duration(2)), {RequestId{2}, near_engine}) == Rule::one_attempt_out);
   guard.on_attempt_ended(at(Duration(2)), {RequestId{2}, near_engine}, Outcome::connection_reset);
-  assert(guard.asks(at(Duration(3)), {RequestId{2}, far_engine}) == Rule::repeat_group);
-  assert(!guard.asks(at(Duration(3)), {RequestId{2}, near_engine}));
-  assert(guard.asks(at(seconds(10)), {RequestId{2}, near_engine}) == Rule::runs_once);
-  // One further attempt, and one more for each two requests of the last second.
+  assert(guard.check_sending(at(Duration(3)), {RequestId{2}, far_engine}) == Rule::repeat_group);
+  assert(!guard.check_sending(at(Duration(3)), {RequestId{2}, near_engine}));
+  assert(guard.check_sending(at(seconds(10)), {RequestId{2}, near_engine}) == Rule::runs_once);
+  // The budget allows one retry, and one more per two requests of the last second.
   for (std::uint64_t id = 2; id < 4; ++id) {
     guard.on_attempt_left(at(Duration(3)), {RequestId{id}, near_engine});
     guard.on_attempt_ended(at(Duration(4)), {RequestId{id}, near_engine}, Outcome::engine_full);
@@ -247,36 +255,39 @@
   guard.on_request(at(Duration(5)), {RequestId{3}, bound, {}});
   guard.on_attempt_left(at(Duration(6)), {RequestId{3}, near_engine});
   guard.on_attempt_ended(at(Duration(7)), {RequestId{3}, near_engine}, Outcome::engine_full);
-  assert(!guard.asks(at(Duration(8)), {RequestId{3}, near_engine}));
+  assert(!guard.check_sending(at(Duration(8)), {RequestId{3}, near_engine}));
   guard.on_attempt_left(at(Duration(8)), {RequestId{3}, near_engine});
   guard.on_attempt_ended(at(Duration(9)), {RequestId{3}, near_engine}, Outcome::engine_full);
-  assert(guard.asks(at(Duration(10)), {RequestId{3}, near_engine}) == Rule::attempt_budget);
-  assert(!guard.asks(at(Duration(10)) + seconds(2), {RequestId{3}, near_engine}));
-  // An even part of 2 x 0.5 x 10 cores x 1 s for two managers: five seconds of work in any second.
-  ServedGuard cold;
-  for (std::uint64_t id = 1; id < 7; ++id) cold.on_request(at(Duration(0)), {RequestId{id}, bound, {}});
+  assert(guard.check_sending(at(Duration(10)), {RequestId{3}, near_engine}) == Rule::attempt_budget);
+  assert(!guard.check_sending(at(Duration(10)) + seconds(2), {RequestId{3}, near_engine}));
+  // An even share of 2 x 0.5 x 10 cores x 1 s for two managers: five seconds of work in any second.
+  ConfiguredGuard starting;
+  for (std::uint64_t id = 1; id < 7; ++id) starting.on_request(at(Duration(0)), {RequestId{id}, bound, {}});
   for (std::uint64_t id = 1; id < 6; ++id) {
-    assert(!cold.asks(at(seconds(2)), {RequestId{id}, cold_engine, 1000}));
-    cold.on_attempt_left(at(seconds(2)), {RequestId{id}, cold_engine, 1000});
+    assert(!starting.check_sending(at(seconds(2)), {RequestId{id}, starting_engine, 1000}));
+    starting.on_attempt_left(at(seconds(2)), {RequestId{id}, starting_engine, 1000});
   }
-  assert(cold.asks(at(milliseconds(2900)), {RequestId{6}, cold_engine, 1000}) == Rule::cold_budget);
-  assert(!cold.asks(at(milliseconds(2900)), {RequestId{6}, near_engine, 1000}));
-  assert(!cold.asks(at(milliseconds(3001)), {RequestId{6}, cold_engine, 1000}));
-  assert(!cold.asks(at(seconds(11)), {RequestId{6}, cold_engine, 1000}));  // it is warm by then
-  // Where a class needs more than an even part, a turn at the engine is half of the whole.
-  assert(cold.asks(at(milliseconds(2900)), {RequestId{6}, cold_engine, 1000, 9000}) == Rule::cold_budget);
-  // No engine is told more time than is left.
+  assert(starting.check_sending(at(milliseconds(2900)), {RequestId{6}, starting_engine, 1000}) ==
+         Rule::cold_budget);
+  assert(!starting.check_sending(at(milliseconds(2900)), {RequestId{6}, near_engine, 1000}));
+  assert(!starting.check_sending(at(milliseconds(3001)), {RequestId{6}, starting_engine, 1000}));
+  assert(!starting.check_sending(at(seconds(11)),
+                                 {RequestId{6}, starting_engine, 1000}));  // the slow start has ended
+  // If a type needs more than an even share, the largest time slot at the engine is half of the limit.
+  assert(starting.check_sending(at(milliseconds(2900)), {RequestId{6}, starting_engine, 1000, 9000}) ==
+         Rule::cold_budget);
+  // The timeout that is sent to an engine may exceed the time left by no more than 150 ms.
   assert(guard.forbids_sending({at(seconds(1)), at(seconds(2)), false, true, EngineState::up,
                                 milliseconds(1151)}) == Rule::time_told);
   assert(!guard.forbids_sending(
       {at(seconds(1)), at(seconds(2)), false, true, EngineState::up, milliseconds(1150)}));
 }
 
-// Calls of a key that are read in another order than they came, or whose order nobody knows.
+// Requests of a key that are read in another order than they arrived in, or whose order is unknown.
 void arrival_order() {
   using Settled = std::vector<std::pair<std::uint64_t, bool>>;
   struct Case {
-    const char* what;
+    const char* name;
     std::vector<ArrivalOrder::Call> calls;
     TimePoint now, read_up_to;
     Settled settled;
@@ -284,9 +295,9 @@
   const auto at = [](int ms) { return TimePoint(milliseconds(ms)); };
   constexpr OrderKey key{1}, other{2};
   const Case cases[] = {
-      {"one that is read", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(2), {{1, true}}},
-      {"others may lie unread", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(1), {}},
-      {"they lie unread for too long",
+      {"a single request", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(2), {{1, true}}},
+      {"others may be unread", {{RequestId{1}, key, at(1), at(2), at(2)}}, at(3), at(1), {}},
+      {"others are unread for too long",
        {{RequestId{1}, key, at(1), at(2), at(2)}},
        at(302),
        at(1),
@@ -296,27 +307,27 @@
        at(301),
        at(300),
        {{2, true}, {1, true}}},
-      {"nobody knows the order",
+      {"unknown order",
        {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, key, at(0), at(301), at(301)}},
        at(302),
        at(301),
        {{1, true}, {2, false}}},
-      {"closer than clients write",
+      {"closer than clients send",
        {{RequestId{1}, key, at(0), at(2), at(2)}, {RequestId{2}, key, at(0), at(2), at(2)}},
        at(3),
        at(2),
        {{1, true}, {2, true}}},
-      {"of other keys",
+      {"different keys",
        {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, other, at(0), at(301), at(301)}},
        at(302),
        at(301),
        {{1, true}, {2, true}}},
-      {"one that may have come before is not settled",
+      {"an earlier request is not settled",
        {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, key, at(0), at(310), at(310)}},
        at(311),
        at(305),
        {}},
-      {"one that came later is not settled",
+      {"a later request is not settled",
        {{RequestId{1}, key, at(0), at(300), at(300)}, {RequestId{2}, key, at(306), at(310), at(310)}},
        at(311),
        at(305),
@@ -328,7 +339,7 @@
     Settled settled;
     for (const ArrivalOrder::Settled& call : order.settle(one.now, one.read_up_to))
       settled.emplace_back(call.id.value, call.arrival_order_known);
-    if (settled != one.settled) std::fprintf(stderr, "%s\n", one.what);
+    if (settled != one.settled) std::fprintf(stderr, "%s\n", one.name);
     assert(settled == one.settled);
     assert(order.empty() == (settled.size() == one.calls.size()));
   }
@@ -347,6 +358,6 @@
   arrivals();
   starts();
   order_by_key();
-  places_and_budgets();
+  placement_and_budgets();
   arrival_order();
 }
--- a/tests/test_rules.cpp
+++ b/tests/test_rules.cpp
@@ -1,16 +1,16 @@
-// The seven rules, each as a table of cases.
-#include "bench.h"
+// The rules of the service, each as a table of cases.
+#include "manager_fixture.h"
 
 using namespace pearchute;
 
-// Rule 2: after each outcome, may the job go out again, and how does it end if no engine is left?
-void effects() {
+// Rule 2: after each outcome, whether the request is retried, and how it is answered if no engine is left.
+void retries_by_outcome() {
   struct Case {
     Idempotency idempotency;
     DeduplicationScope deduplication_scope;
     Outcome outcome;
-    bool goes_again;
-    bool throttled;  // else cancelled for good, once nothing can take it
+    bool is_retried;
+    bool is_throttled;  // if no engine is left; otherwise it fails
   };
   const Case cases[] = {
       {Idempotency::idempotent, DeduplicationScope::fleet, Outcome::timed_out, true, true},
@@ -30,29 +30,30 @@
     service.types[1].idempotency = c.idempotency,
     service.types[1].deduplication_scope = c.deduplication_scope;
     service.types[1].deduplication_window = seconds(60);
-    Bench bench(service);
-    bench.take(1, 1, 1000);
-    assert(bench.dispatches(1) == 1);
-    bench.now += ms(50);
-    bench.end(1, c.outcome);
-    assert((bench.dispatches(1) == 2) == c.goes_again);
-    Bench lost(service);
-    lost.take(1, 1, 1000);
-    lost.list(EndpointUpdate::snapshot, {});
-    lost.now += ms(50);
-    lost.end(1, c.outcome);
-    lost.pass(seconds(21));
-    assert(lost.answers(1) == 1 && lost.throttled(1) == c.throttled);
+    ManagerFixture fixture(service);
+    fixture.add_request(1, 1, 1000);
+    assert(fixture.attempt_count(1) == 1);
+    fixture.now += ms(50);
+    fixture.end_attempt(1, c.outcome);
+    assert((fixture.attempt_count(1) == 2) == c.is_retried);
+    ManagerFixture without_engines(service);
+    without_engines.add_request(1, 1, 1000);
+    without_engines.update_endpoints(EndpointUpdate::snapshot, {});
+    without_engines.now += ms(50);
+    without_engines.end_attempt(1, c.outcome);
+    without_engines.advance(seconds(21));
+    assert(without_engines.final_answers(1) == 1 && without_engines.is_throttled(1) == c.is_throttled);
   }
 }
 
-// Rule 2: a keyed job that may have run stays with those that drop its repeats, while they know it.
-void keyed_stays() {
+// Rule 2: a request that is idempotent by key and may have executed is retried only at engines in its
+// deduplication scope, and only within its deduplication window.
+void deduplication_scope_and_window() {
   struct Case {
     DeduplicationScope deduplication_scope;
-    int other_zone;  // of engine 2, the only one left
+    int other_zone;  // the zone of engine 2, the only engine left
     Duration window, wait;
-    bool goes;
+    bool is_retried;
   };
   const Case cases[] = {
       {DeduplicationScope::fleet, 1, seconds(10), ms(50), true},
@@ -67,23 +68,24 @@
     service.types[1].idempotency = Idempotency::idempotent_by_key,
     service.types[1].deduplication_scope = c.deduplication_scope;
     service.types[1].deduplication_window = c.window;
-    Bench bench(service, 1);
-    bench.take(1, 1, 1000);
-    bench.list(EndpointUpdate::snapshot, {Bench::engine(2, EngineState::up, c.other_zone)});
-    bench.now += c.wait;
-    bench.end(1, Outcome::engine_error);
-    assert((bench.dispatches(1) == 2) == c.goes);
-    // Where it waits for its connection it may leave up to a round before the window's end, and no later.
-    if (c.goes)
-      assert(bench.host.leave_within.at(RequestId{1}) == c.window - c.wait - service.event_interval);
+    ManagerFixture fixture(service, 1);
+    fixture.add_request(1, 1, 1000);
+    fixture.update_endpoints(EndpointUpdate::snapshot,
+                             {ManagerFixture::endpoint(2, EngineState::up, c.other_zone)});
+    fixture.now += c.wait;
+    fixture.end_attempt(1, Outcome::engine_error);
+    assert((fixture.attempt_count(1) == 2) == c.is_retried);
+    // While it waits for a connection, it may be sent up to one event interval before the end of the window.
+    if (c.is_retried)
+      assert(fixture.sink.send_delay_limits.at(RequestId{1}) == c.window - c.wait - service.event_interval);
   }
 }
 
-// Rule 1: one final answer in time, whatever becomes of the dispatch.
+// Rule 1: one final answer in time, whatever the outcome of the attempt.
 void one_answer() {
   struct Case {
     bool has_engine;
-    bool answered;  // the engine reports a time-out at the very end
+    bool ends_late;  // the attempt times out after the final answer
     Idempotency idempotency;
   };
   const Case cases[] = {
@@ -93,43 +95,44 @@
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
     service.types[0].idempotency = c.idempotency;
-    Bench bench(service, c.has_engine ? 1 : 0);
-    bench.take(1, 0, 80);
-    bench.pass(ms(2000));
-    assert(bench.answers(1) == 1);
-    const std::size_t sent = bench.host.sent.size();
-    if (c.answered) bench.end(1, Outcome::timed_out, ms(2000));
-    bench.pass(ms(3000));
-    assert(bench.answers(1) == 1 && bench.host.sent.size() == sent);
+    ManagerFixture fixture(service, c.has_engine ? 1 : 0);
+    fixture.add_request(1, 0, 80);
+    fixture.advance(ms(2000));
+    assert(fixture.final_answers(1) == 1);
+    const std::size_t sent = fixture.sink.sent.size();
+    if (c.ends_late) fixture.end_attempt(1, Outcome::timed_out, ms(2000));
+    fixture.advance(ms(3000));
+    assert(fixture.final_answers(1) == 1 && fixture.sink.sent.size() == sent);
   }
 }
 
-// Rule 3: nothing to an engine that drains or is gone, also when it was left out of a complete list.
+// Rule 3: no attempt is sent to an engine that is draining or removed, including one that a snapshot omits.
 void drains() {
   struct Case {
-    EndpointUpdate news;
+    EndpointUpdate kind;
     std::vector<EngineEndpoint> engines;
-    bool goes;
+    bool is_sent;
   };
-  const Case cases[] = {{EndpointUpdate::delta, {Bench::engine(1, EngineState::draining)}, false},
-                        {EndpointUpdate::delta, {Bench::engine(1, EngineState::removed)}, false},
+  const Case cases[] = {{EndpointUpdate::delta, {ManagerFixture::endpoint(1, EngineState::draining)}, false},
+                        {EndpointUpdate::delta, {ManagerFixture::endpoint(1, EngineState::removed)}, false},
                         {EndpointUpdate::snapshot, {}, false},
                         {EndpointUpdate::delta, {}, true},
-                        {EndpointUpdate::snapshot, {Bench::engine(1)}, true}};
+                        {EndpointUpdate::snapshot, {ManagerFixture::endpoint(1)}, true}};
   for (const Case& c : cases) {
-    Bench bench(small_service(), 1);
-    bench.list(c.news, c.engines);
-    bench.take(1, 0, 80);
-    assert((bench.dispatches(1) == 1) == c.goes);
+    ManagerFixture fixture(small_service(), 1);
+    fixture.update_endpoints(c.kind, c.engines);
+    fixture.add_request(1, 0, 80);
+    assert((fixture.attempt_count(1) == 1) == c.is_sent);
   }
 }
 
-// Rule 4: within any window a cold engine gets no more than this manager's part, however it came to be cold.
-void cold_engines() {
+// Rule 4: in any window, an engine in slow start gets no more work than this manager's share of the limit,
+// whether it started before or after it was listed.
+void slow_start_limit() {
   struct Case {
-    Duration age_at_listing;
-    Duration launched_before;  // how long the manager had run
-    bool limited;
+    Duration engine_age;
+    Duration manager_uptime;  // when the engine is listed
+    bool is_limited;
   };
   const Case cases[] = {{ms(0), seconds(20), true},
                         {seconds(5), seconds(20), true},
@@ -139,25 +142,25 @@
     ServiceDefinition service = small_service();
     service.slow_start_duration = seconds(15), service.slow_start_initial_capacity = 0.3;
     service.slow_start_limit_multiple = 2.5, service.slow_start_window = ms(500);
-    Bench bench(service, 0);
-    bench.pass(c.launched_before);
-    EngineEndpoint cold = Bench::engine(9);
-    cold.started_at = bench.now - c.age_at_listing;
-    bench.list(EndpointUpdate::delta, {cold});
-    for (int i = 1; i <= 200; ++i) bench.take(i, 0, 150);
-    // 2.5 x 0.3 x 8 cores x 0.5 s over two managers: 1.5 s of work.
-    const double work_s = 0.15 * static_cast<double>(bench.host.sent.size());
-    assert((work_s <= 1.5) == c.limited && work_s > 0);
+    ManagerFixture fixture(service, 0);
+    fixture.advance(c.manager_uptime);
+    EngineEndpoint starting = ManagerFixture::endpoint(9);
+    starting.started_at = fixture.now - c.engine_age;
+    fixture.update_endpoints(EndpointUpdate::delta, {starting});
+    for (int i = 1; i <= 200; ++i) fixture.add_request(i, 0, 150);
+    // 2.5 x 0.3 x 8 cores x 0.5 s, shared by two managers: 1.5 s of work.
+    const double work_s = 0.15 * static_cast<double>(fixture.sink.sent.size());
+    assert((work_s <= 1.5) == c.is_limited && work_s > 0);
   }
 }
 
-// Of the list that a manager starts with it is sure only how the starts lie to each other: its clock may be
-// off.
-void starts_of_the_first_list() {
+// In a cached list only the differences between the start times are reliable, since the manager's wall clock
+// may be wrong: an engine counts as warming up if it may have started within the slow start duration.
+void start_times_of_cached_list() {
   struct Case {
-    EndpointUpdate news;
-    Duration before_the_latest;
-    bool limited;
+    EndpointUpdate kind;
+    Duration before_latest;
+    bool is_limited;
   };
   const Case cases[] = {{EndpointUpdate::cached, Duration(0), true},
                         {EndpointUpdate::cached, seconds(14), true},
@@ -167,22 +170,23 @@
     ServiceDefinition service = small_service();
     service.slow_start_duration = seconds(15), service.slow_start_initial_capacity = 0.3;
     service.slow_start_limit_multiple = 2.5, service.slow_start_window = ms(500);
-    Bench bench(service, 0);
-    EngineEndpoint latest = Bench::engine(9, EngineState::draining), other = Bench::engine(10);
-    latest.started_at = TimePoint(seconds(-3600)),
-    other.started_at = *latest.started_at - c.before_the_latest;
-    bench.list(c.news, {latest, other});
-    for (int i = 1; i <= 200; ++i) bench.take(i, 0, 150);
-    const double work_s = 0.15 * static_cast<double>(bench.host.sent.size());
-    assert((work_s <= 1.5) == c.limited && work_s > 0);
+    ManagerFixture fixture(service, 0);
+    EngineEndpoint latest = ManagerFixture::endpoint(9, EngineState::draining),
+                   other = ManagerFixture::endpoint(10);
+    latest.started_at = TimePoint(seconds(-3600)), other.started_at = *latest.started_at - c.before_latest;
+    fixture.update_endpoints(c.kind, {latest, other});
+    for (int i = 1; i <= 200; ++i) fixture.add_request(i, 0, 150);
+    const double work_s = 0.15 * static_cast<double>(fixture.sink.sent.size());
+    assert((work_s <= 1.5) == c.is_limited && work_s > 0);
   }
 }
 
-// Rule 5: jobs of one key in turn, with a rest after an end that is not sure.
-void order() {
+// Rule 5: requests of one key execute in order, with a quiet period after an attempt with an uncertain
+// outcome.
+void order_by_key() {
   struct Case {
     Outcome outcome;
-    bool rests;
+    bool is_quiet;
   };
   const Case cases[] = {
       {Outcome::succeeded, false}, {Outcome::connection_reset, true}, {Outcome::timed_out, true}};
@@ -191,25 +195,25 @@
     service.types[1].ordered_by_key = true;
     service.key_quiet_period = ms(300);
     service.max_attempts = 1;
-    Bench bench(service);
-    bench.take(1, 1, 1000, 5);
-    bench.take(2, 1, 1000, 5);
-    bench.take(3, 1, 1000, 6);
-    assert(bench.dispatches(1) == 1 && bench.dispatches(2) == 0 && bench.dispatches(3) == 1);
-    bench.pass(ms(200));
-    bench.end(1, c.outcome);
-    assert(bench.dispatches(2) == (c.rests ? 0 : 1));
-    bench.pass(ms(50));
-    assert(bench.dispatches(2) == (c.rests ? 0 : 1));
+    ManagerFixture fixture(service);
+    fixture.add_request(1, 1, 1000, 5);
+    fixture.add_request(2, 1, 1000, 5);
+    fixture.add_request(3, 1, 1000, 6);
+    assert(fixture.attempt_count(1) == 1 && fixture.attempt_count(2) == 0 && fixture.attempt_count(3) == 1);
+    fixture.advance(ms(200));
+    fixture.end_attempt(1, c.outcome);
+    assert(fixture.attempt_count(2) == (c.is_quiet ? 0 : 1));
+    fixture.advance(ms(50));
+    assert(fixture.attempt_count(2) == (c.is_quiet ? 0 : 1));
   }
 }
 
-// What has been called off has ended unsurely, whatever comes of it then; what never left has not been out. A
-// job whose place in the order nobody knows is refused, and holds up no other.
-void order_across_a_give_up() {
+// A cancelled attempt has an uncertain outcome whatever its engine reports, unless it was never sent. A
+// request whose arrival order is unknown is rejected, and does not block others of its key.
+void order_by_key_after_cancellation() {
   struct Case {
     Outcome outcome;
-    bool rests;
+    bool is_quiet;
   };
   const Case cases[] = {{Outcome::succeeded, true}, {Outcome::engine_error, true},
                         {Outcome::cancelled, true}, {Outcome::connection_reset, true},
@@ -218,37 +222,37 @@
     ServiceDefinition service = small_service();
     service.types[1].ordered_by_key = true;
     service.key_quiet_period = ms(300), service.allows_cancel = true;
-    Bench bench(service);
-    bench.take(1, 1, 1000, 5);
-    bench.take(2, 1, 1000, 5);
-    bench.pass(ms(5));
-    bench.manager.on_request_cancelled(bench.now, RequestId{1});
-    assert(bench.host.stopped.size() == 1 && bench.dispatches(2) == 0);
-    bench.end(1, c.outcome, ms(5));
-    assert(bench.dispatches(2) == (c.rests ? 0 : 1));
-    bench.pass(ms(290));
-    assert(bench.dispatches(2) == (c.rests ? 0 : 1));
-    bench.pass(ms(20));
-    assert(bench.dispatches(2) == 1);
+    ManagerFixture fixture(service);
+    fixture.add_request(1, 1, 1000, 5);
+    fixture.add_request(2, 1, 1000, 5);
+    fixture.advance(ms(5));
+    fixture.manager.on_request_cancelled(fixture.now, RequestId{1});
+    assert(fixture.sink.cancelled_attempts.size() == 1 && fixture.attempt_count(2) == 0);
+    fixture.end_attempt(1, c.outcome, ms(5));
+    assert(fixture.attempt_count(2) == (c.is_quiet ? 0 : 1));
+    fixture.advance(ms(290));
+    assert(fixture.attempt_count(2) == (c.is_quiet ? 0 : 1));
+    fixture.advance(ms(20));
+    assert(fixture.attempt_count(2) == 1);
   }
   ServiceDefinition service = small_service();
   service.types[1].ordered_by_key = true;
-  Bench bench(service);
+  ManagerFixture fixture(service);
   Request unknown;
   unknown.id = RequestId{1}, unknown.type = RequestTypeId{1}, unknown.key = OrderKey{5},
   unknown.time_left = ms(20000);
   unknown.arrival_order_known = false;
-  bench.manager.on_request(bench.now, unknown);
-  bench.take(2, 1, 1000, 5);
-  assert(bench.throttled(1) && bench.dispatches(1) == 0 && bench.dispatches(2) == 1);
+  fixture.manager.on_request(fixture.now, unknown);
+  fixture.add_request(2, 1, 1000, 5);
+  assert(fixture.is_throttled(1) && fixture.attempt_count(1) == 0 && fixture.attempt_count(2) == 1);
 }
 
-// Rule 6: a bound type goes only where it is bound to, or nowhere.
+// Rule 6: a type with an allowed placement is sent only to engines that it allows.
 void placement() {
   struct Case {
     std::optional<std::vector<ZoneId>> zones;
     std::optional<std::vector<MachineKindId>> kinds;
-    int goes_to;  // 0: nowhere
+    int engine;  // the one that gets the attempt; 0: none
   };
   const Case cases[] = {{std::vector{ZoneId{1}}, std::nullopt, 2},
                         {std::nullopt, std::vector{MachineKindId{1}}, 3},
@@ -258,47 +262,48 @@
     ServiceDefinition service = small_service();
     service.types[0].zones = c.zones;
     service.types[0].kinds = c.kinds;
-    Bench bench(service, 0);
-    bench.list(EndpointUpdate::snapshot, {Bench::engine(1), Bench::engine(2, EngineState::up, 1),
-                                          Bench::engine(3, EngineState::up, 0, 1)});
-    bench.take(1, 0, 80);
-    assert(bench.engine_of(1) == c.goes_to);
-    if (c.goes_to) {
-      bench.end(1, Outcome::engine_error);
-      assert(bench.engine_of(1) == c.goes_to);
+    ManagerFixture fixture(service, 0);
+    fixture.update_endpoints(EndpointUpdate::snapshot,
+                             {ManagerFixture::endpoint(1), ManagerFixture::endpoint(2, EngineState::up, 1),
+                              ManagerFixture::endpoint(3, EngineState::up, 0, 1)});
+    fixture.add_request(1, 0, 80);
+    assert(fixture.last_engine(1) == c.engine);
+    if (c.engine) {
+      fixture.end_attempt(1, Outcome::engine_error);
+      assert(fixture.last_engine(1) == c.engine);
     }
   }
 }
 
-// Rule 7: dispatches beyond the first stay within the few and the share that the window's jobs have earned.
-void ration() {
+// Rule 7: retries stay within the budget of a minimum plus a ratio of the requests in the window.
+void retry_budget() {
   struct Case {
-    double few, share;
-    int jobs, most;
+    double minimum, ratio;
+    int requests, max_retries;
   };
   const Case cases[] = {{0, 0.1, 30, 3}, {2, 0, 30, 2}, {0, 0, 10, 0}, {1, 0.5, 10, 6}};
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
-    service.retry_budget_window = seconds(10), service.retry_budget_minimum = c.few,
-    service.retry_budget_ratio = c.share;
-    Bench bench(service, 3);
-    for (int i = 1; i <= c.jobs; ++i) bench.take(i, 0, 50);
-    for (int i = 1; i <= c.jobs; ++i) bench.end(i, Outcome::engine_full);
-    bench.pass(ms(100));
-    const int again = static_cast<int>(bench.host.sent.size()) - c.jobs;
-    assert(again <= c.most);
-    assert(c.most == 0 || again > 0);
+    service.retry_budget_window = seconds(10), service.retry_budget_minimum = c.minimum,
+    service.retry_budget_ratio = c.ratio;
+    ManagerFixture fixture(service, 3);
+    for (int i = 1; i <= c.requests; ++i) fixture.add_request(i, 0, 50);
+    for (int i = 1; i <= c.requests; ++i) fixture.end_attempt(i, Outcome::engine_full);
+    fixture.advance(ms(100));
+    const int retries = static_cast<int>(fixture.sink.sent.size()) - c.requests;
+    assert(retries <= c.max_retries);
+    assert(c.max_retries == 0 || retries > 0);
   }
 }
 
-// Once nothing may follow what a job has had, its client hears so at once, not when its time is up.
-void answered_at_once() {
+// Once a request may have no further attempt, it is answered at once, not at its deadline.
+void answer_when_attempts_are_exhausted() {
   struct Case {
     Idempotency idempotency;
     Duration window;
     int max_attempts;
     Outcome outcome;
-    bool answered, throttled;
+    bool is_answered, is_throttled;
   };
   const Case cases[] = {
       {Idempotency::non_idempotent, {}, 4, Outcome::connection_reset, true, false},
@@ -315,22 +320,22 @@
     ServiceDefinition service = small_service();
     service.types[1].idempotency = c.idempotency, service.types[1].deduplication_window = c.window;
     service.max_attempts = c.max_attempts;
-    Bench bench(service);
-    bench.take(1, 1, 1000);
-    bench.now += ms(50);
-    bench.end(1, c.outcome);
-    assert(bench.answers(1) == c.answered && bench.throttled(1) == c.throttled);
-    assert(bench.dispatches(1) == (c.answered ? 1 : 2));
+    ManagerFixture fixture(service);
+    fixture.add_request(1, 1, 1000);
+    fixture.now += ms(50);
+    fixture.end_attempt(1, c.outcome);
+    assert(fixture.final_answers(1) == c.is_answered && fixture.is_throttled(1) == c.is_throttled);
+    assert(fixture.attempt_count(1) == (c.is_answered ? 1 : 2));
   }
 }
 
-// While nobody is there for a job nothing of it leaves, whatever made it wait or brought it back; whoever
-// comes again within a second is served, and after that it is given up.
-void client_away() {
+// While its client is disconnected, no attempt of a request is sent, whether it was queued or its attempt
+// failed meanwhile. A client that reconnects within a second is served; after that the request is rejected.
+void disconnected_client() {
   struct Case {
-    bool was_out;    // its first dispatch breaks meanwhile
-    Duration comes;  // 0: never
-    bool served;
+    bool was_sent;              // its first attempt fails while the client is disconnected
+    Duration reconnects_after;  // 0: never
+    bool is_served;
   };
   const Case cases[] = {{false, ms(300), true},
                         {false, {}, false},
@@ -340,45 +345,47 @@
   for (const Case& c : cases) {
     ServiceDefinition service = small_service();
     service.allows_cancel = true;
-    Bench bench(service, 1);
-    int fills = 0;
-    if (!c.was_out) {
-      while (bench.host.sent.size() == static_cast<std::size_t>(fills))
-        ++fills, bench.take(100 + fills, 1, 1000);
-      --fills;  // the last one waits
-      bench.manager.on_request_cancelled(bench.now, RequestId{static_cast<std::uint64_t>(101 + fills)});
+    ManagerFixture fixture(service, 1);
+    int fill_count = 0;
+    if (!c.was_sent) {
+      while (fixture.sink.sent.size() == static_cast<std::size_t>(fill_count))
+        ++fill_count, fixture.add_request(100 + fill_count, 1, 1000);
+      --fill_count;  // the last one is queued
+      fixture.manager.on_request_cancelled(fixture.now,
+                                           RequestId{static_cast<std::uint64_t>(101 + fill_count)});
     }
-    bench.take(1, 1, 1000);
-    assert(bench.dispatches(1) == c.was_out);
-    bench.manager.on_client_disconnected(bench.now, RequestId{1});
-    if (c.was_out) bench.end(1, Outcome::connection_reset);
-    for (int i = 1; i <= fills; ++i) bench.end(100 + i, Outcome::succeeded);
-    bench.pass(c.comes > Duration(0) ? c.comes : ms(1300));
-    assert(bench.dispatches(1) == c.was_out);
-    if (c.comes > Duration(0)) bench.manager.on_client_reconnected(bench.now, RequestId{1});
-    assert(bench.dispatches(1) == c.was_out + c.served && bench.answers(1) == !c.served);
+    fixture.add_request(1, 1, 1000);
+    assert(fixture.attempt_count(1) == c.was_sent);
+    fixture.manager.on_client_disconnected(fixture.now, RequestId{1});
+    if (c.was_sent) fixture.end_attempt(1, Outcome::connection_reset);
+    for (int i = 1; i <= fill_count; ++i) fixture.end_attempt(100 + i, Outcome::succeeded);
+    fixture.advance(c.reconnects_after > Duration(0) ? c.reconnects_after : ms(1300));
+    assert(fixture.attempt_count(1) == c.was_sent);
+    if (c.reconnects_after > Duration(0)) fixture.manager.on_client_reconnected(fixture.now, RequestId{1});
+    assert(fixture.attempt_count(1) == c.was_sent + c.is_served && fixture.final_answers(1) == !c.is_served);
   }
 }
 
-// Asked to end, it answers every job once, and throttles only what is known to do no harm.
-void asked_to_end() {
+// On shutdown each request is answered once, and only those that may safely be sent again are throttled.
+void answers_on_shutdown() {
   ServiceDefinition service = small_service();
   service.allows_cancel = true;
   service.types[1].idempotency = Idempotency::non_idempotent;
-  Bench bench(service);
-  for (int id = 1; id <= 60; ++id) bench.take(id, id % 2, 400);
-  bench.end(2, Outcome::succeeded);
-  assert(bench.host.sent.size() < 60);  // some are out, some are held
-  bench.manager.closing(bench.now), bench.manager.closing(bench.now);
+  ManagerFixture fixture(service);
+  for (int id = 1; id <= 60; ++id) fixture.add_request(id, id % 2, 400);
+  fixture.end_attempt(2, Outcome::succeeded);
+  assert(fixture.sink.sent.size() < 60);  // some are sent, some are queued
+  fixture.manager.closing(fixture.now), fixture.manager.closing(fixture.now);
   for (int id = 1; id <= 60; ++id) {
-    assert(bench.answers(id) == (id == 2 ? 0 : 1));
-    if (id % 2 == 1 && id != 2 && bench.dispatches(id) > 0) assert(bench.cancelled(id));
-    if (id % 2 == 0 && id != 2) assert(bench.throttled(id));
+    assert(fixture.final_answers(id) == (id == 2 ? 0 : 1));
+    if (id % 2 == 1 && id != 2 && fixture.attempt_count(id) > 0) assert(fixture.is_failed(id));
+    if (id % 2 == 0 && id != 2) assert(fixture.is_throttled(id));
   }
 }
 
 int main() {
-  asked_to_end(), answered_at_once(), client_away();
-  effects(), keyed_stays(), one_answer(), drains();
-  cold_engines(), starts_of_the_first_list(), order(), order_across_a_give_up(), placement(), ration();
+  answers_on_shutdown(), answer_when_attempts_are_exhausted(), disconnected_client();
+  retries_by_outcome(), deduplication_scope_and_window(), one_answer(), drains();
+  slow_start_limit(), start_times_of_cached_list(), order_by_key(), order_by_key_after_cancellation();
+  placement(), retry_budget();
 }
