--- a/src/errors/error.cpp
+++ b/src/errors/error.cpp
@@ -6,10 +6,10 @@
 
 void print_error(std::ostream& to, std::string_view program, const std::exception& error) {
   to << program << ": " << error.what() << "\n";
-  if (const auto* fault = dynamic_cast<const Error*>(&error)) {
-    to << program << ": " << fault->word() << ": " << fault->remedy() << "\n";
+  if (const auto* typed_error = dynamic_cast<const Error*>(&error)) {
+    to << program << ": " << typed_error->key() << ": " << typed_error->remedy() << "\n";
   } else {
-    to << program << ": unforeseen: keep the line above and the log, and report them\n";
+    to << program << ": unforeseen: report the message above together with the log\n";
   }
 }
 
--- a/src/errors/error.h
+++ b/src/errors/error.h
@@ -1,8 +1,9 @@
-// The errors that end an attempt to start, or a command: each kind a type of its own, which says what is
-// wrong, where, and what an operator can do. A program's top prints both lines. It holds no state, and knows
-// no package: everybody may use it.
+// The errors that end a command or the start of a program. Each kind has a type of its own, and each error
+// states what is wrong, where, and what an operator can do about it. The main function prints these as two
+// lines. This header depends on no other package, so that all of them may use it.
 //
-// What is answered to a peer, and what a decision comes to, is no error of these: it has words of its own.
+// Answers to a peer and results of decisions are not errors of these kinds; they are defined where they are
+// sent.
 #pragma once
 
 #include <array>
@@ -17,44 +18,47 @@
 
 enum class ErrorKind {
   usage,          // a command line
-  settings,       // a file of settings, INI
-  configuration,  // a manager's configuration, JSON
-  address,        // where something is reached, as written
-  listening,      // a place to listen at
-  selector,       // which instances are meant
-  keys,           // certificates, keys and revocations
-  message,        // what came over a wire, or a value in it
-  system,         // what the machine did not give
-  site,           // the laboratory's own small site
+  settings,       // an INI file of settings
+  configuration,  // the JSON configuration of a manager
+  address,        // the text form of an address
+  listening,      // an address to listen at
+  selector,       // an expression that selects instances
+  keys,           // certificates, private keys and revocation lists
+  message,        // a received message, or a value in it
+  system,         // a failed system call or a missing resource of the machine
+  test_cluster,   // the laboratory's cluster of local processes
 };
 
-// By kind: its word, as docs/on-call.md lists it, and what helps where the place that found it knows no
-// better.
-struct ErrorWords {
-  std::string_view word, remedy;
+// The texts of a kind: its key, as docs/on-call.md lists it, and the remedy for errors that have no more
+// specific one.
+struct ErrorTexts {
+  std::string_view key, remedy;
 };
-inline constexpr std::array<ErrorWords, 10> error_words = {{
-    {"usage", "see --help for what is taken"},
-    {"settings", "mend that line; --check looks at a file and starts nothing"},
-    {"configuration", "mend the file, or name another; pearchuted --check FILE starts nothing"},
-    {"address", "write unix:/path, or an address with its port, as the file's page says"},
-    {"listening", "see what listens there (ss -lnp), end it or choose another place"},
-    {"selector", "mend the expression at that column; docs/operating.md has the language"},
-    {"keys", "look at the file with pearchutectl keys show, and issue it anew where it is broken"},
-    {"message", "see which build speaks at the other end; both have to be of one major version"},
-    {"system", "look at the limits and the disk of this machine, then start it again"},
-    {"site", "look at the managers' logs in the folder that is named"},
+// In the order of ErrorKind.
+inline constexpr std::array<ErrorTexts, 10> error_texts = {{
+    {"usage", "run it with --help to see the accepted arguments"},
+    {"settings", "correct that line; --check validates a file without starting anything"},
+    {"configuration",
+     "correct the file, or name another one; pearchuted --check FILE validates it without starting"},
+    {"address", "write unix:/path, or an address with its port, as documented for that file"},
+    {"listening", "find the process that listens there (ss -lnp), then end it or choose another address"},
+    {"selector", "correct the expression at that column; docs/operating.md describes the language"},
+    {"keys", "inspect the file with pearchutectl keys show, and issue it again if it is damaged"},
+    {"message", "check the build at the other end; both must have the same major version"},
+    {"system", "check the limits and the disk of this machine, then start again"},
+    {"site", "check the managers' logs in the named folder"},
 }};
 
+// The base of all these errors.
 class Error : public std::exception {
  public:
-  const char* what() const noexcept override { return line_.c_str(); }  // "where: what is wrong"
+  // "where: what is wrong", or only the latter if the place is empty.
+  const char* what() const noexcept override { return line_.c_str(); }
   ErrorKind kind() const { return kind_; }
-  std::string_view word() const { return error_words[static_cast<std::size_t>(kind_)].word; }
+  std::string_view key() const { return error_texts[static_cast<std::size_t>(kind_)].key; }
   const std::string& wrong() const { return wrong_; }
-  const std::string& where() const {
-    return where_;
-  }  // a file, a file:line, an address; empty: the words say it
+  // A file, a file:line or an address; empty if the message itself states the place.
+  const std::string& where() const { return where_; }
   const std::string& remedy() const { return remedy_; }
 
  protected:
@@ -62,7 +66,7 @@
       : kind_(kind),
         wrong_(std::move(wrong)),
         where_(std::move(where)),
-        remedy_(remedy.empty() ? std::string(error_words[static_cast<std::size_t>(kind)].remedy)
+        remedy_(remedy.empty() ? std::string(error_texts[static_cast<std::size_t>(kind)].remedy)
                                : std::move(remedy)),
         line_(where_.empty() ? wrong_ : where_ + ": " + wrong_) {}
 
@@ -71,17 +75,20 @@
   std::string wrong_, where_, remedy_, line_;
 };
 
+// The error type of one kind.
 template <ErrorKind Kind>
 class ErrorOf : public Error {
  public:
   explicit ErrorOf(std::string wrong, std::string where = "", std::string remedy = "")
       : Error(Kind, std::move(wrong), std::move(where), std::move(remedy)) {}
-  // The same, found within something else: a value of a line, a line of a file.
+  // An error of this kind with the message of `inner` and the place `where` that contains it, such as
+  // file:line for an unusable value. Keeps the remedy of `inner` if it is more specific than that of its
+  // kind.
   static ErrorOf within(const std::string& where, const std::exception& inner) {
-    const auto* fault = dynamic_cast<const Error*>(&inner);
-    const bool knows_better =
-        fault && fault->remedy() != error_words[static_cast<std::size_t>(fault->kind())].remedy;
-    return ErrorOf(inner.what(), where, knows_better ? fault->remedy() : "");
+    const auto* error = dynamic_cast<const Error*>(&inner);
+    const bool has_specific_remedy =
+        error && error->remedy() != error_texts[static_cast<std::size_t>(error->kind())].remedy;
+    return ErrorOf(inner.what(), where, has_specific_remedy ? error->remedy() : "");
   }
 };
 
@@ -90,14 +97,14 @@
 using ConfigurationError = ErrorOf<ErrorKind::configuration>;
 using AddressError = ErrorOf<ErrorKind::address>;
 using ListeningError = ErrorOf<ErrorKind::listening>;
-// The selector's own, with its column: ctl/selector.h.
+// The error type of ErrorKind::selector, which also has the column, is in ctl/selector.h.
 using KeysError = ErrorOf<ErrorKind::keys>;
 using MessageError = ErrorOf<ErrorKind::message>;
 using SystemError = ErrorOf<ErrorKind::system>;
-using TestClusterError = ErrorOf<ErrorKind::site>;
+using TestClusterError = ErrorOf<ErrorKind::test_cluster>;
 
-// The two lines at the top of a program: what is wrong, and what to do. Any other exception is a case that
-// nobody thought of, and is told as one.
+// Prints two lines: what is wrong, and what to do about it. An exception of any other type is an unexpected
+// case, and is printed as unforeseen.
 void print_error(std::ostream& to, std::string_view program, const std::exception& error);
 
 }  // namespace pearchute
--- a/src/ini/reader.cpp
+++ b/src/ini/reader.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 
-struct Reading {
+struct ParseState {
   const Value& value;
-  std::set<std::pair<std::string, std::string>> seen;
-  std::exception_ptr fault = nullptr;
+  std::set<std::pair<std::string, std::string>> seen_names;
+  std::exception_ptr error = nullptr;
 };
 
-// The library tells the first line whose value is not taken.
-int take(void* user, const char* section, const char* name, const char* text) {
-  Reading& reading = *static_cast<Reading*>(user);
-  if (reading.fault) return 0;
+// The callback of inih; returns 0 for an unusable line, of which inih reports the first one.
+int on_line(void* user, const char* section, const char* name, const char* text) {
+  ParseState& state = *static_cast<ParseState*>(user);
+  if (state.error) return 0;
   try {
-    if (!reading.seen.emplace(section, name).second)
-      throw Error("'" + std::string(name) + "' comes twice in [" + section + "]");
-    reading.value(section, name, text);
+    if (!state.seen_names.emplace(section, name).second)
+      throw Error("'" + std::string(name) + "' is set twice in [" + section + "]");
+    state.value(section, name, text);
     return 1;
   } catch (const std::exception&) {
-    reading.fault = std::current_exception();
+    state.error = std::current_exception();
     return 0;
   }
 }
@@ -40,48 +40,48 @@
   return std::string(text);
 }
 
-// Throws ResourceShortage where it can't be had just now.
-std::string text_of(const std::string& file) {
+// Throws ResourceShortage if the file cannot be read now, Error if it cannot be read at all.
+std::string read_text(const std::string& file) {
   try {
     return read_file(file);
   } catch (const ResourceShortage&) {
     throw;
-  } catch (const SystemError& fault) {
-    throw Error("can't be read", file, fault.remedy());
+  } catch (const SystemError& error) {
+    throw Error("can't be read", file, error.remedy());
   }
 }
 
 }  // namespace
 
 void read(const std::string& file, const Value& value) {
-  Reading reading{value, {}, nullptr};
-  const int line = ini_parse_string(text_of(file).c_str(), take, &reading);
+  ParseState state{value, {}, nullptr};
+  const int line = ini_parse_string(read_text(file).c_str(), on_line, &state);
   if (line == 0) return;
-  if (line < 0) throw ResourceShortage("can't be read: no memory", file);
+  if (line < 0) throw ResourceShortage("can't be read: out of memory", file);
   const std::string where = file + ":" + std::to_string(line);
-  if (!reading.fault) throw Error("neither [section] nor name = value", where);
+  if (!state.error) throw Error("expected [section] or name = value", where);
   try {
-    std::rethrow_exception(reading.fault);
-  } catch (const std::exception& fault) {
-    throw Error::within(where, fault);
+    std::rethrow_exception(state.error);
+  } catch (const std::exception& error) {
+    throw Error::within(where, error);
   }
 }
 
-std::int64_t whole(std::string_view name, std::string_view text, std::int64_t least, std::int64_t most) {
+std::int64_t whole(std::string_view name, std::string_view text, std::int64_t min, std::int64_t max) {
   std::int64_t number = 0;
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (error != std::errc{} || stop != text.data() + text.size())
-    throw Error("'" + std::string(name) + "' is no whole number: " + std::string(text));
-  if (number < least || number > most)
-    throw Error("'" + std::string(name) + "' has to be from " + std::to_string(least) + " to " +
-                std::to_string(most));
+  const bool is_integer = error == std::errc{} && stop == text.data() + text.size();
+  if (!is_integer || number < min || number > max) {
+    throw Error("'" + std::string(name) + "': expected an integer from " + std::to_string(min) + " to " +
+                std::to_string(max) + ", got '" + std::string(text) + "'");
+  }
   return number;
 }
 
 bool yes(std::string_view name, std::string_view text) {
   if (text == "yes") return true;
   if (text == "no") return false;
-  throw Error("'" + std::string(name) + "' is yes or no, not " + std::string(text));
+  throw Error("'" + std::string(name) + "': expected yes or no, got '" + std::string(text) + "'");
 }
 
 std::vector<std::string> list(std::string_view text) {
--- a/tests/test_admin.cpp
+++ b/tests/test_admin.cpp
@@ -258,12 +258,14 @@
       {"[admin]\nconnections = 4\n", ": 'listen' is missing in [admin]"},
       {"[admin]\nlisten = 10.0.0.1:900\n", ":2: '10.0.0.1:900' is no loopback address"},
       {"[admin]\nlisten = unix:x\n", ":2: the path of 'unix:x' is not absolute"},
-      {"[admin]\nlisten = 127.0.0.1:900\n\nconnections = 0\n", ":4: 'connections' has to be from 1 to 64"},
-      {"[admin]\nlisten = 127.0.0.1:900\nconnections = four\n", ":3: 'connections' is no whole number: four"},
-      {"[admin]\nlisten = 127.0.0.1:900\nlisten = 127.0.0.1:901\n", ":3: 'listen' comes twice in [admin]"},
+      {"[admin]\nlisten = 127.0.0.1:900\n\nconnections = 0\n",
+       ":4: 'connections': expected an integer from 1 to 64, got '0'"},
+      {"[admin]\nlisten = 127.0.0.1:900\nconnections = four\n",
+       ":3: 'connections': expected an integer from 1 to 64, got 'four'"},
+      {"[admin]\nlisten = 127.0.0.1:900\nlisten = 127.0.0.1:901\n", ":3: 'listen' is set twice in [admin]"},
       {"[admin]\nlisten = 127.0.0.1:900\nhear = x\n", ":3: 'hear' is not known in [admin]"},
       {"[amin]\nlisten = 127.0.0.1:900\n", ":2: [amin] is not known; [admin] is"},
-      {"[admin]\nwhat is this\n", ":2: neither [section] nor name = value"},
+      {"[admin]\nwhat is this\n", ":2: expected [section] or name = value"},
   };
   for (const Case& c : terms) {
     const std::string file = write("terms.ini", c.text);
--- a/tests/test_capacity.cpp
+++ b/tests/test_capacity.cpp
@@ -53,7 +53,7 @@
       {"= 630 managers", "= nan managers", {"'managers' is no number"}},
       {"managers = 630", "manager = 630", {"'manager' is not known in [letter]"}},
       {"[assumptions]", "[guesses]", {"[guesses] is not known"}},
-      {"zones = 7 zones", "zones = 7 zones\nzones = 7 zones", {"'zones' comes twice"}},
+      {"zones = 7 zones", "zones = 7 zones\nzones = 7 zones", {"'zones' is set twice"}},
       {"zones = 7 zones", "zones = 4 zones", {"'zones_of_larger_region' is less than 'zones'"}},
       {"engines_connected = 100 %", "engines_connected = 101 %", {"at most 100 %"}},
       {"peak_to_mean = 2", "peak_to_mean = 0.5", {"'peak_to_mean' is at least 1"}},
--- a/tests/test_slope_fits.cpp
+++ b/tests/test_slope_fits.cpp
@@ -150,10 +150,10 @@
       {"point_1 = 80:95.1235", "point_1 = -80:95", {section, "negative driver"}},
       {"point_2 = ", "point_3 = ", {"'point_3'", "out of order"}},
       {"point_2 = 160:111.3\npoint_3 = 320:147.9\npoint_4 = 1024:290.25\n", "", {section, "2 sizes"}},
-      {"role = manager\n", "role = manager\nrole = manager\n", {"'role' comes twice"}},
+      {"role = manager\n", "role = manager\nrole = manager\n", {"'role' is set twice"}},
       {"left_out_measured = 225", "left_out_measured = 200", {section, "'left_out_error'"}},
       {"a = ", "a = 1", {section, "'left_out_predicted'"}},
-      {"[manager.statement", "nonsense\n[manager.statement", {":3", "neither"}},
+      {"[manager.statement", "nonsense\n[manager.statement", {":3", "expected [section] or name = value"}},
       {"[manager.statement", "x = 1\n[manager.statement", {"before the first"}}};
   for (const Case& one : cases) {
     write_file(scratch_file, with(good, one.from, one.to));
@@ -162,7 +162,7 @@
     must_say(error_of([] { read_slopes(scratch_file); }), parts);
   }
   write_file(scratch_file, good + good);
-  must_say(error_of([] { read_slopes(scratch_file); }), {scratch_file, "comes twice"});
+  must_say(error_of([] { read_slopes(scratch_file); }), {scratch_file, "'role' is set twice in ["});
   must_say(error_of([] { read_slopes("not_there.ini"); }), {"not_there.ini", "can't be read"});
 
   Slope unwritable = two_slopes()[0];
