--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -28,185 +28,205 @@
   return duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-std::uint64_t in_ms(Duration span) {
+std::uint64_t to_ms(Duration span) {
   return static_cast<std::uint64_t>(std::max<Duration::rep>(span.count() / 1000, 0));
 }
 
-AdminState standing_of(EngineState state) {
+AdminState admin_state_of(EngineState state) {
   return state == EngineState::up         ? AdminState::up
          : state == EngineState::draining ? AdminState::draining
                                           : AdminState::gone;
 }
 
-EngineState state_of(AdminState standing) {
-  return standing == AdminState::up         ? EngineState::up
-         : standing == AdminState::draining ? EngineState::draining
-                                            : EngineState::removed;
+EngineState engine_state_of(AdminState state) {
+  return state == AdminState::up         ? EngineState::up
+         : state == AdminState::draining ? EngineState::draining
+                                         : EngineState::removed;
 }
 
+// The names below are sent over the admin channel.
 std::string_view name_of(EjectionReason reason) {
-  constexpr std::string_view words[] = {"", "errors", "unreachable", "unanswered", "silent"};
-  return words[static_cast<int>(reason)];
+  constexpr std::string_view names[] = {"", "errors", "unreachable", "unanswered", "silent"};
+  return names[static_cast<int>(reason)];
 }
 
-std::string_view name_of(QueuedFor waits) {
-  constexpr std::string_view words[] = {"", "its turn in the order of its key", "its key to rest",
+std::string_view name_of(QueuedFor cause) {
+  constexpr std::string_view names[] = {"", "its turn in the order of its key", "its key to rest",
                                         "the ration of further dispatches", "room on an engine"};
-  return words[static_cast<int>(waits)];
+  return names[static_cast<int>(cause)];
 }
 
 std::string_view name_of(fleet::Quiescence::State state) {
-  constexpr std::string_view words[] = {"serving", "draining", "drained"};
-  return words[static_cast<int>(state)];
+  constexpr std::string_view names[] = {"serving", "draining", "drained"};
+  return names[static_cast<int>(state)];
 }
 
+// The resident memory of the process, in KiB.
 std::uint64_t memory_kb() {
   std::ifstream file("/proc/self/statm");
-  std::uint64_t all = 0, resident = 0;
-  file >> all >> resident;
-  return resident * static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE)) / 1024;
+  std::uint64_t total_pages = 0, resident_pages = 0;
+  file >> total_pages >> resident_pages;
+  return resident_pages * static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE)) / 1024;
 }
 
-// How much goes into one answer: a message less what stands round its list.
-class Room {
+// The bytes that the items of a list may take in one reply: a frame less what surrounds the list.
+class ReplyBudget {
  public:
+  // Deducts the item with its encoding. Returns false where the reply is full: the item must be left out.
   template <class Item>
-  bool takes(const Item& item) {
-    left_ -= std::min(left_, item.ByteSizeLong() + 8);
-    return left_ > 0;
+  bool take(const Item& item) {
+    constexpr std::size_t encoding_bytes = 8;
+    remaining_bytes_ -= std::min(remaining_bytes_, item.ByteSizeLong() + encoding_bytes);
+    return remaining_bytes_ > 0;
   }
 
  private:
-  std::size_t left_ = admin::max_frame_bytes - 1024;
+  static constexpr std::size_t bytes_around_list = 1024;
+  std::size_t remaining_bytes_ = admin::max_frame_bytes - bytes_around_list;
 };
 
-class AdminBinding final : public net::Program::Annex,
+// The most items in one reply that lists engines or requests.
+constexpr std::uint32_t max_page_items = 200;
+constexpr int max_orders_per_engine = 4;  // in a reply that lists engines
+constexpr int max_orders_in_reply = 16;   // in the reply to an order
+constexpr std::uint64_t max_shutdown_timeout_ms = 24 * 3600 * 1000;
+
+std::uint32_t page_items(const admin::v1::Page& page) {
+  return page.most() == 0 ? max_page_items : std::min(page.most(), max_page_items);
+}
+
+// Connects the admin channel, the drain directives and the drain of the manager with the running program.
+class AdminBinding final : public net::Program::Extension,
                            public admin::CallHandler,
                            public fleet::Drains::Host,
                            public fleet::Quiescence::Host {
  public:
-  AdminBinding(const admin::AdminConfig& config, const std::string& file, const net::Program::Parts& parts)
-      : parts_(parts),
+  AdminBinding(const admin::AdminConfig& config, const std::string& file,
+               const net::Program::Components& components)
+      : components_(components),
         config_(config),
         started_unix_(unix_now()),
         directives_file_(config.orders_file),
         drains_(*this),
         quiescence_(*this, config.health_check_delay),
         configuration_(file),
-        admin_server_(parts.loop, config, *this) {
-    parts_.front.set_trace_listener([this](std::string_view text) { tell("remark", "", text); });
-    if (!config.orders_file.empty()) remember();
+        admin_server_(components.loop, config, *this) {
+    components_.front.set_trace_listener(
+        [this](std::string_view text) { publish_event("remark", "", text); });
+    if (!config.orders_file.empty()) restore_directives();
   }
-  ~AdminBinding() override { parts_.front.set_trace_listener({}); }
+  ~AdminBinding() override { components_.front.set_trace_listener({}); }
 
-  // ---- The program and the list of engines
+  // ---- net::Program::Extension
 
-  void on_endpoints_changed(EndpointUpdate news, const std::vector<DiscoveredEndpoint>& endpoints) override {
+  void on_endpoints_changed(EndpointUpdate update,
+                            const std::vector<DiscoveredEndpoint>& endpoints) override {
     const Duration now = now_since_start();
     std::vector<DiscoveredEndpoint> merged = endpoints;
-    std::set<std::string> named;
+    std::set<std::string> discovered_names;
     for (DiscoveredEndpoint& endpoint : merged) {
-      named.insert(endpoint.name);
-      const DiscoveredEndpoint* before = nullptr;
-      if (const auto at = endpoints_.find(endpoint.name); at != endpoints_.end()) before = &at->second;
-      const EngineState said = endpoint.engine.state;
-      const AdminState standing =
-          drains_.on_discovery_update(now, endpoint.name, endpoint.address, standing_of(said));
-      if (!before || before->engine.state != said)
-        tell("engine", endpoint.name, "the channel says " + std::string(fleet::name_of(standing_of(said))));
-      if (said == EngineState::removed) {
+      discovered_names.insert(endpoint.name);
+      const DiscoveredEndpoint* previous = nullptr;
+      if (const auto at = endpoints_.find(endpoint.name); at != endpoints_.end()) previous = &at->second;
+      const EngineState discovered = endpoint.engine.state;
+      const AdminState merged_state =
+          drains_.on_discovery_update(now, endpoint.name, endpoint.address, admin_state_of(discovered));
+      if (!previous || previous->engine.state != discovered)
+        publish_event("engine", endpoint.name,
+                      "the channel says " + std::string(fleet::name_of(admin_state_of(discovered))));
+      if (discovered == EngineState::removed) {
         endpoints_.erase(endpoint.name);
       } else {
-        DiscoveredEndpoint& kept = endpoints_[endpoint.name];
-        const std::string address = kept.address;
-        kept = endpoint;
-        if (kept.address.empty()) kept.address = address;
+        DiscoveredEndpoint& stored = endpoints_[endpoint.name];
+        const std::string previous_address = stored.address;
+        stored = endpoint;
+        if (stored.address.empty()) stored.address = previous_address;
       }
-      endpoint.engine.state = state_of(standing);
+      endpoint.engine.state = engine_state_of(merged_state);
     }
-    if (news != EndpointUpdate::delta) {
-      std::erase_if(endpoints_, [&](const auto& one) { return !named.contains(one.first); });
-      drains_.on_discovery_snapshot(now, named);
+    if (update != EndpointUpdate::delta) {
+      std::erase_if(endpoints_, [&](const auto& entry) { return !discovered_names.contains(entry.first); });
+      drains_.on_discovery_snapshot(now, discovered_names);
     }
-    parts_.front.on_endpoints_changed(news, merged);
+    components_.front.on_endpoints_changed(update, merged);
   }
-  void entered(net::Program::Phase phase) override {
+  void on_phase_entered(net::Program::Phase phase) override {
     phase_ = phase;
-    tell("phase", "", net::Program::name_of(phase));
+    publish_event("phase", "", net::Program::name_of(phase));
   }
-  void looked(TimePoint now) override {
-    configuration_.looked();
+  void on_poll(TimePoint now) override {
+    configuration_.on_poll();
     if (phase_ < net::Program::Phase::leaving)
-      quiescence_.update(now.time_since_epoch(), parts_.front.idle());
+      quiescence_.update(now.time_since_epoch(), components_.front.idle());
   }
 
-  // ---- What orders do
+  // ---- fleet::Drains::Host and fleet::Quiescence::Host
 
-  void engine_state_changed(const std::string& engine, AdminState standing) override {
+  void engine_state_changed(const std::string& engine, AdminState state) override {
     const auto at = endpoints_.find(engine);
     if (at == endpoints_.end()) return;
     DiscoveredEndpoint endpoint = at->second;
-    endpoint.engine.state = state_of(standing);
-    tell("engine", engine, "by orders it is " + std::string(fleet::name_of(standing)));
-    parts_.front.on_endpoints_changed(EndpointUpdate::delta, {endpoint});
+    endpoint.engine.state = engine_state_of(state);
+    publish_event("engine", engine, "by orders it is " + std::string(fleet::name_of(state)));
+    components_.front.on_endpoints_changed(EndpointUpdate::delta, {endpoint});
   }
   void manager_drains(bool drains) override {
-    quiescence_.set_drain_ordered(now_since_start(), drains, parts_.front.idle());
+    quiescence_.set_drain_ordered(now_since_start(), drains, components_.front.idle());
   }
   void wake_at(Duration when) override {
-    if (wake_ && *wake_ <= when && *wake_ > now_since_start()) return;
-    wake_ = when;
-    parts_.loop.at(TimePoint(when), [this] {
-      wake_.reset();
+    if (next_timer_ && *next_timer_ <= when && *next_timer_ > now_since_start()) return;
+    next_timer_ = when;
+    components_.loop.at(TimePoint(when), [this] {
+      next_timer_.reset();
       drains_.on_timer(now_since_start());
     });
   }
   void directives_changed() override {
-    tell("order", "", std::to_string(drains_.in_force().size()) + " orders are in force");
+    publish_event("order", "", std::to_string(drains_.in_force().size()) + " orders are in force");
     if (config_.orders_file.empty()) return;
-    std::string fault;
-    if (directives_file_.write(drains_.all(), now_since_start(), unix_now(), fault)) {
-      unwritten_.clear();
+    std::string error;
+    if (directives_file_.write(drains_.all(), now_since_start(), unix_now(), error)) {
+      write_problem_.clear();
       return;
     }
-    unwritten_ = "orders can't be written to " + config_.orders_file + " (" + fault +
-                 "): they hold, and would be lost with the manager";
-    PEARCHUTE_LOG(spdlog::level::err, "{}", unwritten_);
+    write_problem_ = "cannot write orders to " + config_.orders_file + " (" + error +
+                     "): they are in force now, but a restart of the manager loses them";
+    PEARCHUTE_LOG(spdlog::level::err, "{}", write_problem_);
   }
   void log(std::string_view text) override {
     PEARCHUTE_LOG(spdlog::level::info, "{}", text);
-    tell("order", "", text);
+    publish_event("order", "", text);
   }
-  void reject_requests(bool away) override { parts_.front.set_draining(away); }
-  void end() override { parts_.end(); }
+  void reject_requests(bool rejecting) override { components_.front.set_draining(rejecting); }
+  void end() override { components_.end(); }
   void state_changed(fleet::Quiescence::State state) override {
     spdlog::info("the manager is {}", name_of(state));
-    tell("rest", "", name_of(state));
+    publish_event("rest", "", name_of(state));
   }
 
-  // ---- Calls
+  // ---- admin::CallHandler
 
   void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override {
     using Call = admin::v1::Call;
     switch (call.what_case()) {
       case Call::kWho:
-        return identify(*reply.mutable_identity());
+        return fill_identity(*reply.mutable_identity());
       case Call::kStatus:
-        return tell_status(*reply.mutable_status());
+        return fill_status(*reply.mutable_status());
       case Call::kEngines:
-        return visit_engines(call.engines(), *reply.mutable_engines());
+        return fill_engines(call.engines(), *reply.mutable_engines());
       case Call::kJobs:
-        return tell_jobs(call.jobs(), *reply.mutable_jobs());
+        return fill_requests(call.jobs(), *reply.mutable_jobs());
       case Call::kOrder:
-        return take_order(call.order(), reply);
+        return apply_directive(call.order(), reply);
       case Call::kOrders:
-        return tell_orders(call.orders().orders(), *reply.mutable_orders());
+        return fill_directives(call.orders().orders(), *reply.mutable_orders());
       case Call::kEnd:
         return request_shutdown(call.end(), reply);
       case Call::kLogLevel:
         return set_log_level(call.log_level().level(), reply);
       case Call::kWatch:
-        return watch(reply);
+        return begin_watch(reply);
       case Call::kConfigure:
         return configuration_.configure(call.configure(), reply);
       case Call::WHAT_NOT_SET:
@@ -215,93 +235,93 @@
   }
 
  private:
-  // The fleet's decisions take moments as time since the start.
-  Duration now_since_start() const { return parts_.loop.now().time_since_epoch(); }
-  void remember() {
-    const auto found = directives_file_.read(unix_now());
-    if (found.damaged) {
-      damage_ = "the orders in " + config_.orders_file + " are lost (" + found.error +
-                "): what was drained by an order is not any more; give the orders again";
+  // The time by the clock of fleet::Drains and fleet::Quiescence.
+  Duration now_since_start() const { return components_.loop.now().time_since_epoch(); }
+  // Restores the directives of the previous process. A damaged file is reported in the status.
+  void restore_directives() {
+    const auto persisted = directives_file_.read(unix_now());
+    if (persisted.damaged) {
+      damage_ = "the orders in " + config_.orders_file + " are lost (" + persisted.error +
+                "): what they drained is no longer drained; give the orders again";
       spdlog::error("{}", damage_);
     }
-    for (const auto& [directive, remaining] : found.directives)
+    for (const auto& [directive, remaining] : persisted.directives)
       drains_.restore(now_since_start(), directive, remaining);
-    if (!found.directives.empty())
-      spdlog::info("{} orders from before the start hold", drains_.in_force().size());
+    if (!persisted.directives.empty())
+      spdlog::info("restored {} orders from before the restart", drains_.in_force().size());
   }
 
-  void identify(admin::v1::Identity& identity) const {
-    identity.set_name(parts_.name);
+  void fill_identity(admin::v1::Identity& identity) const {
+    identity.set_name(components_.name);
     identity.set_build(PEARCHUTE_VERSION);
     identity.set_phase(std::string(net::Program::name_of(phase_)));
     identity.set_rest(std::string(name_of(quiescence_.state())));
     identity.set_started_unix_ms(static_cast<std::uint64_t>(started_unix_.count()));
     identity.set_pid(static_cast<std::uint64_t>(::getpid()));
-    identity.set_digest(parts_.digest);
+    identity.set_digest(components_.digest);
     identity.set_protocol(1);
   }
 
-  void tell_status(admin::v1::Status& status) {
-    identify(*status.mutable_identity());
-    status.set_counters(parts_.counters());
-    status.set_open_jobs(parts_.front.open_requests());
-    status.set_held_jobs(parts_.front.queued_requests());
-    for (const auto& [waits, count] : parts_.front.count_queued_by_cause())
-      (*status.mutable_held_by_reason())[std::string(name_of(waits))] = count;
-    std::uint64_t up = 0, draining = 0, left_out = 0;
+  void fill_status(admin::v1::Status& status) {
+    fill_identity(*status.mutable_identity());
+    status.set_counters(components_.counters());
+    status.set_open_jobs(components_.front.open_requests());
+    status.set_held_jobs(components_.front.queued_requests());
+    for (const auto& [cause, count] : components_.front.count_queued_by_cause())
+      (*status.mutable_held_by_reason())[std::string(name_of(cause))] = count;
+    std::uint64_t up = 0, draining = 0, ejected = 0;
     const Duration now = now_since_start();
-    parts_.front.visit_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
+    components_.front.visit_engines([&](const Engine& engine, const auto&, const auto&, Duration) {
       up += engine.is_up;
       draining += engine.endpoint.state == EngineState::draining;
-      left_out += engine.is_up && TimePoint(now) < engine.health.ejected_until;
+      ejected += engine.is_up && TimePoint(now) < engine.health.ejected_until;
     });
-    status.set_engines_up(up), status.set_engines_draining(draining), status.set_engines_left_out(left_out);
+    status.set_engines_up(up), status.set_engines_draining(draining), status.set_engines_left_out(ejected);
     status.set_orders(drains_.in_force().size());
     status.set_ending(quiescence_.ending() || phase_ >= net::Program::Phase::leaving);
-    status.set_trouble(damage_.empty() ? unwritten_ : damage_);
+    status.set_trouble(damage_.empty() ? write_problem_ : damage_);
     status.set_memory_kb(memory_kb());
-    status.set_descriptors(parts_.loop.descriptors());
-    configuration_.tell(status);
+    status.set_descriptors(components_.loop.descriptors());
+    configuration_.fill_status(status);
   }
 
-  static void fill(admin::v1::Order& to, const fleet::ActiveDirective& held, Duration now) {
-    to.set_id(held.order.id), to.set_subject(held.order.subject), to.set_holder(held.order.holder);
-    to.set_generation(held.order.generation), to.set_drains(held.order.drains);
-    to.set_reason(held.order.reason), to.set_lease_ms(in_ms(held.until - now));
+  static void fill(admin::v1::Order& to, const fleet::ActiveDirective& active, Duration now) {
+    to.set_id(active.order.id), to.set_subject(active.order.subject), to.set_holder(active.order.holder);
+    to.set_generation(active.order.generation), to.set_drains(active.order.drains);
+    to.set_reason(active.order.reason), to.set_lease_ms(to_ms(active.until - now));
   }
 
-  void visit_engines(const admin::v1::Page& page, admin::v1::Engines& engines) const {
-    // By name, a page at a time, as many as fit.
-    constexpr std::uint32_t most = 200;
-    const std::uint32_t wanted = page.most() == 0 ? most : std::min(page.most(), most);
-    std::map<EngineId, const DiscoveredEndpoint*> shown;
+  // One page of the engines, in the order of their names: as many as the page asks for and the reply holds.
+  void fill_engines(const admin::v1::Page& page, admin::v1::Engines& engines) const {
+    const std::uint32_t max_engines = page_items(page);
+    std::map<EngineId, const DiscoveredEndpoint*> on_page;
     for (auto at = endpoints_.upper_bound(page.after()); at != endpoints_.end(); ++at) {
-      if (shown.size() == wanted) {
+      if (on_page.size() == max_engines) {
         engines.set_more(true);
         break;
       }
-      shown[at->second.engine.id] = &at->second;
+      on_page[at->second.engine.id] = &at->second;
     }
     const Duration now = now_since_start();
     std::map<std::string, admin::v1::Engine> by_name;
-    parts_.front.visit_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& belief,
-                                   const net::EnginePool::SocketStats& sockets, Duration oldest) {
-      const auto at = shown.find(engine.endpoint.id);
-      if (at == shown.end()) return;
+    components_.front.visit_engines([&](const Engine& engine, const WorkloadManager::EngineEstimate& estimate,
+                                        const net::EnginePool::SocketStats& sockets, Duration oldest) {
+      const auto at = on_page.find(engine.endpoint.id);
+      if (at == on_page.end()) return;
       const DiscoveredEndpoint& endpoint = *at->second;
       admin::v1::Engine& to = by_name[endpoint.name];
       to.set_name(endpoint.name), to.set_address(endpoint.address);
-      const auto name_at = [](const std::vector<std::string>& names, int position) {
-        return position >= 0 ? names[static_cast<std::size_t>(position)] : std::string();
+      const auto name_at = [](const std::vector<std::string>& names, int index) {
+        return index >= 0 ? names[static_cast<std::size_t>(index)] : std::string();
       };
-      to.set_zone(name_at(parts_.deployment.zones, endpoint.engine.zone.value));
-      to.set_kind(name_at(parts_.deployment.kinds, endpoint.engine.kind.value));
-      to.set_said(std::string(fleet::name_of(standing_of(endpoint.engine.state))));
+      to.set_zone(name_at(components_.deployment.zones, endpoint.engine.zone.value));
+      to.set_kind(name_at(components_.deployment.kinds, endpoint.engine.kind.value));
+      to.set_said(std::string(fleet::name_of(admin_state_of(endpoint.engine.state))));
       to.set_state(std::string(fleet::name_of(drains_.state_of(endpoint.name))));
-      to.set_cold(belief.is_cold), to.set_live_mb(engine.ledger.reserved_mb()),
-          to.set_capacity_mb(belief.capacity_mb);
+      to.set_cold(estimate.is_cold), to.set_live_mb(engine.ledger.reserved_mb()),
+          to.set_capacity_mb(estimate.capacity_mb);
       to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.ledger.reserved_threads(), 0)));
-      to.set_slots(belief.slots), to.set_closed_for_ms(in_ms(engine.health.ejected_until - TimePoint(now)));
+      to.set_slots(estimate.slots), to.set_closed_for_ms(to_ms(engine.health.ejected_until - TimePoint(now)));
       if (TimePoint(now) < engine.health.ejected_until || engine.health.on_probation)
         to.set_closed_why(std::string(name_of(engine.health.ejection_reason)));
       to.set_on_trial(engine.health.on_probation), to.set_pace(engine.latency.ratio),
@@ -309,75 +329,77 @@
       to.set_connections(static_cast<std::uint32_t>(sockets.connections));
       to.set_dispatches(static_cast<std::uint32_t>(sockets.dispatches));
       to.set_kept_back(static_cast<std::uint32_t>(sockets.unsent_requests));
-      to.set_oldest_ms(in_ms(oldest));
-      for (const fleet::ActiveDirective& held : drains_.in_force(endpoint.name)) {
-        if (to.orders_size() < 4) fill(*to.add_orders(), held, now);
+      to.set_oldest_ms(to_ms(oldest));
+      for (const fleet::ActiveDirective& active : drains_.in_force(endpoint.name)) {
+        if (to.orders_size() < max_orders_per_engine) fill(*to.add_orders(), active, now);
       }
     });
-    Room room;
+    ReplyBudget budget;
     for (auto& [name, engine] : by_name) {
-      if (!room.takes(engine)) return engines.set_more(true);
+      if (!budget.take(engine)) return engines.set_more(true);
       *engines.add_engines() = std::move(engine);
     }
   }
 
-  void tell_jobs(const admin::v1::Page& page, admin::v1::Jobs& jobs) {
-    constexpr std::uint32_t most = 200;
+  // The oldest open requests, as many as the page asks for and the reply holds.
+  void fill_requests(const admin::v1::Page& page, admin::v1::Jobs& jobs) {
     std::map<EngineId, std::string> names;
     for (const auto& [name, endpoint] : endpoints_) names[endpoint.engine.id] = name;
-    jobs.set_all(parts_.front.open_requests());
-    Room room;
-    parts_.front.visit_requests(page.most() == 0 ? most : std::min(page.most(), most),
-                                [&](const net::Front::RequestView& job) {
-                                  admin::v1::Job to;
-                                  to.set_id(job.id), to.set_type(job.type);
-                                  to.set_age_ms(in_ms(job.age)), to.set_left_ms(job.left.count() / 1000);
-                                  to.set_dispatches(static_cast<std::uint32_t>(job.dispatches));
-                                  for (const EngineId engine : job.out) to.add_out(names[engine]);
-                                  to.set_waits_for(std::string(name_of(job.waits)));
-                                  if (room.takes(to)) *jobs.add_jobs() = std::move(to);
-                                });
+    jobs.set_all(components_.front.open_requests());
+    ReplyBudget budget;
+    components_.front.visit_requests(page_items(page), [&](const net::Front::RequestView& request) {
+      admin::v1::Job to;
+      to.set_id(request.id), to.set_type(request.type);
+      to.set_age_ms(to_ms(request.age)), to.set_left_ms(request.left.count() / 1000);
+      to.set_dispatches(static_cast<std::uint32_t>(request.dispatches));
+      for (const EngineId engine : request.out) to.add_out(names[engine]);
+      to.set_waits_for(std::string(name_of(request.waits)));
+      if (budget.take(to)) *jobs.add_jobs() = std::move(to);
+    });
   }
 
-  void take_order(const admin::v1::Order& from, admin::v1::Reply& reply) {
+  void apply_directive(const admin::v1::Order& from, admin::v1::Reply& reply) {
     const Duration now = now_since_start();
-    const auto came = std::chrono::steady_clock::now().time_since_epoch();
-    fleet::DrainDirective order;
-    order.id = from.id(), order.subject = from.subject(), order.holder = from.holder();
-    order.generation = from.generation(), order.drains = from.drains(), order.all_holders = from.everyone();
-    order.reason = from.reason();
-    const std::uint64_t most = in_ms(fleet::Drains::max_lease) + 1;
-    order.lease = milliseconds(std::min(from.lease_ms(), most));
-    const fleet::DirectiveResult verdict = drains_.apply(now, order);
+    const auto received_at = std::chrono::steady_clock::now().time_since_epoch();
+    fleet::DrainDirective directive;
+    directive.id = from.id(), directive.subject = from.subject(), directive.holder = from.holder();
+    directive.generation = from.generation(), directive.drains = from.drains(),
+    directive.all_holders = from.everyone();
+    directive.reason = from.reason();
+    // Clamped against overflow; a lease over the maximum is still rejected as unusable.
+    const std::uint64_t max_lease_ms = to_ms(fleet::Drains::max_lease) + 1;
+    directive.lease = milliseconds(std::min(from.lease_ms(), max_lease_ms));
+    const fleet::DirectiveResult result = drains_.apply(now, directive);
     admin::v1::Ordered& ordered = *reply.mutable_ordered();
-    const bool done = verdict == fleet::DirectiveResult::done || verdict == fleet::DirectiveResult::repeated;
+    const bool done = result == fleet::DirectiveResult::done || result == fleet::DirectiveResult::repeated;
     if (!done) {
-      reply.set_outcome(verdict == fleet::DirectiveResult::unusable ? admin::v1::unusable
-                                                                    : admin::v1::refused);
-      reply.set_fault("the order is " + std::string(fleet::name_of(verdict)));
+      reply.set_outcome(result == fleet::DirectiveResult::unusable ? admin::v1::unusable
+                                                                   : admin::v1::refused);
+      reply.set_fault("the order is " + std::string(fleet::name_of(result)));
     }
-    ordered.set_verdict(std::string(fleet::name_of(verdict)));
-    const bool own = order.subject.empty();
-    ordered.set_standing(
-        std::string(own ? name_of(quiescence_.state()) : fleet::name_of(drains_.state_of(order.subject))));
-    ordered.set_listed(own || endpoints_.contains(order.subject));
+    ordered.set_verdict(std::string(fleet::name_of(result)));
+    const bool is_for_manager = directive.subject.empty();
+    ordered.set_standing(std::string(is_for_manager ? name_of(quiescence_.state())
+                                                    : fleet::name_of(drains_.state_of(directive.subject))));
+    ordered.set_listed(is_for_manager || endpoints_.contains(directive.subject));
     ordered.set_came_monotonic_us(
-        static_cast<std::uint64_t>(duration_cast<std::chrono::microseconds>(came).count()));
+        static_cast<std::uint64_t>(duration_cast<std::chrono::microseconds>(received_at).count()));
     ordered.set_newest_generation(drains_.newest_generation());
-    for (const fleet::ActiveDirective& held : drains_.in_force()) {
-      if (held.order.subject == order.subject && ordered.in_force_size() < 16)
-        fill(*ordered.add_in_force(), held, now);
+    for (const fleet::ActiveDirective& active : drains_.in_force()) {
+      if (active.order.subject == directive.subject && ordered.in_force_size() < max_orders_in_reply)
+        fill(*ordered.add_in_force(), active, now);
     }
   }
 
-  void tell_orders(std::size_t skip, admin::v1::Orders& orders) const {
+  // The directives in force after the first `skip`, as many as the reply holds.
+  void fill_directives(std::size_t skip, admin::v1::Orders& orders) const {
     orders.set_newest_generation(drains_.newest_generation());
     const std::vector<fleet::ActiveDirective> all = drains_.in_force();
-    Room room;
+    ReplyBudget budget;
     for (std::size_t i = skip; i < all.size(); ++i) {
       admin::v1::Order order;
       fill(order, all[i], now_since_start());
-      if (!room.takes(order)) return orders.set_more(true);
+      if (!budget.take(order)) return orders.set_more(true);
       *orders.add_orders() = std::move(order);
     }
   }
@@ -386,34 +408,36 @@
     const Duration now = now_since_start();
     if (phase_ >= net::Program::Phase::leaving) {
       reply.set_outcome(admin::v1::refused);
-      reply.set_fault("the manager is ending already");
+      reply.set_fault("the manager is shutting down already");
     } else if (end.called_off()) {
-      quiescence_.cancel_shutdown(now, parts_.front.idle());
-    } else if (end.within_ms() > 24 * 3600 * 1000) {
+      quiescence_.cancel_shutdown(now, components_.front.idle());
+    } else if (end.within_ms() > max_shutdown_timeout_ms) {
       reply.set_outcome(admin::v1::unusable);
-      reply.set_fault("a day is the longest that an end may wait");
+      reply.set_fault("the shutdown timeout is " + std::to_string(end.within_ms()) +
+                      " ms; the longest is one day (86400000 ms)");
     } else {
-      quiescence_.request_shutdown(now, milliseconds(end.within_ms()), parts_.front.idle());
+      quiescence_.request_shutdown(now, milliseconds(end.within_ms()), components_.front.idle());
     }
-    identify(*reply.mutable_identity());
+    fill_identity(*reply.mutable_identity());
   }
 
   void set_log_level(const std::string& level, admin::v1::Reply& reply) {
     const auto known = {"trace", "debug", "info", "warning", "error", "off"};
     if (std::ranges::find(known, level) == known.end()) {
       reply.set_outcome(admin::v1::unusable);
-      return reply.set_fault("a log level is one of trace, debug, info, warning, error, off");
+      return reply.set_fault("unknown log level; use trace, debug, info, warning, error or off");
     }
     spdlog::set_level(spdlog::level::from_str(level));
-    identify(*reply.mutable_identity());
+    fill_identity(*reply.mutable_identity());
   }
 
-  void watch(admin::v1::Reply& reply) {
+  void begin_watch(admin::v1::Reply& reply) {
     if (admin_server_.watchers() >= config_.max_watchers) {
       reply.set_outcome(admin::v1::busy);
-      return reply.set_fault("as many watch already as may");
+      return reply.set_fault("all " + std::to_string(config_.max_watchers) +
+                             " watches that this manager allows are in use");
     }
-    identify(*reply.mutable_identity());
+    fill_identity(*reply.mutable_identity());
   }
   std::vector<admin::v1::Event> events_after(std::uint64_t after) const override {
     std::vector<admin::v1::Event> events;
@@ -423,26 +447,27 @@
     return events;
   }
 
-  void tell(std::string_view kind, std::string_view subject, std::string_view text) {
-    constexpr std::size_t kept = 128;  // some 20 kB; what an operator's program misses on its way back here
+  // Sends an event to all watches, and stores it for clients that reconnect.
+  void publish_event(std::string_view kind, std::string_view subject, std::string_view text) {
+    constexpr std::size_t max_stored_events = 128;  // about 20 kB: what a client misses while it reconnects
     admin::v1::Event& event = events_.emplace_back();
     event.set_number(++last_event_);
     event.set_unix_ms(static_cast<std::uint64_t>(unix_now().count()));
     event.set_kind(std::string(kind)), event.set_subject(std::string(subject));
     event.set_text(std::string(text));
     admin_server_.broadcast(event);
-    if (events_.size() > kept) events_.pop_front();
+    if (events_.size() > max_stored_events) events_.pop_front();
   }
 
-  const net::Program::Parts parts_;
+  const net::Program::Components components_;
   const admin::AdminConfig config_;
   const milliseconds started_unix_;
   net::Program::Phase phase_ = net::Program::Phase::starting;
-  std::map<std::string, DiscoveredEndpoint> endpoints_;  // as the channel says
+  std::map<std::string, DiscoveredEndpoint> endpoints_;  // as discovery reports them
   std::deque<admin::v1::Event> events_;
   std::uint64_t last_event_ = 0;
-  std::optional<Duration> wake_;
-  std::string damage_, unwritten_;
+  std::optional<Duration> next_timer_;  // of drains_
+  std::string damage_, write_problem_;  // of the directives file; empty where there is none
   admin::DirectivesFile directives_file_;
   fleet::Drains drains_;
   fleet::Quiescence quiescence_;
@@ -452,9 +477,9 @@
 
 }  // namespace
 
-net::Program::MakeAnnex governor_by(const admin::AdminConfig& config, const std::string& file) {
-  return [config, file](const net::Program::Parts& parts) {
-    return std::make_unique<AdminBinding>(config, file, parts);
+net::Program::MakeExtension admin_extension(const admin::AdminConfig& config, const std::string& file) {
+  return [config, file](const net::Program::Components& components) {
+    return std::make_unique<AdminBinding>(config, file, components);
   };
 }
 
--- a/src/daemon/admin_binding.h
+++ b/src/daemon/admin_binding.h
@@ -1,6 +1,7 @@
-// A running manager under its operators: answers the admin channel's calls, merges their orders into the list
-// of engines, and drains the manager. It puts the parts together; what an order does is decided by
-// fleet::Drains, when to turn calls away and end by fleet::Quiescence, and where jobs go by the module alone.
+// Connects a running manager with its admin channel: answers the channel's calls, merges operators' drain
+// directives into the endpoint list, and drains the manager. The effect of a directive is decided by
+// fleet::Drains, when to reject requests and when to exit by fleet::Quiescence, and the placement of requests
+// by the WorkloadManager alone.
 #pragma once
 
 #include "admin/admin_config.h"
@@ -8,7 +9,8 @@
 
 namespace pearchute::daemon {
 
-// `file` is the program's configuration.
-net::Program::MakeAnnex governor_by(const admin::AdminConfig& config, const std::string& file);
+// Returns a factory for the extension that serves the admin channel. `file` is the path of the program's
+// configuration.
+net::Program::MakeExtension admin_extension(const admin::AdminConfig& config, const std::string& file);
 
 }  // namespace pearchute::daemon
--- a/src/daemon/configuration_binding.cpp
+++ b/src/daemon/configuration_binding.cpp
@@ -18,7 +18,7 @@
 
 constexpr const char* version_key = "configuration_version";
 
-ConfigMark mark_in(const json& configuration) {
+ConfigMark version_in(const json& configuration) {
   const auto at = configuration.find(version_key);
   if (at == configuration.end() || !at->is_object()) return {};
   ConfigMark mark;
@@ -43,11 +43,13 @@
 }  // namespace
 
 ConfigurationBinding::ConfigurationBinding(const std::string& file)
-    : file_(file), at_start_(read_object(file)), channel_(at_start_.value("channel", "")) {
+    : file_(file),
+      configuration_at_start_(read_object(file)),
+      channel_(configuration_at_start_.value("channel", "")) {
   try {
-    taken_ = in_force_ = mark_in(at_start_);
+    accepted_ = in_force_ = version_in(configuration_at_start_);
   } catch (const json::exception& error) {
-    spdlog::warn("{} names no usable version: {}", file_, error.what());
+    spdlog::warn("{} has an invalid {}: {}", file_, version_key, error.what());
   }
 }
 
@@ -58,82 +60,85 @@
   mark.digest = call.version().digest();
   std::error_code error;
   std::string refusal;
-  if (mark.epoch == 0 || mark.digest.empty()) refusal = "no version is named";
-  else if (!std::filesystem::equivalent(call.path(), file_, error)) refusal = "this manager reads " + file_;
-  else if (mark < taken_)
-    refusal = "number " + std::to_string(taken_.number) + " is in force, which is newer";
-  else if (mark != taken_) refusal = take(mark);
+  if (mark.epoch == 0 || mark.digest.empty()) refusal = "the call names no version";
+  else if (!std::filesystem::equivalent(call.path(), file_, error))
+    refusal = "this manager's configuration file is " + file_;
+  else if (mark < accepted_)
+    refusal = "a newer version, number " + std::to_string(accepted_.number) + ", is already accepted";
+  else if (mark != accepted_) refusal = apply_candidate(mark);
 
   admin::v1::Configured& configured = *reply.mutable_configured();
   fill(*configured.mutable_in_force(), in_force_);
   if (!refusal.empty()) {
     reply.set_outcome(admin::v1::refused);
-    reply.set_fault("the configuration is refused: " + refusal);
+    reply.set_fault("the configuration was refused: " + refusal);
     configured.set_state("refused");
     configured.set_what(refusal);
-    PEARCHUTE_LOG(spdlog::level::warn, "configuration number {} is refused: {}", mark.number, refusal);
+    PEARCHUTE_LOG(spdlog::level::warn, "refused configuration number {}: {}", mark.number, refusal);
   } else if (applying_) {
     configured.set_state("applying");
-  } else if (!next_start_.empty()) {
+  } else if (!needs_restart_.empty()) {
     configured.set_state("next_start");
-    configured.set_what(next_start_);
+    configured.set_what(needs_restart_);
   } else {
     configured.set_state("in_force");
   }
 }
 
-std::string ConfigurationBinding::take(const ConfigMark& mark) {
+std::string ConfigurationBinding::apply_candidate(const ConfigMark& mark) {
   const std::string candidate = file_ + ".candidate";
   json next;
   try {
     net::Program::check(candidate);
     next = read_object(candidate);
-    if (mark_in(next) != mark) return candidate + " holds another version";
+    if (version_in(next) != mark) return candidate + " contains another version than the call names";
   } catch (const std::exception& error) {
     return error.what();
   }
   const std::string channel = next.value("channel", "");
-  if (channel.empty() && !channel_.empty()) return "the channel can't be left out while the manager runs";
+  if (channel.empty() && !channel_.empty())
+    return "the configuration has no 'channel', which cannot be removed while the manager runs";
   std::error_code error;
   std::filesystem::rename(candidate, file_, error);
-  if (error) return candidate + " can't take the place of " + file_ + ": " + error.message();
+  if (error) return "cannot rename " + candidate + " to " + file_ + ": " + error.message();
 
-  taken_ = mark;
-  next_start_ = waiting_parts(next);
-  // Applied by the program between two events, before it says that it has looked.
+  accepted_ = mark;
+  needs_restart_ = settings_that_need_restart(next);
+  // The program handles the SIGHUP before it calls on_poll(), between two events of the loop.
   applying_ = channel != channel_;
   channel_ = channel;
   if (applying_) std::raise(SIGHUP);
-  else if (next_start_.empty()) in_force_ = taken_;
-  spdlog::info("configuration number {} is taken{}", mark.number,
-               next_start_.empty() ? "" : "; for the next start: " + next_start_);
+  else if (needs_restart_.empty()) in_force_ = accepted_;
+  spdlog::info("accepted configuration number {}{}", mark.number,
+               needs_restart_.empty() ? "" : "; settings that need a restart: " + needs_restart_);
   return "";
 }
 
-// Besides what SIGHUP applies, and what is of use at a start only.
-std::string ConfigurationBinding::waiting_parts(const json& next) const {
-  static const std::set<std::string> passed_over = {"channel", "known", "seed", version_key};
+// The settings that differ from those at the start, comma-separated, without those that SIGHUP applies or
+// that only matter at a start.
+std::string ConfigurationBinding::settings_that_need_restart(const json& next) const {
+  static const std::set<std::string> ignored = {"channel", "known", "seed", version_key};
   std::set<std::string> names;
-  for (const json* one : {&at_start_, &next}) {
-    for (const auto& [name, value] : one->items()) names.insert(name);
+  for (const json* configuration : {&configuration_at_start_, &next}) {
+    for (const auto& [name, value] : configuration->items()) names.insert(name);
   }
-  std::string waiting;
+  std::string changed;
   for (const std::string& name : names) {
-    if (passed_over.contains(name)) continue;
-    const auto before = at_start_.find(name), after = next.find(name);
-    const bool same = before != at_start_.end() && after != next.end() && *before == *after;
-    if (!same) waiting += (waiting.empty() ? "" : ", ") + name;
+    if (ignored.contains(name)) continue;
+    const auto before = configuration_at_start_.find(name), after = next.find(name);
+    const bool same = before != configuration_at_start_.end() && after != next.end() && *before == *after;
+    if (!same) changed += (changed.empty() ? "" : ", ") + name;
   }
-  return waiting;
+  return changed;
 }
 
-void ConfigurationBinding::looked() {
+void ConfigurationBinding::on_poll() {
   if (!applying_) return;
   applying_ = false;
-  if (next_start_.empty()) in_force_ = taken_;
+  if (needs_restart_.empty()) in_force_ = accepted_;
 }
 
-void ConfigurationBinding::tell(admin::v1::Status& status) const {
+void ConfigurationBinding::fill_status(admin::v1::Status& status) const {
   if (in_force_.epoch > 0) fill(*status.mutable_config(), in_force_);
 }
 
--- a/src/daemon/configuration_binding.h
+++ b/src/daemon/configuration_binding.h
@@ -1,7 +1,7 @@
-// A running manager under versions of the fleet's configuration. A version comes as a candidate beside the
-// manager's own configuration file; it is checked as a start would check it, put in the file's place
-// atomically, and what can change while the manager runs is applied as SIGHUP applies it. Nothing older than
-// what was taken before is taken. The version stands in the file itself, so that it outlives the process.
+// Applies versions of the fleet's configuration to a running manager. A version is delivered as a candidate
+// file beside the manager's own configuration file. The candidate is validated as at a start and renamed over
+// that file, and the settings that can change at run time are applied as by SIGHUP. A version older than the
+// accepted one is refused. The version is part of the file, so a restart keeps it.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,27 +12,30 @@
 
 namespace pearchute::daemon {
 
+// The configuration versions of one manager.
 class ConfigurationBinding {
  public:
-  // Reads the file as the program has just read it.
+  // Reads `file`, which the program has just loaded.
   explicit ConfigurationBinding(const std::string& file);
+  // Applies the version that the call names, or reports its state where it is accepted already.
   void configure(const admin::v1::Configure& call, admin::v1::Reply& reply);
-  void tell(admin::v1::Status& status) const;
-  // The program has read the file again where it was asked to.
-  void looked();
+  // Sets the version in force; leaves it unset where the configuration names none.
+  void fill_status(admin::v1::Status& status) const;
+  // Call after the program has handled a pending SIGHUP.
+  void on_poll();
 
  private:
-  // Empty where the candidate has been taken, else why not.
-  std::string take(const fleet::ConfigMark& mark);
-  std::string waiting_parts(const nlohmann::json& next) const;
+  // Returns why the candidate is refused; empty where it is accepted.
+  std::string apply_candidate(const fleet::ConfigMark& version);
+  std::string settings_that_need_restart(const nlohmann::json& next) const;
 
   const std::string file_;
-  nlohmann::json at_start_;
+  nlohmann::json configuration_at_start_;
   std::string channel_;
-  fleet::ConfigMark taken_;     // in the file
-  fleet::ConfigMark in_force_;  // whole
-  bool applying_ = false;
-  std::string next_start_;  // what of the taken version waits for the next start
+  fleet::ConfigMark accepted_;  // the version in the file
+  fleet::ConfigMark in_force_;  // the version of which all settings are applied
+  bool applying_ = false;       // SIGHUP has been raised and is not handled yet
+  std::string needs_restart_;   // settings of the accepted version that need a restart, comma-separated
 };
 
 }  // namespace pearchute::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,6 +1,6 @@
-// The daemon's entry. The platform's build takes the configuration's name from the environment and nothing
-// else; other builds have a command line and an admin channel. What can't be started is said on standard
-// error, what is wrong and what to do, with a status of 1.
+// The entry point of pearchuted. A build without PEARCHUTE_FLEET takes the path of the configuration from the
+// environment and nothing else; other builds have a command line and an admin channel. A failed start writes
+// the error and its remedy to standard error and exits with status 1, an invalid command line with status 2.
 #include <Poco/Exception.h>
 
 #include <cstdlib>
@@ -24,17 +24,17 @@
 
 using pearchute::net::Program;
 
-// Guards against a start that ends for what this machine is short of for a moment. A place that others hold,
-// or settings that can't be used, are told at once.
-std::unique_ptr<Program> make_when_possible(const std::function<std::unique_ptr<Program>()>& make) {
+// Retries a start that fails since the machine lacks a resource for a moment. An address in use or an invalid
+// configuration ends it at once.
+std::unique_ptr<Program> make_with_retries(const std::function<std::unique_ptr<Program>()>& make) {
   return pearchute::retry_while_short(make, [](const pearchute::ResourceShortage& shortage) {
-    PEARCHUTE_LOG(spdlog::level::warn, "not started yet: {}", shortage.what());
+    PEARCHUTE_LOG(spdlog::level::warn, "start failed, retrying: {}", shortage.what());
   });
 }
 
 int start(int argc, char** argv) {
-  const char* told = std::getenv("PROXY_CONFIG");
-  std::string file = told ? told : "";
+  const char* environment_file = std::getenv("PROXY_CONFIG");
+  std::string file = environment_file ? environment_file : "";
 #ifdef PEARCHUTE_FLEET
   CLI::App app("pearchuted, the workload manager: takes clients' jobs and sends them to query engines");
   std::string check, admin;
@@ -58,19 +58,19 @@
     std::cout << check << ": usable\n";
     return 0;
   }
-  return make_when_possible([&] {
-           Program::MakeAnnex annex;
+  return make_with_retries([&] {
+           Program::MakeExtension extension;
            if (!admin.empty())
-             annex = pearchute::daemon::governor_by(pearchute::admin::read_admin_config(admin), file);
+             extension = pearchute::daemon::admin_extension(pearchute::admin::read_admin_config(admin), file);
            return std::make_unique<Program>(file, log == "json" ? pearchute::net::json_lines() : nullptr,
-                                            annex);
+                                            extension);
          })
       ->run();
 #else
   if (argc > 1)
     throw pearchute::UsageError(std::string("this build takes no arguments: ") + argv[1], "",
                                 "set PROXY_CONFIG; a build with PEARCHUTE_FLEET=ON has a command line");
-  return make_when_possible([&] { return std::make_unique<Program>(file); })->run();
+  return make_with_retries([&] { return std::make_unique<Program>(file); })->run();
 #endif
 }
 
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -22,25 +22,25 @@
 
 namespace {
 
-volatile std::sig_atomic_t asked_to_end = 0;
-volatile std::sig_atomic_t asked_for_counters = 0;
-volatile std::sig_atomic_t asked_to_read_again = 0;
+volatile std::sig_atomic_t shutdown_requested = 0;
+volatile std::sig_atomic_t counters_requested = 0;
+volatile std::sig_atomic_t reload_requested = 0;
 
-std::string told(const char* name) {
+std::string environment_value(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
 
 json read_configuration(const std::string& path) {
   if (path.empty())
-    throw ConfigurationError("no configuration is named", "", "name one: --config FILE, or PROXY_CONFIG");
+    throw ConfigurationError("no configuration file is given", "", "pass --config FILE or set PROXY_CONFIG");
   std::string text;
   try {
     text = read_file(path);
   } catch (const ResourceShortage&) {
-    throw;  // it may be read a moment later
+    throw;  // a later try may succeed
   } catch (const SystemError& error) {
-    throw ConfigurationError("the configuration " + error.wrong(), path, error.remedy());
+    throw ConfigurationError("the configuration file " + error.wrong(), path, error.remedy());
   }
   json configuration;
   try {
@@ -49,17 +49,17 @@
     const std::string_view before = std::string_view(text).substr(0, error.byte > 0 ? error.byte - 1 : 0);
     const auto line = 1 + std::ranges::count(before, '\n');
     const std::size_t start = before.rfind('\n') == std::string_view::npos ? 0 : before.rfind('\n') + 1;
-    throw ConfigurationError("the configuration is not JSON: line " + std::to_string(line) + ", column " +
-                                 std::to_string(before.size() - start + 1),
+    throw ConfigurationError("the configuration is not valid JSON: line " + std::to_string(line) +
+                                 ", column " + std::to_string(before.size() - start + 1),
                              path);
   }
   if (!configuration.is_object()) throw ConfigurationError("the configuration is not a JSON object", path);
   return configuration;
 }
 
-// Each name that has a value of another kind is said by its name.
+// Throws ConfigurationError, which names the setting whose value is invalid.
 service::Deployment decode_settings(const json& configuration) {
-  if (!configuration.contains("settings")) throw ConfigurationError("the configuration holds no settings");
+  if (!configuration.contains("settings")) throw ConfigurationError("the configuration has no 'settings'");
   try {
     const service::FlatValues settings(configuration.at("settings"));
     return service::decode(settings.values());
@@ -69,10 +69,10 @@
 }
 
 std::string address_in(const json& configuration) {
-  std::string address = configuration.value("listen", told("PROXY_LISTEN"));
+  std::string address = configuration.value("listen", environment_value("PROXY_LISTEN"));
   if (address.empty())
-    throw ConfigurationError("no address to listen at is told", "",
-                             "name it as 'listen', or by PROXY_LISTEN");
+    throw ConfigurationError("the configuration has no address to listen on", "",
+                             "set 'listen' in the configuration, or PROXY_LISTEN");
   return address;
 }
 
@@ -82,8 +82,9 @@
   return Poco::DigestEngine::digestToHex(engine.digest()).substr(0, 16);
 }
 
-// What holds until the next start.
-std::string fixed_part(json configuration) {
+// The configuration without the parts that a reload can apply or ignores: a change to the rest needs a
+// restart.
+std::string fixed_settings(json configuration) {
   for (const char* name : {"channel", "known", "seed"}) configuration.erase(name);
   return configuration.dump();
 }
@@ -98,8 +99,8 @@
 }  // namespace
 
 std::string_view Program::name_of(Phase phase) {
-  constexpr std::string_view words[] = {"starting", "listing", "serving", "leaving", "finishing", "ended"};
-  return words[static_cast<int>(phase)];
+  constexpr std::string_view names[] = {"starting", "listing", "serving", "leaving", "finishing", "ended"};
+  return names[static_cast<int>(phase)];
 }
 
 void Program::check(const std::string& file) {
@@ -114,25 +115,26 @@
   }
 }
 
-Program::Program(const std::string& file, std::unique_ptr<spdlog::formatter> log, const MakeAnnex& annex)
+Program::Program(const std::string& file, std::unique_ptr<spdlog::formatter> log,
+                 const MakeExtension& make_extension)
     : file_(file) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGTERM, [](int) { asked_to_end = 1; });
-  std::signal(SIGINT, [](int) { asked_to_end = 1; });
-  std::signal(SIGHUP, [](int) { asked_to_read_again = 1; });
-  std::signal(SIGUSR1, [](int) { asked_for_counters = 1; });
+  std::signal(SIGTERM, [](int) { shutdown_requested = 1; });
+  std::signal(SIGINT, [](int) { shutdown_requested = 1; });
+  std::signal(SIGHUP, [](int) { reload_requested = 1; });
+  std::signal(SIGUSR1, [](int) { counters_requested = 1; });
   const json configuration = read_configuration(file_);
-  name_ = configuration.value("name", told("PROXY_NAME"));
+  name_ = configuration.value("name", environment_value("PROXY_NAME"));
   start_log(name_.empty() ? "pearchuted" : name_, std::move(log));
   const std::string address = address_in(configuration);
   deployment_ = decode_settings(configuration);
   for (const RequestType& type : deployment_.service.types)
-    give_up_after_ = std::max(give_up_after_, type.request_timeout);
-  // The platform ends the program no sooner than the longest job timeout, or three seconds, and 0.7 s more
-  // after it asked: what is open a fifth of a second before that gets its answer.
-  give_up_after_ = std::min<Duration>(give_up_after_, seconds(3)) + milliseconds(500);
+    shutdown_timeout_ = std::max(shutdown_timeout_, type.request_timeout);
+  // The platform kills the process 0.7 s after the longest request timeout, counted at 3 s at most, has
+  // passed since SIGTERM. Requests that are open 0.2 s before that get their final response.
+  shutdown_timeout_ = std::min<Duration>(shutdown_timeout_, seconds(3)) + milliseconds(500);
 
-  std::size_t descriptors = 256, memory_mb = 32;  // the least that managers get
+  std::size_t descriptors = 256, memory_mb = 32;  // the smallest limits of any manager
   if (const auto limits = configuration.find("limits"); limits != configuration.end()) {
     descriptors = limits->value("sockets", descriptors);
     memory_mb = std::max<std::size_t>(limits->value("memory_mb", memory_mb), 1);
@@ -145,145 +147,156 @@
   }
   const Duration unix_now =
       std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
-  list_ = std::make_unique<EndpointList>(
+  endpoint_list_ = std::make_unique<EndpointList>(
       deployment_, std::chrono::duration_cast<milliseconds>(unix_now - loop_.now().time_since_epoch()));
   front_ = std::make_unique<Front>(loop_, deployment_, seed_in(configuration), descriptors, memory_mb << 20,
                                    counters_);
-  if (annex) {
-    annex_ = annex({loop_, *front_, deployment_, name_, digest_of(configuration), [] { asked_to_end = 1; },
-                    [this] { return front_->counters_now(); }});
+  if (make_extension) {
+    extension_ = make_extension({loop_, *front_, deployment_, name_, digest_of(configuration),
+                                 [] { shutdown_requested = 1; }, [this] { return front_->counters_now(); }});
   }
-  list_->heard(loop_.now(), false);
+  endpoint_list_->heard(loop_.now(), false);
   if (const auto known = configuration.find("known"); known != configuration.end()) {
-    const EndpointList::Change change = list_->known(*known);
+    const EndpointList::Change change = endpoint_list_->known(*known);
     if (change.result == EndpointList::EventResult::applied)
-      list_listener().on_endpoints_changed(change.update, change.endpoints);
-    else spdlog::warn("what is known of the engines can't be read: {}", change.fault);
-    list_->heard(loop_.now(), true);
+      endpoint_listener().on_endpoints_changed(change.update, change.endpoints);
+    else spdlog::warn("ignored the endpoint list in the configuration ('known'): {}", change.fault);
+    endpoint_list_->heard(loop_.now(), true);
   }
-  door_ = std::make_unique<ListeningSocket>(
+  listener_ = std::make_unique<ListeningSocket>(
       loop_, resolved_address(address, "listen"),
       [this](const Poco::Net::StreamSocket& socket) { front_->on_client_accepted(socket); });
   if (const std::string channel = configuration.value("channel", ""); !channel.empty()) {
-    feed_ = std::make_unique<EndpointWatch>(loop_, channel, *list_, list_listener(), counters_);
-    feed_->open();
+    endpoint_watch_ =
+        std::make_unique<EndpointWatch>(loop_, channel, *endpoint_list_, endpoint_listener(), counters_);
+    endpoint_watch_->open();
   }
-  before_ = fixed_part(configuration);
-  enter(list_->has_endpoints() ? Phase::serving : Phase::listing);
-  watch();
+  fixed_settings_ = fixed_settings(configuration);
+  enter(endpoint_list_->has_endpoints() ? Phase::serving : Phase::listing);
+  poll();
 }
 
 Program::~Program() = default;
 
-EndpointWatch::Listener& Program::list_listener() {
-  if (annex_) return *annex_;
+EndpointWatch::Listener& Program::endpoint_listener() {
+  if (extension_) return *extension_;
   return *front_;
 }
 
 void Program::enter(Phase phase) {
-  spdlog::info("{} -> {}", name_of(phase_), name_of(phase));
+  spdlog::info("phase: {} -> {}", name_of(phase_), name_of(phase));
   phase_ = phase;
-  if (annex_) annex_->entered(phase);
+  if (extension_) extension_->on_phase_entered(phase);
   front_->set_ready(phase == Phase::serving || phase == Phase::leaving);
 }
 
-// The channel may move while the program runs; of the rest it is said where it takes a restart. A file that
-// can't be used leaves all as it was. Guards against one that can't be opened just now, or is being written:
-// it is tried again for some seconds before it is given up.
-void Program::read_again() {
-  constexpr seconds at_most(5);
-  constexpr milliseconds between(50);
+// Applies the configuration file again. An unusable file changes nothing; it is retried for a few seconds
+// before the reload is abandoned, since the file may be unreadable for a moment or only half written.
+void Program::reload_configuration() {
+  constexpr seconds retry_timeout(5);
+  constexpr milliseconds retry_interval(50);
   const TimePoint now = loop_.now();
-  if (!reload_until_) reload_until_ = now + at_most;
+  if (!reload_deadline_) reload_deadline_ = now + retry_timeout;
   try {
     apply_configuration();
-    reload_until_.reset();
+    reload_deadline_.reset();
   } catch (const std::exception& error) {
-    const bool last = now >= *reload_until_;
-    PEARCHUTE_LOG(spdlog::level::warn, "the configuration stays as it was{}: {}", last ? "" : " for now",
-                  error.what());
-    if (last) reload_until_.reset();
-    else reload_at_ = now + between;
+    const bool is_last_try = now >= *reload_deadline_;
+    PEARCHUTE_LOG(spdlog::level::warn, "configuration reload failed{}; the previous configuration stays: {}",
+                  is_last_try ? "" : ", retrying", error.what());
+    if (is_last_try) reload_deadline_.reset();
+    else next_reload_at_ = now + retry_interval;
   }
 }
 
+// Applies what can change at run time: the address of the discovery channel, and newer endpoint events. Logs
+// a warning where other settings differ, which need a restart.
 void Program::apply_configuration() {
   const json configuration = read_configuration(file_);
   const std::string channel = configuration.value("channel", "");
-  if (channel.empty()) throw ConfigurationError("the configuration names no channel");
-  spdlog::info("the configuration is read again; the channel is at {}",
+  if (channel.empty()) throw ConfigurationError("the configuration has no 'channel'");
+  spdlog::info("configuration reloaded; the discovery channel is at {}",
                resolved_address(channel, "channel").toString());
-  if (fixed_part(configuration) != before_)
-    spdlog::warn("what else has changed in the configuration takes effect at the next start only");
-  if (feed_) {
-    feed_->set_address(channel);
+  if (fixed_settings(configuration) != fixed_settings_)
+    spdlog::warn("other settings in the configuration have changed; they take effect at the next restart");
+  if (endpoint_watch_) {
+    endpoint_watch_->set_address(channel);
   } else {
-    feed_ = std::make_unique<EndpointWatch>(loop_, channel, *list_, list_listener(), counters_);
-    feed_->open();
+    endpoint_watch_ =
+        std::make_unique<EndpointWatch>(loop_, channel, *endpoint_list_, endpoint_listener(), counters_);
+    endpoint_watch_->open();
   }
-  take_newer_events(configuration);
+  apply_newer_endpoint_events(configuration);
 }
 
-// Guards against engines that are sent work although they drain, where discovery can't be heard and only the
-// new configuration says so.
-void Program::take_newer_events(const json& configuration) {
+// Without this, engines that drain would still be sent attempts where the discovery channel is unreachable
+// and only the new configuration reports the drain.
+void Program::apply_newer_endpoint_events(const json& configuration) {
   const auto known = configuration.find("known");
   if (known == configuration.end()) return;
   try {
-    list_->heard(loop_.now(), false);
-    list_->apply_newer(*known, [this](const EndpointList::Change& change) {
-      list_listener().on_endpoints_changed(change.update, change.endpoints);
+    endpoint_list_->heard(loop_.now(), false);
+    endpoint_list_->apply_newer(*known, [this](const EndpointList::Change& change) {
+      endpoint_listener().on_endpoints_changed(change.update, change.endpoints);
     });
   } catch (const json::exception& error) {
-    PEARCHUTE_LOG(spdlog::level::warn, "what is known of the engines can't be read: {}", error.what());
+    PEARCHUTE_LOG(spdlog::level::warn, "ignored the endpoint list in the configuration ('known'): {}",
+                  error.what());
   }
 }
 
-// Looks, at short intervals, whether the next phase has come.
-void Program::watch() {
+// Handles pending signals, and enters the next phase when its condition is met. Reschedules itself every
+// 20 ms.
+void Program::poll() {
   const TimePoint now = loop_.now();
-  constexpr seconds counters_every(10);  // what has changed when is seen without asking
-  if (asked_for_counters || now - counters_at_ >= counters_every) {
-    asked_for_counters = 0, counters_at_ = now;
+  // Logged without a request too, so that the log shows when a counter changed.
+  constexpr seconds counters_log_interval(10);
+  if (counters_requested || now - counters_logged_at_ >= counters_log_interval) {
+    counters_requested = 0, counters_logged_at_ = now;
     spdlog::info("counters {}", front_->counters_now());
   }
-  if (asked_to_read_again && phase_ < Phase::finishing) {
-    asked_to_read_again = 0;
-    reload_until_.reset();  // what is asked for now has its own time
-    read_again();
-  } else if (reload_until_ && now >= reload_at_ && phase_ < Phase::finishing) {
-    read_again();
+  if (reload_requested && phase_ < Phase::finishing) {
+    reload_requested = 0;
+    reload_deadline_.reset();  // each request has the full retry timeout
+    reload_configuration();
+  } else if (reload_deadline_ && now >= next_reload_at_ && phase_ < Phase::finishing) {
+    reload_configuration();
   }
-  if (phase_ == Phase::listing && list_->has_endpoints()) enter(Phase::serving);
-  if (asked_to_end && phase_ < Phase::leaving) {
-    asked_at_ = now;
+  if (phase_ == Phase::listing && endpoint_list_->has_endpoints()) enter(Phase::serving);
+  if (shutdown_requested && phase_ < Phase::leaving) {
+    shutdown_requested_at_ = now;
     enter(Phase::leaving);
   }
   if (phase_ == Phase::leaving) {
-    // New connections come for 0.4 s more and calls on open ones 0.2 s longer; a tenth is for the way.
-    const bool all_came = now - asked_at_ > milliseconds(750);
-    // Nothing leaves shortly before, lest it come to its engine after the final answer.
-    if (now - asked_at_ > give_up_after_ - milliseconds(100)) front_->send_nothing();
-    if (now - asked_at_ > give_up_after_) front_->answer_all();
-    if (all_came) front_->close_idle_connections();
-    // Who has lost its connection may still come for its answer, within what the platform leaves.
-    if (all_came && (front_->idle() || now - asked_at_ > give_up_after_ + milliseconds(50))) {
-      door_->shut();
+    // After the shutdown request, clients open connections for up to 0.4 s and send requests on open ones for
+    // another 0.2 s; 0.1 s more allows for transit.
+    const bool have_all_requests_arrived = now - shutdown_requested_at_ > milliseconds(750);
+    // No attempt is sent in the last 0.1 s: it could reach its engine after the final response.
+    if (now - shutdown_requested_at_ > shutdown_timeout_ - milliseconds(100)) front_->send_nothing();
+    if (now - shutdown_requested_at_ > shutdown_timeout_) front_->answer_all();
+    if (have_all_requests_arrived) front_->close_idle_connections();
+    // idle() also waits for clients that have lost their connection and may still fetch their response; the
+    // platform's kill timeout bounds the wait.
+    if (have_all_requests_arrived &&
+        (front_->idle() || now - shutdown_requested_at_ > shutdown_timeout_ + milliseconds(50))) {
+      listener_->shut();
       finishing_since_ = now;
-      front_->answer_all();  // what still comes on an open connection is turned away, not taken and lost
+      front_->answer_all();  // requests that still arrive on open connections are rejected, not lost
       enter(Phase::finishing);
     }
-  } else if (phase_ == Phase::finishing && !door_->is_shut()) {
-    finishing_since_ = now;  // what it still takes is owed an answer
+  } else if (phase_ == Phase::finishing && !listener_->is_shut()) {
+    finishing_since_ = now;  // connections that the closing socket still accepts get their responses
   } else if (phase_ == Phase::finishing && now - finishing_since_ > milliseconds(100) &&
-             (front_->all_written() || now - asked_at_ > give_up_after_ + milliseconds(150))) {
-    // What crossed the closing of a connection has come by then, and the last answers are out.
+             (front_->all_written() ||
+              now - shutdown_requested_at_ > shutdown_timeout_ + milliseconds(150))) {
+    // Requests sent while their connection was being closed have arrived by now, and the last responses are
+    // written or the time for them is over.
     enter(Phase::ended);
     return loop_.stop();
   }
-  if (annex_) annex_->looked(now);
+  if (extension_) extension_->on_poll(now);
   flush_log();
-  loop_.at(now + milliseconds(20), [this] { watch(); });
+  loop_.at(now + milliseconds(20), [this] { poll(); });
 }
 
 int Program::run() {
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -1,5 +1,5 @@
-// The program from start to exit, as one object with named states: it reads its configuration, puts the parts
-// together, and ends them in turn. It serves nothing itself.
+// The manager process from start to exit, as one object with named phases: reads the configuration, connects
+// the components, and shuts them down in order. It serves no request itself.
 #pragma once
 
 #include <functional>
@@ -14,62 +14,70 @@
 
 namespace pearchute::net {
 
+// Owns the event loop and everything that runs on it. One per process: it installs the signal handlers, and
+// SIGTERM, SIGINT, SIGHUP and SIGUSR1 are handled by poll().
 class Program {
  public:
   enum class Phase {
-    starting,  // reading the configuration, opening the door
-    listing,   // serving calls, but without a list of engines yet
+    starting,  // reads the configuration, opens the listening socket
+    listing,   // accepts requests, but has no endpoint list yet
     serving,
-    leaving,    // asked to end: takes what still comes, answers what it has
-    finishing,  // the door is shut; the last answers go out
+    leaving,    // shutdown requested: still accepts connections and requests, answers those in flight
+    finishing,  // the listening socket is closing or closed; the last responses are written
     ended,
   };
-  // What governs a running program, where anything does. It stands between the list of engines and the front,
-  // and hears of the program's steps.
-  class Annex : public EndpointWatch::Listener {
+  // Extends a running program, as the admin channel does. Sits between the endpoint list and the front: it
+  // receives each change of the endpoint list in place of the front, and passes it on.
+  class Extension : public EndpointWatch::Listener {
    public:
-    virtual void entered(Phase phase) = 0;
-    virtual void looked(TimePoint now) = 0;  // some fifty times a second, and fewer once it ends
+    virtual void on_phase_entered(Phase phase) = 0;
+    // Called on each poll, about fifty times a second, after a requested reload has been tried.
+    virtual void on_poll(TimePoint now) = 0;
   };
-  struct Parts {
+  // The components that an extension works with. The references outlive the extension.
+  struct Components {
     Loop& loop;
     Front& front;
     const service::Deployment& deployment;
-    std::string name, digest;   // of the configuration
-    std::function<void()> end;  // as SIGTERM does
+    std::string name, digest;   // the manager's name, and a digest of its configuration
+    std::function<void()> end;  // requests a shutdown, as SIGTERM does
     std::function<std::string()> counters;
   };
-  using MakeAnnex = std::function<std::unique_ptr<Annex>(const Parts&)>;
-  // `file` holds the configuration. Throws std::exception with one plain line on what is missing or broken.
+  using MakeExtension = std::function<std::unique_ptr<Extension>(const Components&)>;
+  // `file` is the path of the configuration. Throws std::exception, with one line on what is missing or
+  // invalid; ResourceShortage where a later try may succeed.
   explicit Program(const std::string& file, std::unique_ptr<spdlog::formatter> log = {},
-                   const MakeAnnex& annex = {});
+                   const MakeExtension& make_extension = {});
   ~Program();
+  // Runs until the shutdown is complete. Returns the exit status.
   int run();
-  // Reads a configuration as a start would, and starts nothing. Throws as the constructor does.
+  // Validates a configuration as the constructor does, without starting anything. Throws as the constructor
+  // does.
   static void check(const std::string& file);
   static std::string_view name_of(Phase phase);
 
  private:
   void enter(Phase phase);
-  void watch();
-  void read_again();
-  void apply_configuration();  // throws std::exception where it can't be used
-  void take_newer_events(const nlohmann::json& configuration);
-  EndpointWatch::Listener& list_listener();
+  void poll();
+  void reload_configuration();
+  void apply_configuration();  // throws std::exception where the configuration is unusable
+  void apply_newer_endpoint_events(const nlohmann::json& configuration);
+  EndpointWatch::Listener& endpoint_listener();
 
   Phase phase_ = Phase::starting;
   Counters counters_;
   Loop loop_;
-  std::string file_, name_, before_;  // its configuration, less what may change
+  std::string file_, name_;
+  std::string fixed_settings_;  // the configuration without the parts that a reload applies
   service::Deployment deployment_;
-  std::unique_ptr<EndpointList> list_;
+  std::unique_ptr<EndpointList> endpoint_list_;
   std::unique_ptr<Front> front_;
-  std::unique_ptr<Annex> annex_;  // ends before the front that it governs
-  std::unique_ptr<EndpointWatch> feed_;
-  std::unique_ptr<ListeningSocket> door_;
-  TimePoint counters_at_{}, asked_at_{}, finishing_since_{}, reload_at_{};
-  Duration give_up_after_{};               // from the order to end to the last answers
-  std::optional<TimePoint> reload_until_;  // while a configuration is to be read again
+  std::unique_ptr<Extension> extension_;  // declared after front_, so that it is destroyed before it
+  std::unique_ptr<EndpointWatch> endpoint_watch_;
+  std::unique_ptr<ListeningSocket> listener_;
+  TimePoint counters_logged_at_{}, shutdown_requested_at_{}, finishing_since_{}, next_reload_at_{};
+  Duration shutdown_timeout_{};               // from the shutdown request to the last responses
+  std::optional<TimePoint> reload_deadline_;  // set while a reload is retried
 };
 
 }  // namespace pearchute::net
