--- a/src/admin/admin_config.h
+++ b/src/admin/admin_config.h
@@ -9,19 +9,20 @@
 
 namespace pearchute::admin {
 
-// Validated: there are no more watchers than connections.
+// Validated settings: max_watchers is at most max_connections.
 struct AdminConfig {
   Endpoint listen;
-  std::string orders_file;  // an absolute path; empty: orders end with the manager
+  std::string orders_file;  // an absolute path; empty: a restart loses the orders
   std::size_t max_connections = 16;
   std::size_t max_watchers = 4;
   std::chrono::seconds idle_timeout{60};  // of a connection without a watch
-  // How soon load balancers see that a health check fails. Usual ones check each second, and believe the
-  // second failure.
+  // How long load balancers take to see that the health check fails. Typical ones check every second and act
+  // on the second failure.
   std::chrono::milliseconds health_check_delay{2000};
 };
 
-// Throws ini::Error with file, line and what is wrong, ResourceShortage where the file can't be read now.
+// Throws ini::Error with the file, the line and the fault; ResourceShortage where the file cannot be read for
+// the moment.
 AdminConfig read_admin_config(const std::string& file);
 
 }  // namespace pearchute::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-// Also how often pending calls of a busy connection are answered further.
+// Time-outs are checked and pending calls of busy connections resumed at this interval.
 constexpr milliseconds sweep_interval(50);
-constexpr seconds call_timeout(5);   // from a call's first byte to its last
-constexpr seconds read_timeout(10);  // in which a client has to take some of what waits for it
+constexpr seconds call_timeout(5);   // from the first byte of a call to its last
+constexpr seconds read_timeout(10);  // within which a client has to read some of the bytes sent to it
 
 }  // namespace
 
@@ -30,16 +30,16 @@
         session_(server.handler_),
         last_call_at_(server.loop_.now()),
         last_progress_at_(last_call_at_) {
-    wire_ = std::make_unique<net::Connection>(server.loop_, socket, *this);
+    connection_ = std::make_unique<net::Connection>(server.loop_, socket, *this);
   }
-  net::Connection& wire() { return *wire_; }
-  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
+  std::unique_ptr<net::Connection> release_connection() { return std::move(connection_); }
   const Session& session() const { return session_; }
 
   void on_data(std::string_view bytes) override {
     const bool had_partial_call = session_.has_partial_call();
     if (!session_.feed(bytes)) {
-      PEARCHUTE_LOG(spdlog::level::warn, "admin channel: bytes that are no calls; connection closed");
+      PEARCHUTE_LOG(spdlog::level::warn,
+                    "admin channel: connection closed, since it sent invalid frames or too many calls");
       return server_.close(*this);
     }
     if (!had_partial_call || !session_.has_partial_call()) last_call_at_ = server_.loop_.now();
@@ -49,24 +49,24 @@
   void on_closed() override { server_.close(*this); }
 
   void answer_pending() {
-    if (!wire_) return;
+    if (!connection_) return;
     std::string out;
-    session_.answer_pending(wire_->waiting(), out);
-    wire_->send(out);
-    // Nothing more is read while calls are pending; the sweep goes on with them, after what else has come for
-    // clients and engines.
-    wire_->pause(session_.has_pending_calls());
+    session_.answer_pending(connection_->waiting(), out);
+    connection_->send(out);
+    // While calls are pending, nothing more is read. sweep() resumes them, so that events of clients and
+    // engines are handled in between.
+    connection_->pause(session_.has_pending_calls());
   }
 
   void send_event(const v1::Event& event) {
     std::string out;
-    session_.send_event(event, wire_->waiting(), out);
-    wire_->send(out);
+    session_.send_event(event, connection_->waiting(), out);
+    connection_->send(out);
   }
 
   bool has_timed_out(TimePoint now) {
-    if (wire_->waiting() == 0 || wire_->written() != last_written_) {
-      last_written_ = wire_->written();
+    if (connection_->waiting() == 0 || connection_->written() != last_written_) {
+      last_written_ = connection_->written();
       last_progress_at_ = now;
     }
     if (now - last_progress_at_ > read_timeout) return true;
@@ -77,9 +77,9 @@
  private:
   AdminServer& server_;
   Session session_;
-  std::unique_ptr<net::Connection> wire_;
-  TimePoint last_call_at_;  // when a call began, or ended
-  TimePoint last_progress_at_;
+  std::unique_ptr<net::Connection> connection_;
+  TimePoint last_call_at_;      // when the last call began or was complete
+  TimePoint last_progress_at_;  // when the client last read something, or had nothing to read
   std::uint64_t last_written_ = 0;
 };
 
@@ -90,7 +90,7 @@
   if (endpoint.path.empty())
     listener_ = std::make_unique<net::ListeningSocket>(loop, endpoint.address, accept);
   else listener_ = net::open_owner_socket(loop, endpoint.path, accept);
-  spdlog::info("admin channel at {}", endpoint.text);
+  spdlog::info("admin channel listens on {}", endpoint.text);
   sweep();
 }
 
@@ -101,7 +101,8 @@
 
 void AdminServer::on_accepted(const Poco::Net::StreamSocket& socket) {
   if (connections_.size() >= config_.max_connections) {
-    PEARCHUTE_LOG(spdlog::level::warn, "admin channel: {} connections are open; one more is closed",
+    PEARCHUTE_LOG(spdlog::level::warn,
+                  "admin channel: new connection closed, since {} connections are open already",
                   connections_.size());
     return Poco::Net::StreamSocket(socket).close();
   }
@@ -109,7 +110,7 @@
 }
 
 void AdminServer::close(Connection& connection) {
-  const auto at = std::ranges::find(connections_, &connection, [](const auto& one) { return one.get(); });
+  const auto at = std::ranges::find(connections_, &connection, [](const auto& entry) { return entry.get(); });
   if (at == connections_.end()) return;
   closed_.take(std::move(*at));
   connections_.erase(at);
@@ -124,8 +125,8 @@
       connections_, [](const auto& connection) { return connection->session().is_watching(); }));
 }
 
-// Closes connections that have timed out, and goes on with pending calls. Neither is done while the
-// connections are looked through, since both change them.
+// Closes connections that have timed out, and answers pending calls of the others. Both change connections_,
+// so neither happens during the iteration over it.
 void AdminServer::sweep() {
   std::vector<Connection*> timed_out;
   std::vector<Connection*> pending;
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,8 +1,8 @@
 // The I/O of an admin channel: listens, and moves bytes between operators' connections and their sessions, on
-// the manager's own loop. A connection that makes noise, never reads or says nothing is closed, and costs the
-// clients' requests nothing.
+// the manager's event loop. A connection that sends invalid bytes, never reads or stays idle is closed; it
+// doesn't delay clients' requests.
 //
-// Lives on the event loop.
+// Use on the event loop only.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,14 @@
 // Owns the listener and all connections.
 class AdminServer {
  public:
-  // The references outlive it. Throws ListeningError where the endpoint can't be listened at,
-  // ResourceShortage where it can't be now.
+  // The loop and the handler outlive the server. Throws ListeningError where it cannot listen on the
+  // endpoint, ResourceShortage where it cannot for the moment.
   AdminServer(net::Loop& loop, const AdminConfig& config, CallHandler& handler);
   ~AdminServer();
 
-  // Sends the event to each watch.
+  // Sends the event to each connection with a watch.
   void broadcast(const v1::Event& event);
-  std::size_t watchers() const;
+  std::size_t watchers() const;  // connections with a watch
   std::size_t connections() const { return connections_.size(); }
 
  private:
--- a/src/admin/caller.cpp
+++ b/src/admin/caller.cpp
@@ -14,7 +14,7 @@
 
 Caller::~Caller() {
   *alive_ = false;
-  if (wire_) loop_.retire(std::move(wire_));
+  if (connection_) loop_.retire(std::move(connection_));
 }
 
 void Caller::call(v1::Call call, Duration timeout, OnReply on_reply) {
@@ -28,11 +28,11 @@
 }
 
 void Caller::connect() {
-  if (wire_ && !wire_->closed()) return;
-  if (wire_) loop_.retire(std::move(wire_));
+  if (connection_ && !connection_->closed()) return;
+  if (connection_) loop_.retire(std::move(connection_));
   reader_ = {};
   opened_ = false;
-  wire_ = std::make_unique<net::Connection>(loop_, endpoint_.address, *this);
+  connection_ = std::make_unique<net::Connection>(loop_, endpoint_.address, *this);
 }
 
 void Caller::send(v1::Call& call, Duration timeout, PendingCall pending) {
@@ -44,7 +44,7 @@
   call.SerializeToString(&message);
   std::string frame;
   append_frame(frame, message);
-  wire_->send(frame);
+  connection_->send(frame);
   loop_.at(loop_.now() + timeout, [this, alive = alive_, number] {
     if (*alive) on_timeout(number);
   });
@@ -58,17 +58,17 @@
 
 void Caller::on_data(std::string_view bytes) {
   const bool valid = reader_.feed(bytes, [this](std::string_view message) { return on_message(message); });
-  if (valid || !wire_) return;
-  wire_->close();
+  if (valid || !connection_) return;
+  connection_->close();
   finish_all(CallEnd::broken);
 }
 
-// False where it is no reply.
+// Returns false where the message is not a reply.
 bool Caller::on_message(std::string_view message) {
   v1::Reply reply;
   if (!reply.ParseFromArray(message.data(), static_cast<int>(message.size()))) return false;
   const auto at = pending_.find(reply.number());
-  if (at == pending_.end()) return true;  // it has timed out
+  if (at == pending_.end()) return true;  // the call has timed out
   PendingCall& pending = at->second;
   if (reply.has_event()) {
     if (pending.on_event) pending.on_event(reply.event());
--- a/src/admin/caller.h
+++ b/src/admin/caller.h
@@ -1,7 +1,7 @@
-// The operators' side of one admin channel: connects, sends calls, and reports what became of each, once. It
-// retries nothing.
+// The client of one admin channel: connects, sends calls, and reports the result of each call exactly once.
+// It retries nothing.
 //
-// Lives on the event loop. Destroying it drops what is pending: no handler is called any more.
+// Use on the event loop only. The destructor drops pending calls without calling their handlers.
 #pragma once
 
 #include <cstdint>
@@ -18,39 +18,39 @@
 
 namespace pearchute::admin {
 
-// What became of a call.
+// The result of a call.
 enum class CallEnd {
-  answered,     // the reply says whether it was done
-  unreachable,  // no connection: nothing was asked
-  silent,       // no answer in time: it may have been done
-  broken,       // the connection ended, or what came is no reply: it may have been done
+  answered,     // the reply has the outcome
+  unreachable,  // no connection: the call was not sent
+  silent,       // no reply before the timeout: the call may have taken effect
+  broken,       // the connection ended, or an invalid reply was received: the call may have taken effect
 };
 std::string_view name_of(CallEnd end);
 
-// One connection, opened with the first call, and anew after it has ended.
+// Owns one connection. It is opened with the first call, and again by the next call after it has ended.
 class Caller final : public net::Connection::Listener {
  public:
-  // Where the end is not `answered`, the reply is empty.
+  // The reply is empty unless `end` is `answered`.
   using OnReply = std::function<void(CallEnd end, const v1::Reply& reply)>;
   using OnEvent = std::function<void(const v1::Event&)>;
 
   Caller(net::Loop& loop, const Endpoint& endpoint);
   ~Caller() override;
 
-  // `on_reply` (may be empty) is called exactly once, after this event. The call's number is set here.
+  // Calls `on_reply` (may be empty) exactly once, after the current event. Sets the call's number.
   void call(v1::Call call, Duration timeout, OnReply on_reply);
-  // Watches the events behind number `after` (0: those from now on). `timeout` is for the watch to begin;
-  // `on_end` is called once, when it can't begin or has ended.
+  // Watches the events with numbers over `after` (0: future events only). `timeout` limits how long the watch
+  // takes to begin; `on_end` is called once, when the watch has failed to begin or has ended.
   void watch(std::uint64_t after, Duration timeout, OnEvent on_event, OnReply on_end);
 
  private:
-  // Sent, and not over yet.
+  // A call that has been sent and has no result yet.
   struct PendingCall {
     OnReply on_reply;
-    OnEvent on_event;  // of a watch only
+    OnEvent on_event;  // set for a watch only
     bool watching = false;
   };
-  void connect();  // unless a connection is there, or on its way
+  void connect();  // unless a connection is open or being opened
   void send(v1::Call& call, Duration timeout, PendingCall pending);
   void on_timeout(std::uint64_t number);
   bool on_message(std::string_view message);
@@ -62,7 +62,7 @@
 
   net::Loop& loop_;
   const Endpoint endpoint_;
-  std::unique_ptr<net::Connection> wire_;
+  std::unique_ptr<net::Connection> connection_;
   FrameReader reader_;
   std::map<std::uint64_t, PendingCall> pending_;  // by the call's number
   std::uint64_t next_number_ = 1;
--- a/src/admin/directives_file.cpp
+++ b/src/admin/directives_file.cpp
@@ -24,8 +24,8 @@
 constexpr std::size_t header_bytes = format_line.size() + checksum_line_bytes;
 constexpr mode_t file_mode = 0600;
 
-// Twice the most directives at their longest: three names (id, subject, holder), the reason, and the
-// encoding.
+// The size of a file with twice the maximum number of directives, each of maximum length: three names (id,
+// subject, holder), the reason, and the encoding.
 constexpr std::size_t encoding_bytes = 64;
 constexpr std::size_t max_directive_bytes =
     3 * fleet::Drains::max_name_bytes + fleet::Drains::max_reason_bytes + encoding_bytes;
@@ -41,15 +41,15 @@
 
 std::string describe_failure(const char* call) { return std::string(call) + ": " + text_of_last_error(); }
 
-// Parses a whole file. Returns what is wrong with it; nothing where it is sound.
+// Parses the content of a file. Returns the fault, or nothing where the content is valid.
 std::optional<std::string> parse(const std::string& text, kept::v1::KeptOrders& message) {
-  if (text.size() > max_file_bytes) return "too large";
-  if (text.size() < header_bytes || !text.starts_with(format_line))
-    return "not a file of orders, or cut short";
+  if (text.size() > max_file_bytes)
+    return "the file has " + std::to_string(text.size()) + " bytes, more than " +
+           std::to_string(max_file_bytes);
+  if (text.size() < header_bytes || !text.starts_with(format_line)) return "not an orders file, or truncated";
   const std::string body = text.substr(header_bytes);
-  if (text.substr(format_line.size(), checksum_line_bytes) != checksum_line(body))
-    return "its checksum does not fit";
-  if (!message.ParseFromString(body)) return "not readable";
+  if (text.substr(format_line.size(), checksum_line_bytes) != checksum_line(body)) return "checksum mismatch";
+  if (!message.ParseFromString(body)) return "invalid content despite a matching checksum";
   return std::nullopt;
 }
 
@@ -98,7 +98,7 @@
   try {
     text = read_file_if_there(path_);
   } catch (const ResourceShortage&) {
-    throw;  // the directives are still in force
+    throw;  // the file may be intact, and must not be reported as damaged
   } catch (const SystemError& error) {
     result.damaged = true;
     result.error = error.wrong();
@@ -137,7 +137,7 @@
   return true;
 }
 
-// Durable once it returns true; where it returns false, the new file is removed.
+// Writes and syncs the file. Where it returns false, the file is removed.
 bool DirectivesFile::write_new_file(const std::string& path, std::string_view text,
                                     std::string& error) const {
   const FileDescriptor file(uninterrupted(
@@ -159,7 +159,7 @@
   return true;
 }
 
-// So that tests can end the process between them.
+// Writes the text in two parts, so that tests can kill the process between them.
 bool DirectivesFile::write_in_halves(int descriptor, std::string_view text) const {
   const std::string_view first_half = text.substr(0, text.size() / 2);
   if (!write_all(descriptor, first_half)) return false;
@@ -167,8 +167,7 @@
   return write_all(descriptor, text.substr(first_half.size()));
 }
 
-// The new name is durable only once its folder is. A folder that can't be synced is no reason to fail: the
-// file is in its place.
+// Makes the rename durable. A failure is ignored, since the new file is already in place.
 void DirectivesFile::sync_folder() const {
   const std::size_t slash = path_.rfind('/');
   const std::string folder = slash == std::string::npos ? "." : path_.substr(0, slash + 1);
--- a/src/admin/directives_file.h
+++ b/src/admin/directives_file.h
@@ -1,11 +1,12 @@
-// The active drain directives ("orders") of a manager on disk, so that a restart forgets none. The file is
-// replaced as a whole, so that a kill at any time leaves the directives of before or of after. What is
-// damaged is reported, and never guessed at.
+// Persists the active drain directives ("orders") of a manager, so that a restart loses none. The file is
+// replaced atomically: a kill at any time leaves either the old or the new directives. A damaged file is
+// reported, and none of its content is used.
 //
-// A persisted format: a line with its name and version, a line with the CRC-32 of the rest, and a KeptOrders
-// message (src/proto/kept.proto), whose fields keep their names; they are mapped here.
+// The format: a line with its name and version, a line with the CRC-32 of the rest, and a KeptOrders message
+// (src/proto/kept.proto). The names of its fields differ from those of fleet::DrainDirective and stay as they
+// are; this file maps them.
 //
-// Not thread-safe. Blocks for the time of the disk.
+// Not thread-safe. Calls block on disk I/O.
 #pragma once
 
 #include <array>
@@ -18,38 +19,38 @@
 
 namespace pearchute::admin {
 
-// The stages of a write, in their order. Tests end the process at each of them.
+// The stages of a write, in order. Tests kill the process at each of them.
 enum class WriteStage { begun, half_written, written, synced, renamed, folder_synced };
 inline constexpr std::array all_write_stages = {WriteStage::begun,   WriteStage::half_written,
                                                 WriteStage::written, WriteStage::synced,
                                                 WriteStage::renamed, WriteStage::folder_synced};
 
-// One file; each call opens it anew.
+// One file of directives. Each call opens and closes it.
 class DirectivesFile {
  public:
   using StageObserver = std::function<void(WriteStage)>;
 
-  // A directive as it was when it was written.
+  // A directive as it was written.
   struct PersistedDirective {
     fleet::DrainDirective directive;
-    fleet::Duration remaining{};  // of its lease; negative where it has run out
+    fleet::Duration remaining{};  // of its lease; negative where it has expired
   };
-  // `error` says what is wrong with a damaged file; it has no directives then.
+  // The directives of the file; none where it is damaged, and `error` then describes the damage.
   struct ReadResult {
-    bool damaged = false;  // such a file is set aside, with `.damaged` behind its name
+    bool damaged = false;  // a file with invalid content is renamed, with `.damaged` appended
     std::string error;
     std::vector<PersistedDirective> directives;
   };
 
-  // `observe_stage` is called as each write reaches a stage; for tests.
+  // Calls `observe_stage` when a write reaches a stage; for tests.
   explicit DirectivesFile(std::string path, StageObserver observe_stage = {});
 
-  // No directives where there is no such file. `unix_now` is the time by the wall clock, in which leases are
-  // kept. Throws ResourceShortage where the file can't be read now.
+  // Returns no directives where the file does not exist. `unix_now` is the wall-clock time: the file stores
+  // the ends of leases as Unix times. Throws ResourceShortage where the file cannot be read for the moment.
   ReadResult read(std::chrono::milliseconds unix_now) const;
 
-  // `now`, by the clock of the directives, and `unix_now` are the same moment. False where the file can't be
-  // written; it is as it was then, and `error` says why.
+  // `now` (by the clock of the directives) and `unix_now` are the same moment. Where it returns false, the
+  // file is unchanged and `error` has the reason.
   bool write(const std::vector<fleet::ActiveDirective>& directives, fleet::TimePoint now,
              std::chrono::milliseconds unix_now, std::string& error) const;
 
--- a/src/admin/endpoint.h
+++ b/src/admin/endpoint.h
@@ -1,5 +1,5 @@
-// Where an admin channel is: `unix:/path` or a loopback address with its port. Nothing else is accepted,
-// since whoever reaches the channel governs the manager.
+// The address of an admin channel: `unix:/path` or a loopback address with a port. Nothing else is accepted,
+// since anyone who can reach the channel controls the manager.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -8,14 +8,14 @@
 
 namespace pearchute::admin {
 
-// An address of an admin channel, parsed.
+// A parsed address of an admin channel.
 struct Endpoint {
   std::string text;  // as written
   std::string path;  // of a Unix socket; empty for an address
   Poco::Net::SocketAddress address;
 };
 
-// Throws AddressError. The path of a Unix socket has to be absolute and short.
+// Throws AddressError. The path of a Unix socket must be absolute and fit into sockaddr_un.
 Endpoint parse_endpoint(const std::string& text);
 
 }  // namespace pearchute::admin
--- a/src/admin/session.cpp
+++ b/src/admin/session.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A watch gets no further event while more than this is unread.
+// Events are dropped while the client has more unread bytes than this.
 constexpr std::size_t max_unread_bytes_for_events = max_frame_bytes / 2;
 
 void append_reply(const v1::Reply& reply, std::string& out) {
@@ -16,7 +16,7 @@
   v1::Reply substitute;
   substitute.set_number(reply.number());
   substitute.set_outcome(v1::busy);
-  substitute.set_fault("the answer is larger than a message may be");
+  substitute.set_fault("the reply exceeds " + std::to_string(max_frame_bytes) + " bytes");
   substitute.SerializeToString(&message);
   append_frame(out, message);
 }
@@ -26,10 +26,10 @@
   reply.set_number(call.number());
   if (!parsed) {
     reply.set_outcome(v1::unusable);
-    reply.set_fault("not a message of this protocol");
+    reply.set_fault("the call cannot be parsed");
   } else if (call.what_case() == v1::Call::WHAT_NOT_SET) {
     reply.set_outcome(v1::unknown_call);
-    reply.set_fault("this manager does not know that call");
+    reply.set_fault("this manager does not implement the call");
   } else {
     handler.answer(call, reply);
   }
@@ -62,7 +62,7 @@
   append_reply(reply, out);
   if (!call.has_watch() || reply.outcome() != v1::ok) return;
   watch_ = call.number();
-  if (call.watch().after() == 0) return;  // it watches from now on
+  if (call.watch().after() == 0) return;  // future events only
   for (const v1::Event& missed : handler_.events_after(call.watch().after()))
     send_event(missed, unread_bytes, out);
 }
--- a/src/admin/session.h
+++ b/src/admin/session.h
@@ -1,6 +1,6 @@
-// One operator's connection, without its I/O: bytes come in, calls go to the handler, replies and the events
-// of a watch come out. It keeps the limits of one connection: the size of a message, the calls for each turn
-// of the loop, the bytes that wait to be read.
+// One operator's connection without its I/O: parses calls from received bytes, passes them to the handler,
+// and encodes the replies and the events of a watch. Enforces the limits of one connection: the size of a
+// message, the calls per turn of the event loop, the unread bytes.
 //
 // Not thread-safe.
 #pragma once
@@ -22,34 +22,36 @@
 
 namespace pearchute::admin {
 
-// Carries out the calls.
+// Executes the calls of the admin channel.
 class CallHandler {
  public:
   virtual ~CallHandler() = default;
-  // `reply` comes with its number set and the outcome ok.
+  // Fills `reply`, which has its number set and the outcome `ok`.
   virtual void answer(const v1::Call& call, v1::Reply& reply) = 0;
-  // The events behind number `after`, as far as they are kept: what a watch has missed.
+  // Returns the stored events with numbers over `after`, which a new watch has missed.
   virtual std::vector<v1::Event> events_after(std::uint64_t after) const;
 };
 
 // The state of one connection.
 class Session {
  public:
-  // With more replies than this unread, further calls wait, so that a client which never reads costs no more.
+  // While more bytes than this are unread, further calls wait: this bounds the memory for a client that never
+  // reads.
   static constexpr std::size_t max_unread_bytes = 2 * max_frame_bytes;
-  static constexpr int max_calls_per_turn = 8;          // some hundred microseconds of the manager's time
+  static constexpr int max_calls_per_turn = 8;          // takes a few hundred microseconds
   static constexpr std::size_t max_pending_calls = 32;  // received and not answered yet
 
   // The handler outlives the session.
   explicit Session(CallHandler& handler) : handler_(handler) {}
 
-  // False where the connection is to be closed: it does not speak the protocol, or has too many calls
-  // pending.
+  // Parses received bytes. Returns false where the connection must be closed: the frames are invalid, or too
+  // many calls are pending.
   bool feed(std::string_view bytes);
-  // Answers pending calls, as far as one turn goes. `unread_bytes`: what the client has not taken yet.
+  // Answers pending calls within the limits of one turn, and appends the replies to `out`. `unread_bytes` are
+  // queued for the client already.
   void answer_pending(std::size_t unread_bytes, std::string& out);
-  // Sends an event to its watch, if it has one. A client that is behind loses it, and is told how many it has
-  // lost with the next event that it gets.
+  // Appends the event to `out` where the client has a watch. A client with too many unread bytes loses the
+  // event; the next event that it receives has the count of lost ones.
   void send_event(const v1::Event& event, std::size_t unread_bytes, std::string& out);
 
   bool is_watching() const { return watch_.has_value(); }
@@ -62,8 +64,8 @@
   CallHandler& handler_;
   FrameReader reader_;
   std::deque<std::string> calls_;       // serialized
-  std::optional<std::uint64_t> watch_;  // the number of its call
-  std::uint64_t lost_events_ = 0;       // since the last one that was sent
+  std::optional<std::uint64_t> watch_;  // the number of the watch call
+  std::uint64_t lost_events_ = 0;       // since the last event that was sent
 };
 
 }  // namespace pearchute::admin
--- a/src/ctl/agent_client.cpp
+++ b/src/ctl/agent_client.cpp
@@ -25,13 +25,13 @@
   return refused ? CommandOutcome::refused : CommandOutcome::unreachable;
 }
 
-// `error` is the agent's own, in a response that was received.
+// `error` is the fault that the response states; empty where there is none.
 CallOutcome call_outcome(const grpc::Status& status, const std::string& error) {
   if (!status.ok()) return {outcome_of(status), status.error_message()};
   return {error.empty() ? CommandOutcome::yes : CommandOutcome::refused, error};
 }
 
-// Calls `query` for each agent on a thread of its own, and waits for all.
+// Calls `query` for each agent on a separate thread, and waits for all of them.
 template <class Query>
 auto query_all(const std::vector<AgentAddress>& agents, Query query) {
   using Result = std::invoke_result_t<Query, const AgentAddress&>;
@@ -57,7 +57,7 @@
   AgentStatus result;
   result.agent = agent.name;
   grpc::ClientContext context;
-  set_deadline(context, fleet_.answers_within);
+  set_deadline(context, fleet_.call_timeout);
   const grpc::Status status = stub_to(agent)->Show(&context, {}, &result.response);
   result.outcome = outcome_of(status);
   result.error = status.ok() ? result.response.trouble() : status.error_message();
@@ -72,7 +72,7 @@
 AgentRollouts AgentClient::query_rollouts(const AgentAddress& agent, const std::string& id) const {
   AgentRollouts result{&agent, false, {}};
   grpc::ClientContext context;
-  set_deadline(context, fleet_.answers_within);
+  set_deadline(context, fleet_.call_timeout);
   agent::v1::Operation request;
   request.set_id(id);
   result.answered = stub_to(agent)->Rollouts(&context, request, &result.response).ok();
@@ -81,7 +81,7 @@
 
 CallOutcome AgentClient::start_rollout(const AgentAddress& agent, const fleet::RolloutPlan& plan) const {
   grpc::ClientContext context;
-  set_deadline(context, fleet_.answers_within);
+  set_deadline(context, fleet_.call_timeout);
   agent::v1::Said response;
   const grpc::Status status = stub_to(agent)->StartRollout(&context, agent::to_wire(plan), &response);
   return call_outcome(status, response.fault());
@@ -90,7 +90,7 @@
 CallOutcome AgentClient::control_rollout(const AgentAddress& agent, const std::string& id,
                                          const std::string& command) const {
   grpc::ClientContext context;
-  set_deadline(context, fleet_.answers_within);
+  set_deadline(context, fleet_.call_timeout);
   agent::v1::Word request;
   request.set_id(id);
   request.set_word(command);
--- a/src/ctl/agent_client.h
+++ b/src/ctl/agent_client.h
@@ -1,7 +1,7 @@
-// Remote calls from the command line to the fleet's agents, with a deadline each.
+// Remote calls from the command line to the fleet's agents, each with a deadline.
 //
-// Blocks until all are answered or their time is up. The agents are called at once, so a round lasts as long
-// as the time limit of one.
+// Functions block until every call has its response or has timed out. Queries call all agents in parallel, so
+// they take at most the timeout of one call.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -17,37 +17,38 @@
 
 namespace pearchute::ctl {
 
-// What became of a call that changes something.
+// The result of a call that changes something.
 struct CallOutcome {
   fleet::CommandOutcome outcome = fleet::CommandOutcome::unreachable;
-  std::string error;  // for operators; empty where it was done
+  std::string error;  // for operators; empty on success
 };
 
-// An agent's own status, as it answered.
+// One agent's response to a status query.
 struct AgentStatus {
   std::string agent;
   fleet::CommandOutcome outcome = fleet::CommandOutcome::unreachable;
-  std::string error;  // why it did not answer, or why it takes no orders; empty: neither
+  std::string error;  // why the query failed, or the trouble that the agent reports; empty: neither
   agent::v1::Shown response;
   bool answered() const { return outcome == fleet::CommandOutcome::yes; }
 };
 
-// The rollouts that an agent knows of, as it answered.
+// One agent's response to a query for rollouts.
 struct AgentRollouts {
   const AgentAddress* agent;
   bool answered;
   agent::v1::RolloutList response;
 };
 
-// For all agents of one fleet. Thread-safe.
+// Calls the agents of one fleet. Thread-safe.
 class AgentClient {
  public:
-  // The fleet outlives it.
+  // The fleet outlives the client.
   explicit AgentClient(const Fleet& fleet) : fleet_(fleet) {}
 
-  // These throw as agent::channel_to does. In the order of the fleet file.
+  // All functions throw as agent::channel_to does. Queries return one result per agent, in the order of the
+  // fleet file.
   std::vector<AgentStatus> query_status() const;
-  // One rollout, with its targets and stages; without an id, a summary of each.
+  // Queries one rollout with its targets and stages; without an id, a summary of each rollout.
   std::vector<AgentRollouts> query_rollouts(const std::string& id) const;
 
   CallOutcome start_rollout(const AgentAddress& agent, const fleet::RolloutPlan& plan) const;
--- a/src/ctl/agents.cpp
+++ b/src/ctl/agents.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// What an agent knows of its peers; empty where it exchanges nothing.
+// How current an agent's view of each peer is; empty where it doesn't gossip.
 std::string describe_peers(const agent::v1::Shown& status) {
   std::string text = status.heard_size() > 0 && !status.speaks() ? "it can't speak itself" : "";
   for (const agent::v1::Heard& peer : status.heard()) {
@@ -69,7 +69,7 @@
     std::string peers = describe_peers(agent.response);
     for (const agent::v1::Instance& instance : agent.response.instances()) {
       json row = instance_row(agent.agent, instance);
-      if (!peers.empty()) row["hears"] = std::exchange(peers, "");  // once for each agent
+      if (!peers.empty()) row["hears"] = std::exchange(peers, "");  // in the agent's first row only
       add_steps(instance, row);
       rows.push_back(std::move(row));
     }
--- a/src/ctl/agents.h
+++ b/src/ctl/agents.h
@@ -1,7 +1,7 @@
-// The operators' commands over agents: their instances, leases and rollouts. A rollout that is started again
-// under the same id is the same rollout.
+// The commands that query agents, and that start and control rollouts. Starting a rollout is idempotent by
+// its id.
 //
-// Each returns the exit status, and throws as agent::channel_to does.
+// Each command returns the exit status, and throws as agent::channel_to does.
 #pragma once
 
 #include <map>
@@ -15,19 +15,20 @@
 
 namespace pearchute::ctl {
 
-// For one command over the chosen instances.
+// Runs one command for the chosen instances.
 class AgentCommands {
  public:
-  // The references outlive it.
+  // The references and the chosen instances outlive the object.
   AgentCommands(const Fleet& fleet, std::vector<const Instance*> chosen, Output& output);
 
   int agents();
   int leases();
-  // Prints what would be done to the chosen instances; starts it where `start` says so, at the agent
-  // `coordinator` (empty: the first). `follow`: as status().
+  // Prints the plan for the chosen instances. With `start`, also starts it at the agent `coordinator` (empty:
+  // the first of the fleet file). `follow`: as in status().
   int rollout(fleet::RolloutPlan plan, const std::string& coordinator, bool start, bool follow);
+  // Prints the rollouts under way; `with_finished`: also those that are over.
   int rollouts(bool with_finished);
-  // `follow`: waits until the rollout is over or paused.
+  // Prints the stage of each target. `follow`: waits until the rollout is over or paused.
   int status(const std::string& id, bool follow);
   // `command`: pause, resume, abort or back.
   int control(const std::string& id, const std::string& command);
--- a/src/ctl/batch_executor.cpp
+++ b/src/ctl/batch_executor.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds watch_check_interval(50);
 
-// An empty page has no next one, whatever it says.
+// An empty page ends the list even where it claims that more follows: a next call would repeat it for ever.
 bool has_next_page(const admin::v1::Reply& reply) {
   return (reply.engines().more() && reply.engines().engines_size() > 0) ||
          (reply.orders().more() && reply.orders().orders_size() > 0);
@@ -29,13 +29,14 @@
     case admin::v1::ok:
       return "";
     case admin::v1::unknown_call:
-      return "an older manager: it does not know this call";
+      return "an older manager: it does not implement this call";
     default:
       return reply.fault();
   }
 }
 
-// One call to each instance. Lives on the loop, but for its construction and results().
+// One call to each instance. The constructor and results() run on the calling thread, the rest on the event
+// loop.
 class BatchExecutor::Round {
  public:
   Round(BatchExecutor& executor, const Instances& instances,
@@ -51,9 +52,9 @@
     for (std::size_t i = 0; i < std::min(executor_.parallel_, instances_.size()); ++i) call_next();
   }
 
-  // Blocks until all calls are over.
+  // Blocks until all calls have ended.
   std::vector<CallResult> results() {
-    all_over_.get_future().get();
+    all_ended_.get_future().get();
     return std::move(results_);
   }
 
@@ -61,19 +62,19 @@
   void call_next() {
     if (next_ == instances_.size()) return;
     const std::size_t index = next_++;
-    callers_[index] = std::make_unique<Caller>(loop(), instances_[index]->place);
+    callers_[index] = std::make_unique<Caller>(loop(), instances_[index]->admin_endpoint);
     callers_[index]->call(call_for_(index), executor_.timeout_,
                           [this, index](CallEnd end, const admin::v1::Reply& reply) {
                             results_[index].end = end;
                             results_[index].reply = reply;
-                            // The connection can't go within its own event.
+                            // Deferred, since the caller must not be destroyed within its own callback.
                             loop().post([this, index] { finish(index); });
                           });
   }
 
   void finish(std::size_t index) {
     callers_[index].reset();
-    if (--pending_ == 0) all_over_.set_value();
+    if (--pending_ == 0) all_ended_.set_value();
     else call_next();
   }
 
@@ -86,7 +87,7 @@
   std::vector<std::unique_ptr<Caller>> callers_;
   std::size_t next_ = 0;
   std::size_t pending_;
-  std::promise<void> all_over_;
+  std::promise<void> all_ended_;
 };
 
 std::vector<CallResult> BatchExecutor::call(const Instances& instances,
@@ -95,7 +96,7 @@
   Round round(*this, instances, call_for);
   loop_thread_.on([&] { round.begin(); });
   std::vector<CallResult> results = round.results();
-  loop_thread_.on([] {});  // the event that ended the round is over, too
+  loop_thread_.on([] {});  // waits until the event that ended the round has returned
   return results;
 }
 
@@ -135,7 +136,7 @@
   std::size_t watching = instances.size();
   loop_thread_.on([&] {
     for (const Instance* instance : instances) {
-      callers.push_back(std::make_unique<Caller>(loop_thread_.loop(), instance->place));
+      callers.push_back(std::make_unique<Caller>(loop_thread_.loop(), instance->admin_endpoint));
       callers.back()->watch(
           0, timeout_, [&, instance](const admin::v1::Event& event) { on_event(*instance, event); },
           [&, instance](CallEnd end, const admin::v1::Reply& reply) {
--- a/src/ctl/changes.cpp
+++ b/src/ctl/changes.cpp
@@ -1,4 +1,4 @@
-// The commands that drain and restore: managers, and engines at the managers.
+// The commands that drain and restore managers, and engines at managers.
 #include <map>
 #include <thread>
 
@@ -32,14 +32,14 @@
     for (const fleet::ZoneDisruption& disruption : disruptions_of_managers())
       output_.line(describe(disruption, ""));
   }
-  OrderResults results = give_order("", true, options);
+  OrderResults results = issue_order("", true, options);
   if (!options.dry_run) await_drained(options, results);
-  output_.progress_over();
+  output_.clear_progress();
   output_.rows(results.rows, {"instance", "zone", "result", "state", "jobs", "also_held_by"});
   return fleet::exit_status_of_change(results.outcomes);
 }
 
-// Until all that took the order have nothing open, or the time is up.
+// Waits until the managers that accepted the order have no open requests, or until the drain timeout.
 void Commands::await_drained(const ChangeOptions& options, OrderResults& results) {
   const auto deadline = std::chrono::steady_clock::now() + options.drain_timeout;
   std::vector<std::size_t> draining;
@@ -50,7 +50,7 @@
     BatchExecutor::Instances instances;
     for (const std::size_t i : draining) instances.push_back(chosen_[i]);
     const std::vector<CallResult> polled = executor_.call(instances, status_request());
-    const bool time_is_up = std::chrono::steady_clock::now() >= deadline;
+    const bool has_timed_out = std::chrono::steady_clock::now() >= deadline;
     std::vector<std::size_t> still_draining;
     for (std::size_t i = 0; i < polled.size(); ++i) {
       json& row = results.rows[draining[i]];
@@ -60,7 +60,7 @@
         row["jobs"] = status.open_jobs();
         if (status.identity().rest() == "drained") continue;
       }
-      if (!time_is_up) {
+      if (!has_timed_out) {
         still_draining.push_back(draining[i]);
         continue;
       }
@@ -76,32 +76,32 @@
 }
 
 int Commands::resume(const ChangeOptions& options) {
-  // A requested shutdown is cancelled, too.
+  // A pending shutdown is cancelled, too.
   if (!options.dry_run) {
     Call call;
     call.mutable_end()->set_called_off(true);
     executor_.call(chosen_, call);
   }
-  const OrderResults results = give_order("", false, options);
+  const OrderResults results = issue_order("", false, options);
   output_.rows(results.rows, {"instance", "zone", "result", "state", "also_held_by"});
   return fleet::exit_status_of_change(results.outcomes);
 }
 
-// By the managers' own lists: an engine serves where any of them has it up.
+// Counts an engine as serving if any chosen manager has it up.
 Commands::Disruptions Commands::disruptions_of_engines(const std::vector<std::string>& engines) {
-  std::map<std::string, fleet::InstanceAvailability> known;
+  std::map<std::string, fleet::InstanceAvailability> engine_by_name;
   for (const BatchExecutor::Pages& pages : executor_.call_pages(chosen_, engines_request)) {
     for (const CallResult& page : pages) {
       for (const admin::v1::Engine& engine : page.reply.engines().engines()) {
-        fleet::InstanceAvailability& one = known[engine.name()];
-        one.name = engine.name();
-        one.zone = engine.zone();
-        one.serves = one.serves || engine.state() == "up";
+        fleet::InstanceAvailability& known = engine_by_name[engine.name()];
+        known.name = engine.name();
+        known.zone = engine.zone();
+        known.serves = known.serves || engine.state() == "up";
       }
     }
   }
   std::vector<fleet::InstanceAvailability> availability;
-  for (const auto& [name, one] : known) availability.push_back(one);
+  for (const auto& [name, engine] : engine_by_name) availability.push_back(engine);
   return fleet::zone_disruptions(availability, engines);
 }
 
@@ -118,7 +118,7 @@
   }
   OrderResults all;
   for (const std::string& engine : engines) {
-    const OrderResults results = give_order(engine, drains, options);
+    const OrderResults results = issue_order(engine, drains, options);
     all.rows.insert(all.rows.end(), results.rows.begin(), results.rows.end());
     all.outcomes.insert(all.outcomes.end(), results.outcomes.begin(), results.outcomes.end());
   }
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -17,7 +17,7 @@
 constexpr int max_instances = 5000;
 constexpr int max_rollout_wait_s = 3600;
 
-std::string environment(const char* name, const std::string& fallback) {
+std::string environment_value(const char* name, const std::string& fallback) {
   const char* value = std::getenv(name);
   return value ? value : fallback;
 }
@@ -28,7 +28,8 @@
   return name == "change" ? fleet::StepKind::change : fleet::StepKind::restart;
 }
 
-// The case of a shell function that offers the words which may follow the commands `path`.
+// Returns the branches of a shell `case` statement that list the words which may follow the command `path`,
+// with a branch for each of its subcommands.
 std::string completion_cases(const CLI::App& command, const std::string& path) {
   std::string words;
   for (const CLI::App* subcommand : command.get_subcommands({})) words += subcommand->get_name() + " ";
@@ -50,12 +51,12 @@
 
 CommandLine::CommandLine() : app_("pearchutectl: sees and governs many managers at once") {
   app_.require_subcommand(1);
-  app_.fallthrough();  // what holds for all commands may stand behind them
+  app_.fallthrough();  // common options may follow the command
   app_.set_version_flag("--version", "pearchutectl " PEARCHUTE_VERSION);
-  common_.fleet_file = environment("PEARCHUTE_FLEET", "/etc/pearchute/fleet.ini");
-  change_.holder = environment("USER", "");
+  common_.fleet_file = environment_value("PEARCHUTE_FLEET", "/etc/pearchute/fleet.ini");
+  change_.holder = environment_value("USER", "");
   if (change_.holder.empty()) change_.holder = "operator";
-  // --help and the completion list commands and options in this order.
+  // The order of these calls is the order of commands and options in --help and in the completion.
   add_common_options();
   add_queries();
   add_manager_changes();
@@ -138,7 +139,7 @@
   restart->add_option("--within", drain_timeout_s_, "how long to wait until nothing is open")->type_name("S");
   restart->add_option("--up-within", start_timeout_s_, "how long one may take to serve again")
       ->type_name("S");
-  restart->add_option("--at-once", restarts_at_once_, "so many at a time")->check(CLI::Range(1, 100));
+  restart->add_option("--at-once", max_concurrent_restarts_, "so many at a time")->check(CLI::Range(1, 100));
 }
 
 void CommandLine::add_engine_commands() {
@@ -191,7 +192,7 @@
   add_rollout_control(rollout);
 }
 
-// What is done, and how many instances it may concern at a time.
+// The options for the step, and for how many instances it may affect at a time.
 void CommandLine::add_rollout_limits(CLI::App& command) {
   fleet::RolloutPlan& plan = rollout_.plan;
   command.add_option("--kind", rollout_.kind)->check(CLI::IsMember({"drain", "resume", "restart", "change"}));
@@ -207,11 +208,11 @@
       ->type_name("S")
       ->check(CLI::Range(0, max_rollout_wait_s));
   command.add_option("--margin", plan.margin, "how far the share done may fall")->check(CLI::Range(0.0, 1.0));
-  command.add_option("--least", rollout_.least_serving, "that are to stay serving in a zone")
+  command.add_option("--least", rollout_.min_serving, "that are to stay serving in a zone")
       ->type_name("ZONE=N");
 }
 
-// How long things may take, what is done about failures, and on whose behalf.
+// The options for timeouts, failures and the holder.
 void CommandLine::add_rollout_times(CLI::App& command) {
   fleet::RolloutPlan& plan = rollout_.plan;
   command.add_option("--warm", rollout_.warm_s, "one that came back counts after this")
@@ -285,11 +286,11 @@
   options.lease = seconds(order_lease_s_);
   options.drain_timeout = seconds(drain_timeout_s_);
   options.start_timeout = seconds(start_timeout_s_);
-  options.at_once = static_cast<std::size_t>(restarts_at_once_);
+  options.max_concurrent_restarts = static_cast<std::size_t>(max_concurrent_restarts_);
   return options;
 }
 
-// Throws UsageError where the options contradict each other.
+// Throws UsageError where options are missing or invalid.
 fleet::RolloutPlan CommandLine::rollout_plan() const {
   fleet::RolloutPlan plan = rollout_.plan;
   plan.id = rollout_.id;
@@ -303,10 +304,10 @@
   plan.drain_within = seconds(drain_timeout_s_);
   plan.up_within = seconds(start_timeout_s_);
   if (plan.kind == fleet::StepKind::change && (plan.version < 1 || plan.version_before < 1))
-    throw UsageError("a change needs --version-to and --version-from");
-  for (const std::string& text : rollout_.least_serving) {
+    throw UsageError("--kind change requires --version-to and --version-from, each at least 1");
+  for (const std::string& text : rollout_.min_serving) {
     const std::size_t equal = text.find('=');
-    if (equal == std::string::npos) throw UsageError("--least is ZONE=N, not " + text);
+    if (equal == std::string::npos) throw UsageError("--least expects ZONE=N, got '" + text + "'");
     plan.min_serving[text.substr(0, equal)] =
         static_cast<int>(ini::whole("--least", text.substr(equal + 1), 0, max_instances));
   }
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -1,4 +1,4 @@
-// The operators' command line: its commands and options, and what each of them runs.
+// The command line of pearchutectl: its commands, their options, and the action of each command.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -15,21 +15,21 @@
 
 namespace pearchute::ctl {
 
-// What holds for all commands.
+// Options of all commands.
 struct CommonOptions {
   std::string fleet_file;
   std::string selector;  // empty: all instances
   std::string output_format = "table";
-  int timeout_ms = 0;  // of one answer; 0: as the fleet file says
-  int parallel = 0;    // instances asked at once; the same
+  int timeout_ms = 0;  // of one call; 0: the value of the fleet file
+  int parallel = 0;    // calls in flight at a time; 0: the value of the fleet file
 };
 
-// Options of `rollout`, as they are written; plan_in() makes the plan of them.
+// Options of `rollout` as parsed; CommandLine::rollout_plan() converts them to a plan.
 struct RolloutOptions {
-  fleet::RolloutPlan plan;  // the options that stand in it as they are
+  fleet::RolloutPlan plan;  // options that need no conversion
   std::string kind = "restart";
   std::string fallback = "serve_again";
-  std::vector<std::string> least_serving;  // ZONE=N
+  std::vector<std::string> min_serving;  // ZONE=N
   int batch = 0;
   int warm_s = 5;
   int gate_s = 10;
@@ -39,10 +39,10 @@
   bool follow = false;
 };
 
-// Declares the commands, parses the arguments, and knows which command they name. Used once.
+// Declares the commands, parses the arguments once, and returns the action of the parsed command.
 class CommandLine {
  public:
-  // Each returns the exit status.
+  // Actions return the exit status.
   using KeyAction = std::function<int(Output&)>;
   using AgentAction = std::function<int(AgentCommands&)>;
   using ManagerAction = std::function<int(Commands&)>;
@@ -52,7 +52,7 @@
   CommandLine(const CommandLine&) = delete;
   CommandLine& operator=(const CommandLine&) = delete;
 
-  // Throws CLI::ParseError, which exit_status() prints.
+  // Throws CLI::ParseError, also for --help and --version. exit_status() prints it and returns the status.
   void parse(int argc, const char* const* argv);
   int exit_status(const CLI::ParseError& error) { return app_.exit(error); }
 
@@ -60,11 +60,11 @@
   bool completion_requested() const { return completion_->parsed(); }
   // A completion script for bash.
   std::string completion_script() const;
-  // Of the command that was named; none for `completion`. It refers to this object.
+  // The action of the parsed command; null for `completion`. It refers to this object.
   const Action* action() const;
 
  private:
-  // A command and what it runs.
+  // A command and its action.
   struct Command {
     const CLI::App* parser;
     Action action;
@@ -92,7 +92,7 @@
   int order_lease_s_ = 3600;
   int drain_timeout_s_ = 30;
   int start_timeout_s_ = 30;
-  int restarts_at_once_ = 1;
+  int max_concurrent_restarts_ = 1;
   std::vector<std::string> engines_;
   std::string log_level_;
   int max_jobs_ = 50;
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -1,8 +1,8 @@
-// The operators' commands over the chosen managers. Each asks them, prints every instance's own result, and
-// returns the documented exit status. What a command would stop, how outcomes make a status, and the steps of
-// a restart are fleet/'s to decide.
+// The commands for the chosen managers. Each command calls the managers, prints one result per instance, and
+// returns the exit status. The code in src/fleet decides which zones a command disrupts, how outcomes map to
+// an exit status, and the steps of a restart.
 //
-// Blocks until the command is over, or the operator interrupts it.
+// Commands block until they are complete or the operator interrupts them.
 #pragma once
 
 #include <chrono>
@@ -18,37 +18,37 @@
 
 namespace pearchute::ctl {
 
-// How a change is to be made.
+// Options of the commands that change something.
 struct ChangeOptions {
   bool dry_run = false;
-  bool yes = false;       // without a confirmation
-  bool everyone = false;  // a restore ends other holders' orders, too
-  std::string holder;     // on whose behalf
+  bool yes = false;       // skips the confirmation
+  bool everyone = false;  // a restore also ends the older orders of other holders
+  std::string holder;     // the operator on whose behalf orders are given
   std::string reason;
-  std::chrono::seconds lease{3600};        // how long an order holds
-  std::chrono::seconds drain_timeout{30};  // until nothing is open
-  std::chrono::seconds start_timeout{30};  // from an end until it serves again
-  std::size_t at_once = 1;                 // restarts under way at a time
+  std::chrono::seconds lease{3600};        // of an order to drain
+  std::chrono::seconds drain_timeout{30};  // until no request is open
+  std::chrono::seconds start_timeout{30};  // from the end of a process until the next one serves
+  std::size_t max_concurrent_restarts = 1;
 };
 
-// For one command over the chosen instances.
+// Runs one command for the chosen instances.
 class Commands {
  public:
-  // The references outlive it.
+  // The references and the chosen instances outlive the object.
   Commands(const Fleet& fleet, std::vector<const Instance*> chosen, Output& output);
 
   int status();
   int engines();
   int jobs(std::uint32_t limit);
-  // Status again and again; `rounds` 0: until interrupted.
+  // Prints the status every `interval`, `rounds` times; 0: until interrupted.
   int top(std::chrono::milliseconds interval, int rounds);
-  // Events for `time`; 0: until interrupted.
+  // Prints events for `time`; 0: until interrupted.
   int watch(std::chrono::milliseconds time);
   int orders();
   int drain(const ChangeOptions& options);
   int resume(const ChangeOptions& options);
   int restart(const ChangeOptions& options);
-  // `drains`: else the engines are restored.
+  // Drains the engines or, where `drains` is false, restores them.
   int engine_orders(const std::vector<std::string>& engines, bool drains, const ChangeOptions& options);
   int engine_list();
   int log_level(const std::string& level);
@@ -57,7 +57,7 @@
  private:
   using Outcomes = std::vector<fleet::CommandOutcome>;
   using Disruptions = std::vector<fleet::ZoneDisruption>;
-  // By chosen instance, in their order.
+  // One row and one outcome per chosen instance, in their order.
   struct OrderResults {
     Rows rows;
     Outcomes outcomes;
@@ -68,9 +68,9 @@
                   const RowsOfReply& add_rows);
   Rows query_status(Outcomes& outcomes);
 
-  OrderResults give_order(const std::string& subject, bool drains, const ChangeOptions& options);
-  OrderResults would_order(const std::vector<CallResult>& known_orders, const std::string& subject,
-                           bool drains) const;
+  OrderResults issue_order(const std::string& subject, bool drains, const ChangeOptions& options);
+  OrderResults preview_order(const std::vector<CallResult>& known_orders, const std::string& subject,
+                             bool drains) const;
   std::vector<CallResult> send_order(const admin::v1::Call& order);
   void await_drained(const ChangeOptions& options, OrderResults& results);
   bool confirmed(const Disruptions& disruptions, const std::string& command, const ChangeOptions& options);
--- a/src/ctl/detached_process.cpp
+++ b/src/ctl/detached_process.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-constexpr int no_process_status = 1;
-constexpr int command_not_run_status = 127;  // as shells have it
+constexpr int fork_failed_status = 1;
+constexpr int command_not_run_status = 127;  // as in shells
 
-// The forked child's side: its own child, whose parent has gone, becomes the command.
+// Runs in the forked child. It forks again and exits, so that the grandchild, which runs the command, is not
+// a child of the calling process.
 [[noreturn]] void become_detached(const char* command) {
   ::setsid();
   const pid_t grandchild = ::fork();
-  if (grandchild != 0) ::_exit(grandchild > 0 ? 0 : no_process_status);
+  if (grandchild != 0) ::_exit(grandchild > 0 ? 0 : fork_failed_status);
   const int null_device = ::open("/dev/null", O_RDWR);
   ::dup2(null_device, STDIN_FILENO);
   ::dup2(null_device, STDOUT_FILENO);
@@ -32,10 +33,11 @@
 void start_detached(const std::string& command) {
   const pid_t child = ::fork();
   if (child == 0) become_detached(command.c_str());
-  if (child < 0) throw ResourceShortage("no process: " + text_of_last_error());
+  if (child < 0) throw ResourceShortage("cannot fork: " + text_of_last_error());
   int status = 0;
   uninterrupted([&] { return ::waitpid(child, &status, 0); });
-  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) throw ResourceShortage("no process");
+  if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
+    throw ResourceShortage("cannot fork a detached process");
 }
 
 }  // namespace pearchute::ctl
--- a/src/ctl/detached_process.h
+++ b/src/ctl/detached_process.h
@@ -1,12 +1,12 @@
-// Starting a program that outlives this one.
+// Starts a process that outlives this one.
 #pragma once
 
 #include <string>
 
 namespace pearchute::ctl {
 
-// Runs a shell command in a session of its own, as nobody's child, without standard streams. Throws
-// ResourceShortage where no process can be had for it now.
+// Runs a shell command in a new session, detached from this process, with /dev/null as its standard streams.
+// Its exit status is not reported. Throws ResourceShortage where a process cannot be forked for the moment.
 void start_detached(const std::string& command);
 
 }  // namespace pearchute::ctl
--- a/src/ctl/fleet_file.cpp
+++ b/src/ctl/fleet_file.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr std::size_t max_instances = 5000;  // far over the fleets that one person oversees
+constexpr std::size_t max_instances = 5000;  // far more than one operator oversees
 constexpr std::int64_t min_timeout_ms = 10;
 constexpr std::int64_t max_timeout_ms = 60'000;
-constexpr std::int64_t max_parallel = 500;  // each takes a descriptor
+constexpr std::int64_t max_parallel = 500;  // each call in flight takes a descriptor
 constexpr std::string_view agent_prefix = "agent ";
 constexpr std::string_view instance_prefix = "instance ";
 
-[[noreturn]] void throw_unknown(const std::string& name, const std::string& section) {
-  throw ini::Error("'" + name + "' is not known in [" + section + "]");
+[[noreturn]] void throw_unknown_setting(const std::string& name, const std::string& section) {
+  throw ini::Error("unknown setting '" + name + "' in [" + section + "]");
 }
 
 bool is_label_name(const std::string& name) {
@@ -27,91 +27,93 @@
   return !name.empty() && std::ranges::all_of(name, is_valid);
 }
 
-// `text`: NAME or NAME=VALUE, several set apart by commas.
+// Parses `text`, a comma-separated list of NAME or NAME=VALUE.
 void add_labels(const std::string& text, std::map<std::string, std::string>& labels) {
   for (const std::string& item : ini::list(text)) {
     const std::size_t equal = item.find('=');
     const std::string name = item.substr(0, equal);
-    if (!is_label_name(name)) throw ini::Error("'" + item + "' is no label: NAME=VALUE, set apart by commas");
+    if (!is_label_name(name))
+      throw ini::Error("invalid label '" + item + "': expected a comma-separated list of NAME or NAME=VALUE");
     labels[name] = equal == std::string::npos ? "" : item.substr(equal + 1);
   }
 }
 
-// Takes the file's lines one by one, and checks the whole at the end.
+// Receives the settings one by one, and validates the whole file in finish().
 class Parser {
  public:
-  void take_line(const std::string& section, const std::string& name, const std::string& text) {
-    if (section == "fleet") return take_fleet_line(name, text);
+  void add_setting(const std::string& section, const std::string& name, const std::string& text) {
+    if (section == "fleet") return add_fleet_setting(name, text);
     const bool is_agent = section.starts_with(agent_prefix) && section.size() > agent_prefix.size() &&
                           section.find(' ', agent_prefix.size()) == std::string::npos;
-    if (is_agent) return take_agent_line(section.substr(agent_prefix.size()), name, text);
+    if (is_agent) return add_agent_setting(section.substr(agent_prefix.size()), name, text);
     if (section == "tls") {
-      if (!keys::set_tls_file(fleet_.tls, name, text)) throw_unknown(name, "tls");
+      if (!keys::set_tls_file(fleet_.tls, name, text)) throw_unknown_setting(name, "tls");
       return;
     }
     if (!section.starts_with(instance_prefix))
-      throw ini::Error("[" + section +
-                       "] is not known; [fleet], [tls], [agent NAME] and [instance NAME] are");
-    take_instance_line(instance_named(section.substr(instance_prefix.size())), name, text);
+      throw ini::Error("unknown section [" + section +
+                       "]; expected [fleet], [tls], [agent NAME] or [instance NAME]");
+    add_instance_setting(instance_named(section.substr(instance_prefix.size())), name, text);
   }
 
-  // Throws ini::Error where something is missing.
+  // Throws ini::Error where a required setting is missing.
   Fleet finish(const std::string& file) const {
     for (const Instance& instance : fleet_.instances) {
-      if (instance.place.text.empty())
+      if (instance.admin_endpoint.text.empty())
         throw ini::Error("instance " + instance.facts.name + " has no 'admin'", file);
     }
     const std::string missing = keys::missing_tls_file(fleet_.tls);
     for (const AgentAddress& agent : fleet_.agents) {
       if (agent.control.tls && !missing.empty())
-        throw ini::Error("agent " + agent.name + " needs '" + missing + "' in [tls]", file);
+        throw ini::Error(
+            "agent " + agent.name + " has a TLS address, which requires '" + missing + "' in [tls]", file);
     }
-    if (fleet_.instances.empty()) throw ini::Error("no instance is named", file);
+    if (fleet_.instances.empty()) throw ini::Error("the file has no [instance NAME]", file);
     return fleet_;
   }
 
  private:
-  void take_fleet_line(const std::string& name, const std::string& text) {
+  void add_fleet_setting(const std::string& name, const std::string& text) {
     if (name == "timeout_ms")
-      fleet_.answers_within =
-          std::chrono::milliseconds(ini::whole(name, text, min_timeout_ms, max_timeout_ms));
+      fleet_.call_timeout = std::chrono::milliseconds(ini::whole(name, text, min_timeout_ms, max_timeout_ms));
     else if (name == "parallel")
-      fleet_.at_once = static_cast<std::size_t>(ini::whole(name, text, 1, max_parallel));
-    else throw_unknown(name, "fleet");
+      fleet_.max_parallel_calls = static_cast<std::size_t>(ini::whole(name, text, 1, max_parallel));
+    else throw_unknown_setting(name, "fleet");
   }
 
-  void take_agent_line(const std::string& agent, const std::string& name, const std::string& text) {
-    if (name != "control") throw_unknown(name, "agent NAME");
+  void add_agent_setting(const std::string& agent, const std::string& name, const std::string& text) {
+    if (name != "control") throw_unknown_setting(name, "agent NAME");
     fleet_.agents.push_back({agent, keys::parse_endpoint(text)});
   }
 
-  // The instance of that name, which may be new.
+  // Returns the instance of that name, and adds it where it is new.
   Instance& instance_named(const std::string& name) {
     if (name.empty() || name.find_first_of(" \t") != std::string::npos)
-      throw ini::Error("'" + name + "' is no name for an instance");
+      throw ini::Error("invalid instance name '" + name +
+                       "': a name has at least one character and no blanks");
     const auto known = std::ranges::find(fleet_.instances, name,
                                          [](const Instance& instance) { return instance.facts.name; });
     if (known != fleet_.instances.end()) return *known;
     if (fleet_.instances.size() == max_instances)
-      throw ini::Error("more than " + std::to_string(max_instances) + " instances");
+      throw ini::Error("the file has more than " + std::to_string(max_instances) + " instances");
     Instance& instance = fleet_.instances.emplace_back();
     instance.facts.name = name;
     return instance;
   }
 
-  void take_instance_line(Instance& instance, const std::string& name, const std::string& text) {
+  void add_instance_setting(Instance& instance, const std::string& name, const std::string& text) {
     if (name == "admin") set_admin(instance, text);
     else if (name == "zone") instance.facts.zone = text;
     else if (name == "start") instance.start_command = text;
     else if (name == "labels") add_labels(text, instance.facts.labels);
-    else throw_unknown(name, "instance NAME");
+    else throw_unknown_setting(name, "instance NAME");
   }
 
   void set_admin(Instance& instance, const std::string& text) {
-    instance.place = admin::parse_endpoint(text);
+    instance.admin_endpoint = admin::parse_endpoint(text);
     instance.facts.admin = text;
     if (!admin_addresses_.insert(text).second)
-      throw ini::Error("another instance has the admin address " + text);
+      throw ini::Error("another instance already has the admin address " + text);
   }
 
   Fleet fleet_;
@@ -123,7 +125,7 @@
 Fleet read_fleet(const std::string& file) {
   Parser parser;
   ini::read(file, [&](const std::string& section, const std::string& name, const std::string& text) {
-    parser.take_line(section, name, text);
+    parser.add_setting(section, name, text);
   });
   return parser.finish(file);
 }
--- a/src/ctl/fleet_file.h
+++ b/src/ctl/fleet_file.h
@@ -1,5 +1,5 @@
-// The operators' list of instances and agents, from an INI file: [fleet] with limits, [tls], [agent NAME] and
-// [instance NAME].
+// The fleet file of pearchutectl: an INI file that lists the instances and agents, with the sections [fleet]
+// for limits, [tls], [agent NAME] and [instance NAME].
 #pragma once
 
 #include <chrono>
@@ -13,29 +13,30 @@
 
 namespace pearchute::ctl {
 
-// A manager, and what a selector knows of it.
+// A manager, with the facts that a selector can test.
 struct Instance {
   Facts facts;
-  admin::Endpoint place;      // its admin channel
-  std::string start_command;  // a shell command; empty: somebody else starts it
+  admin::Endpoint admin_endpoint;
+  std::string start_command;  // a shell command; empty: something else starts the manager
 };
 
-// Where an agent takes remote calls.
+// The address at which an agent accepts remote calls.
 struct AgentAddress {
   std::string name;
   keys::Endpoint control;
 };
 
-// The whole file, validated.
+// The validated content of a fleet file.
 struct Fleet {
   std::vector<AgentAddress> agents;
   keys::TlsFiles tls;
-  std::vector<Instance> instances;                 // in the file's order
-  std::chrono::milliseconds answers_within{2000};  // of one call
-  std::size_t at_once = 128;                       // instances called at a time
+  std::vector<Instance> instances;  // in the order of the file
+  std::chrono::milliseconds call_timeout{2000};
+  std::size_t max_parallel_calls = 128;  // calls in flight at a time
 };
 
-// Throws ini::Error with file, line and what is wrong, ResourceShortage where the file can't be read now.
+// Throws ini::Error with the file, the line and the fault; ResourceShortage where the file cannot be read for
+// the moment.
 Fleet read_fleet(const std::string& file);
 
 }  // namespace pearchute::ctl
--- a/src/ctl/instance_restart.cpp
+++ b/src/ctl/instance_restart.cpp
@@ -28,13 +28,13 @@
 }
 
 Restart::Identity identity_in(const admin::v1::Identity& identity) {
-  Restart::Identity to;
-  to.started = identity.started_unix_ms();
-  to.process = identity.pid();
-  to.serves = identity.phase() == "serving";
-  to.build = identity.build();
-  to.digest = identity.digest();
-  return to;
+  Restart::Identity result;
+  result.started = identity.started_unix_ms();
+  result.process = identity.pid();
+  result.serves = identity.phase() == "serving";
+  result.build = identity.build();
+  result.digest = identity.digest();
+  return result;
 }
 
 std::set<std::string> ids_of(const OrdersById& orders) {
@@ -77,12 +77,13 @@
   restart_.on_shutdown_response(steady_now(), probe_result(result), result.ok());
 }
 
-// A manager that has ended by order must not stay down because no process could be had for a moment.
+// Retries a shortage: a manager that was shut down for a restart must not stay down because a fork failed for
+// a moment.
 void InstanceRestart::start() {
   try {
     retry_while_short([&] { start_detached(instance_.start_command); }, [](const ResourceShortage&) {});
   } catch (const ResourceShortage& shortage) {
-    std::cerr << instance_.facts.name << " can't be started: " << shortage.what() << "\n";
+    std::cerr << instance_.facts.name << ": cannot run its start command: " << shortage.what() << "\n";
   }
 }
 
--- a/src/ctl/instance_restart.h
+++ b/src/ctl/instance_restart.h
@@ -1,7 +1,7 @@
-// The restart of one manager from the command line: makes the calls that fleet::Restart decides on, one at a
-// time, and reports what came of them.
+// Restarts one manager from the command line: makes the calls that fleet::Restart requests, one at a time,
+// and reports their results to it.
 //
-// Blocks for the time of a call.
+// Functions block for the duration of a call.
 #pragma once
 
 #include <map>
@@ -15,20 +15,20 @@
 
 namespace pearchute::ctl {
 
-// Open orders by their ids.
+// Orders in force by their ids.
 using OrdersById = std::map<std::string, admin::v1::Order>;
 
-// Nothing where not all of an instance's orders could be read.
+// Reads the orders in force at an instance. Returns nothing where a page could not be read.
 std::optional<OrdersById> read_orders(BatchExecutor& executor, const Instance& instance);
 
-// One restart, from its construction until restart().over().
+// One restart. It begins with the constructor; call advance() until restart().over().
 class InstanceRestart final : public fleet::Restart::Host {
  public:
-  // `identity` and `orders` are the instance's before the restart. The references outlive this.
+  // `identity` and `orders` describe the instance before the restart. The references outlive the object.
   InstanceRestart(BatchExecutor& executor, const Instance& instance, const fleet::Restart::Limits& limits,
                   const admin::v1::Identity& identity, OrdersById orders);
 
-  // Makes the next call, or looks whether something has changed.
+  // Makes the next requested call, or probes the instance.
   void advance();
   const Instance& instance() const { return instance_; }
   const fleet::Restart& restart() const { return restart_; }
--- a/src/ctl/keys.cpp
+++ b/src/ctl/keys.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int hours_per_day = 24;
-// Ten years: another authority means new certificates for everybody.
+// Ten years, since a new authority requires new certificates for all agents and operators.
 constexpr std::chrono::hours authority_lifetime(hours_per_day * 3650);
 
-// In UTC.
+// Formats the time in UTC.
 std::string time_text(std::chrono::system_clock::time_point time) {
   const std::time_t seconds = std::chrono::system_clock::to_time_t(time);
   std::tm parts{};
--- a/src/ctl/keys.h
+++ b/src/ctl/keys.h
@@ -1,4 +1,4 @@
-// The operators' commands over certificates; they need no fleet.
+// The commands that manage certificates. They need no fleet file.
 #pragma once
 
 #include <string>
@@ -7,16 +7,16 @@
 
 namespace pearchute::ctl {
 
-// Options of all commands over certificates; each uses some.
+// Options of these commands; each command uses some of them.
 struct KeyOptions {
   std::string folder = "/etc/pearchute/keys";  // of the authority
   std::string name;                            // of the site, or of the certificate's holder
   std::string role;
-  std::string file;  // to show; empty: all of the folder
-  int days = 365;    // for which a certificate is valid
+  std::string file;  // the certificate to show; empty: all in the folder
+  int days = 365;    // validity of a new certificate
 };
 
-// Each returns an exit status, and throws keys::Error with what is wrong.
+// Each command returns the exit status, and throws KeysError.
 int keys_init(const KeyOptions& options, Output& output);
 int keys_issue(const KeyOptions& options, Output& output);
 int keys_revoke(const KeyOptions& options, Output& output);
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,5 +1,5 @@
-// pearchutectl: runs the command that the operator named, over the chosen instances, and ends with its
-// status.
+// The entry point of pearchutectl: parses the command line, runs the command for the chosen instances, and
+// exits with its status.
 #include <algorithm>
 #include <array>
 #include <iostream>
@@ -13,20 +13,21 @@
 
 namespace {
 
-// Errors of what the operator wrote, on the command line or in a file: nothing was tried.
+// Errors in the command line or in a file that the operator wrote. They exit with the status for usage
+// errors, since nothing was attempted.
 constexpr std::array operator_errors = {ErrorKind::usage, ErrorKind::settings, ErrorKind::selector};
 
 Fleet load_fleet(const CommonOptions& options) {
   Fleet fleet = read_fleet(options.fleet_file);
-  if (options.timeout_ms > 0) fleet.answers_within = std::chrono::milliseconds(options.timeout_ms);
-  if (options.parallel > 0) fleet.at_once = static_cast<std::size_t>(options.parallel);
+  if (options.timeout_ms > 0) fleet.call_timeout = std::chrono::milliseconds(options.timeout_ms);
+  if (options.parallel > 0) fleet.max_parallel_calls = static_cast<std::size_t>(options.parallel);
   return fleet;
 }
 
-// Throws SelectorError, after it has shown the place in the selector.
-Selector parse_selector(const std::string& text) {
+// Throws SelectorError after printing the selector with a marker at the faulty column.
+Selector parse_selector_option(const std::string& text) {
   try {
-    return selector_in(text);
+    return parse_selector(text);
   } catch (const SelectorError& error) {
     std::cerr << "  " << text << "\n  " << std::string(error.column - 1, ' ') << "^\n";
     throw;
@@ -34,13 +35,14 @@
 }
 
 std::vector<const Instance*> choose_instances(const Fleet& fleet, const CommonOptions& options) {
-  const Selector selector = parse_selector(options.selector);
+  const Selector selector = parse_selector_option(options.selector);
   std::vector<const Instance*> chosen;
   for (const Instance& instance : fleet.instances) {
     if (selector(instance.facts)) chosen.push_back(&instance);
   }
   if (chosen.empty())
-    throw UsageError("no instance is chosen", options.fleet_file, "see what --on picks: pearchutectl status");
+    throw UsageError("--on selects no instance", options.fleet_file,
+                     "run pearchutectl status without --on to list all instances");
   return chosen;
 }
 
@@ -53,8 +55,8 @@
     return (*on_managers)(managers);
   }
   if (fleet.agents.empty())
-    throw SettingsError("names no [agent NAME]", options.fleet_file,
-                        "add one for each agent: docs/operating.md");
+    throw SettingsError("the file has no [agent NAME], which this command requires", options.fleet_file,
+                        "add a section for each agent: docs/operating.md");
   AgentCommands agents(fleet, chosen, output);
   return std::get<CommandLine::AgentAction>(action)(agents);
 }
@@ -88,7 +90,7 @@
 
 int main(int argc, char** argv) {
   net::start_log("pearchutectl");
-  spdlog::set_level(spdlog::level::off);  // what there is to say comes with the results
+  spdlog::set_level(spdlog::level::off);  // results and errors are printed directly
   try {
     return run(argc, argv);
   } catch (const std::exception& error) {
--- a/src/ctl/orders.cpp
+++ b/src/ctl/orders.cpp
@@ -1,4 +1,4 @@
-// How Commands confirms a change and gives one order to each chosen manager.
+// The confirmation of a change, and the call that gives one order to each chosen manager.
 #include <unistd.h>
 
 #include <algorithm>
@@ -44,7 +44,7 @@
   return call;
 }
 
-// Above all that the managers know of, so that the order supersedes them.
+// Returns a generation over all that the managers report, so that the order supersedes theirs.
 std::uint64_t next_generation(const std::vector<CallResult>& known_orders) {
   std::uint64_t newest = 0;
   for (const CallResult& result : known_orders)
@@ -52,7 +52,8 @@
   return newest + 1;
 }
 
-// Orders in force other than the one that was given; an order of the same holder counts after a restore.
+// Lists the orders that still drain the subject. After a drain, the orders of the same holder are left out,
+// since the new order is among them.
 std::string describe_other_orders(const admin::v1::Ordered& ordered, bool drains, const std::string& holder) {
   std::string text;
   for (const admin::v1::Order& order : ordered.in_force()) {
@@ -71,7 +72,7 @@
   row["result"] = result.ok() ? ordered.verdict() : result.error();
   row["state"] = ordered.standing();
   row["generation"] = order.generation();
-  for (const admin::v1::Order& one : ordered.in_force()) row["in_force"].push_back(order_row(one));
+  for (const admin::v1::Order& active : ordered.in_force()) row["in_force"].push_back(order_row(active));
   const std::string others = describe_other_orders(ordered, order.drains(), order.holder());
   if (!others.empty()) row["also_held_by"] = others;
   if (result.ok() && !ordered.listed()) row["note"] = "not in this manager's list; the order waits for it";
@@ -80,7 +81,7 @@
 
 CommandOutcome order_outcome(const CallResult& result, bool drains) {
   const CommandOutcome outcome = outcome_of(result);
-  // A restore was accepted, and others' orders are still in force.
+  // The restore was accepted, but other orders still drain the subject.
   const bool still_drained = !drains && result.reply.ordered().in_force_size() > 0;
   return outcome == CommandOutcome::yes && still_drained ? CommandOutcome::conflict : outcome;
 }
@@ -91,20 +92,20 @@
                          const ChangeOptions& options) {
   if (disruptions.empty() || options.yes) return true;
   for (const fleet::ZoneDisruption& zone : disruptions) {
-    std::cerr << command << ": " << zone.stopping << " of the " << zone.serving << " that serve in zone "
-              << (zone.zone.empty() ? "(none)" : zone.zone) << " would stop" << std::endl;
+    std::cerr << command << ": " << zone.stopping << " of " << zone.serving << " that serve in zone "
+              << (zone.zone.empty() ? "(none)" : zone.zone) << " would stop serving" << std::endl;
   }
   if (!::isatty(STDIN_FILENO)) {
-    std::cerr << "not done: say --yes to do it all the same" << std::endl;
+    std::cerr << "not done: pass --yes to skip the confirmation" << std::endl;
     return false;
   }
-  std::cerr << "Type yes to go on: " << std::flush;
+  std::cerr << "Type yes to continue: " << std::flush;
   std::string answer;
   std::getline(std::cin, answer);
   return answer == "yes";
 }
 
-// Counted over the whole file: what is not chosen goes on serving.
+// Counts all instances of the fleet file: those that are not chosen go on serving.
 Commands::Disruptions Commands::disruptions_of_managers() {
   BatchExecutor::Instances instances;
   for (const Instance& instance : fleet_.instances) instances.push_back(&instance);
@@ -120,23 +121,23 @@
   return fleet::zone_disruptions(availability, stopped);
 }
 
-// One order to each chosen instance. `subject` is an engine; empty: the manager itself.
-Commands::OrderResults Commands::give_order(const std::string& subject, bool drains,
-                                            const ChangeOptions& options) {
+// Gives one order to each chosen instance. `subject` is an engine; empty: the manager itself.
+Commands::OrderResults Commands::issue_order(const std::string& subject, bool drains,
+                                             const ChangeOptions& options) {
   const std::vector<CallResult> known_orders = executor_.call(chosen_, orders_request({}));
-  if (options.dry_run) return would_order(known_orders, subject, drains);
+  if (options.dry_run) return preview_order(known_orders, subject, drains);
   const Call call = order_call(subject, drains, next_generation(known_orders), options);
   const std::vector<CallResult> results = send_order(call);
-  OrderResults given;
+  OrderResults issued;
   for (std::size_t i = 0; i < results.size(); ++i) {
-    given.outcomes.push_back(order_outcome(results[i], drains));
-    given.rows.push_back(order_result_row(*chosen_[i], results[i], call));
+    issued.outcomes.push_back(order_outcome(results[i], drains));
+    issued.rows.push_back(order_result_row(*chosen_[i], results[i], call));
   }
-  return given;
+  return issued;
 }
 
-Commands::OrderResults Commands::would_order(const std::vector<CallResult>& known_orders,
-                                             const std::string& subject, bool drains) const {
+Commands::OrderResults Commands::preview_order(const std::vector<CallResult>& known_orders,
+                                               const std::string& subject, bool drains) const {
   OrderResults results;
   for (std::size_t i = 0; i < chosen_.size(); ++i) {
     const std::string would_be = drains ? "would be drained" : "would be restored";
@@ -149,7 +150,8 @@
   return results;
 }
 
-// Where no answer came the order may have been taken. It is sent again: that is harmless, and tells.
+// Sends the order, and repeats it once where the outcome is uncertain: a repeated order changes nothing, and
+// its reply states the result.
 std::vector<CallResult> Commands::send_order(const Call& order) {
   std::vector<CallResult> results = executor_.call(chosen_, order);
   BatchExecutor::Instances uncertain;
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -76,15 +76,15 @@
   last_progress_ = text;
   if (::isatty(STDERR_FILENO)) {
     std::cerr << erase_line << text << std::flush;
-    in_place_ = true;
+    has_progress_line_ = true;
   } else {
     std::cerr << text << std::endl;
   }
 }
 
-void Output::progress_over() {
-  if (in_place_) std::cerr << erase_line << std::flush;
-  in_place_ = false;
+void Output::clear_progress() {
+  if (has_progress_line_) std::cerr << erase_line << std::flush;
+  has_progress_line_ = false;
 }
 
 }  // namespace pearchute::ctl
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -1,5 +1,5 @@
-// Rows for people or for programs: a table of some columns, or JSON with all that is known. Progress goes to
-// standard error, in place on a terminal and as plain lines elsewhere.
+// Prints rows as a table with chosen columns, or as JSON with all members. Progress is written to standard
+// error: in place on a terminal, and as plain lines elsewhere.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,29 +8,30 @@
 
 namespace pearchute::ctl {
 
-// Members are printed in the order in which they were set.
+// JSON objects, whose members are printed in the order in which they were set.
 using Rows = std::vector<nlohmann::ordered_json>;
 
-// Where a command prints. Not thread-safe.
+// The output of a command. Not thread-safe.
 class Output {
  public:
   explicit Output(bool json) : json_(json) {}
   bool json() const { return json_; }
-  // Columns are members of the rows; what a row lacks stays blank. JSON has all members.
+  // Prints the rows. Columns name members of the rows; a cell is blank where its row has no such member. JSON
+  // has all members.
   void rows(const Rows& rows, const std::vector<std::string>& columns) const;
-  void line(const std::string& text) const;  // for people only
-  // Replaces the progress that stands there; a text that has not changed is not printed again.
+  void line(const std::string& text) const;  // omitted from JSON output
+  // Shows the progress in place of the previous one. An unchanged text is not printed again.
   void progress(const std::string& text);
-  // Removes the progress that stands on the terminal.
-  void progress_over();
+  // Clears the progress from the terminal.
+  void clear_progress();
 
  private:
   const bool json_;
-  bool in_place_ = false;
+  bool has_progress_line_ = false;
   std::string last_progress_;
 };
 
-// Rows as a table of some columns, each as wide as its widest cell.
+// Formats the rows as a table with these columns, each as wide as its widest cell.
 std::string table(const Rows& rows, const std::vector<std::string>& columns);
 
 }  // namespace pearchute::ctl
--- a/src/ctl/queries.cpp
+++ b/src/ctl/queries.cpp
@@ -1,4 +1,4 @@
-// The commands that ask and change nothing but the level of the log.
+// The commands that query managers, and the one that sets the log level.
 #include <unistd.h>
 
 #include <algorithm>
@@ -106,13 +106,13 @@
             << (event.subject().empty() ? "" : ": ") << event.text() << std::endl;
 }
 
-// Requests that a manager had taken in, and when that was read.
+// The count of requests that a manager has accepted, and when it was read.
 struct RequestCount {
   std::uint64_t requests = 0;
   std::uint64_t unix_ms = 0;
 };
 
-// Adds what the counters of one round tell, with the rate since the round before.
+// Adds columns from the counters, and the request rate since the previous round.
 void add_rates(std::uint64_t now_unix_ms, std::map<std::string, RequestCount>& last_counts, json& row) {
   if (!row.contains("counters") || !row["counters"].is_object()) return;
   const json& counters = row["counters"];
@@ -128,12 +128,12 @@
   row["failed"] = counters["answered"].value("cancelled", std::uint64_t{0});
 }
 
-// An engine over all managers.
+// One engine as seen by all chosen managers.
 struct EngineSummary {
   std::string zone;
   std::string address;
-  std::map<std::string, int> states;  // managers that believe each
-  std::set<std::string> holders;      // of orders
+  std::map<std::string, int> states;  // the count of managers by state
+  std::set<std::string> holders;      // of the orders that drain it
 };
 
 using EngineSummaries = std::map<std::string, EngineSummary>;
@@ -166,7 +166,7 @@
     : fleet_(fleet),
       chosen_(std::move(chosen)),
       output_(output),
-      executor_(fleet.at_once, fleet.answers_within) {
+      executor_(fleet.max_parallel_calls, fleet.call_timeout) {
   watch_for_interrupt();
 }
 
@@ -191,7 +191,7 @@
   return fleet::exit_status_of_query(outcomes);
 }
 
-// Rows of what each instance answered; where one did not answer, a row with the error behind its name.
+// Prints the rows of all replies. An instance that failed gets a row with the error in the second column.
 int Commands::print_query(const std::vector<BatchExecutor::Pages>& answers,
                           const std::vector<std::string>& columns, const RowsOfReply& add_rows) {
   Outcomes outcomes;
@@ -246,7 +246,7 @@
 }
 
 int Commands::top(milliseconds interval, int rounds) {
-  const bool in_place = ::isatty(STDOUT_FILENO) && !output_.json();
+  const bool clears_screen = ::isatty(STDOUT_FILENO) && !output_.json();
   int status = 0;
   std::map<std::string, RequestCount> last_counts;  // by instance
   for (int round = 0; !interrupted() && (rounds == 0 || round < rounds); ++round) {
@@ -256,7 +256,7 @@
     status = fleet::exit_status_of_query(outcomes);
     const std::uint64_t now = unix_milliseconds();
     for (json& row : rows) add_rates(now, last_counts, row);
-    if (in_place) std::cout << clear_screen;
+    if (clears_screen) std::cout << clear_screen;
     output_.rows(rows, {"instance", "zone", "state", "jobs", "held", "jobs_a_second", "done", "throttled",
                         "failed", "engines", "memory_kb", "trouble"});
   }
@@ -276,7 +276,7 @@
     for (std::size_t i = 0; i < chosen_.size(); ++i) {
       if (chosen_[i] == &instance) outcomes[i] = CommandOutcome::unreachable;
     }
-    std::cerr << instance.facts.name << ": the watch has ended: " << reason << std::endl;
+    std::cerr << instance.facts.name << ": the watch ended: " << reason << std::endl;
   };
   executor_.watch(chosen_, time, on_event, on_end, [] { return interrupted(); });
   return fleet::exit_status_of_query(outcomes);
@@ -328,7 +328,7 @@
     json row = instance_row(*chosen_[i]);
     row["admin"] = chosen_[i]->facts.admin;
     row["result"] = results[i].ok() ? "answers" : results[i].error();
-    // A file that names one manager's channel under another's name would drain the wrong one.
+    // With a wrong name in the fleet file, a drain would hit the wrong manager.
     const std::string& name = results[i].reply.identity().name();
     if (results[i].ok() && name != chosen_[i]->facts.name) {
       row["result"] = "calls itself " + name;
--- a/src/ctl/requests.cpp
+++ b/src/ctl/requests.cpp
@@ -17,21 +17,21 @@
   return call;
 }
 
-Call engines_request(const BatchExecutor::Pages& before) {
+Call engines_request(const BatchExecutor::Pages& received) {
   Call call;
   call.mutable_engines();
-  if (!before.empty())
-    call.mutable_engines()->set_after(before.back().reply.engines().engines().rbegin()->name());
+  if (!received.empty())
+    call.mutable_engines()->set_after(received.back().reply.engines().engines().rbegin()->name());
   return call;
 }
 
-Call orders_request(const BatchExecutor::Pages& before) {
-  std::uint32_t received = 0;
-  for (const CallResult& page : before) {
-    received += static_cast<std::uint32_t>(page.reply.orders().orders_size());
+Call orders_request(const BatchExecutor::Pages& received) {
+  std::uint32_t received_count = 0;
+  for (const CallResult& page : received) {
+    received_count += static_cast<std::uint32_t>(page.reply.orders().orders_size());
   }
   Call call;
-  call.mutable_orders()->set_orders(received);
+  call.mutable_orders()->set_orders(received_count);
   return call;
 }
 
--- a/src/ctl/requests.h
+++ b/src/ctl/requests.h
@@ -1,5 +1,4 @@
-// The calls that commands make to a manager's admin channel, and how their results map to a command's
-// outcome.
+// The calls that commands make to a manager's admin channel, and the mapping of their results to outcomes.
 #pragma once
 
 #include "admin.pb.h"
@@ -10,11 +9,11 @@
 
 admin::v1::Call identity_request();
 admin::v1::Call status_request();
-// The page of engines, or of orders, that follows those already received.
-admin::v1::Call engines_request(const BatchExecutor::Pages& before);
-admin::v1::Call orders_request(const BatchExecutor::Pages& before);
+// Requests for the page of engines, or of orders, that follows the received ones.
+admin::v1::Call engines_request(const BatchExecutor::Pages& received);
+admin::v1::Call orders_request(const BatchExecutor::Pages& received);
 
-// The outcome of one instance's call, as the exit status counts it.
+// The outcome for one instance, from which the exit status of the command is computed.
 fleet::CommandOutcome outcome_of(const CallResult& result);
 
 }  // namespace pearchute::ctl
--- a/src/ctl/restarts.cpp
+++ b/src/ctl/restarts.cpp
@@ -1,4 +1,4 @@
-// The command that restarts managers, some at a time.
+// The command that restarts managers, a limited number at a time.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -20,8 +20,8 @@
 
 constexpr milliseconds advance_interval(100);
 
-// Restarts the chosen instances in their order. The first one that does not come back stops the rest: the
-// fault may be everyone's. What has begun is seen to its end.
+// Restarts the chosen instances in order. After the first failure no further restart begins, since the cause
+// may affect all instances; those under way are completed.
 class RollingRestart {
  public:
   RollingRestart(BatchExecutor& executor, const std::vector<const Instance*>& instances,
@@ -29,12 +29,14 @@
       : executor_(executor), instances_(instances), options_(options), rows_(rows), outcomes_(outcomes) {}
 
   void run(Output& output) {
-    while ((!stopped_ && next_ < instances_.size()) || !open_.empty()) {
-      if (interrupted()) stopped_ = true;
-      while (!stopped_ && next_ < instances_.size() && open_.size() < options_.at_once) begin_next();
-      const std::string progress = advance_open();
+    while ((!stopping_ && next_ < instances_.size()) || !in_progress_.empty()) {
+      if (interrupted()) stopping_ = true;
+      while (!stopping_ && next_ < instances_.size() &&
+             in_progress_.size() < options_.max_concurrent_restarts)
+        begin_next();
+      const std::string progress = advance_all();
       if (!progress.empty()) output.progress(progress);
-      if (!open_.empty()) std::this_thread::sleep_for(advance_interval);
+      if (!in_progress_.empty()) std::this_thread::sleep_for(advance_interval);
     }
   }
 
@@ -46,27 +48,27 @@
     const std::optional<OrdersById> orders = read_orders(executor_, instance);
     if (!known.ok() || !orders) {
       outcomes_[index] = known.ok() ? CommandOutcome::unreachable : outcome_of(known);
-      rows_[index]["result"] = known.ok() ? "its orders can't be read" : known.error();
-      stopped_ = true;
+      rows_[index]["result"] = known.ok() ? "cannot read its orders" : known.error();
+      stopping_ = true;
       return;
     }
     fleet::Restart::Limits limits;
     limits.drain_within = options_.drain_timeout;
     limits.up_within = options_.start_timeout;
     limits.starts_program = !instance.start_command.empty();
-    open_[index] =
+    in_progress_[index] =
         std::make_unique<InstanceRestart>(executor_, instance, limits, known.reply.identity(), *orders);
   }
 
-  // Returns the progress of those that are still under way.
-  std::string advance_open() {
+  // Advances the restarts under way. Returns the progress of those that are not over.
+  std::string advance_all() {
     std::string progress;
-    for (auto it = open_.begin(); it != open_.end();) {
+    for (auto it = in_progress_.begin(); it != in_progress_.end();) {
       auto& [index, restart] = *it;
       restart->advance();
       if (restart->restart().over()) {
         finish(index, restart->restart());
-        it = open_.erase(it);
+        it = in_progress_.erase(it);
         continue;
       }
       progress += (progress.empty() ? "" : ", ") + restart->instance().facts.name + " " +
@@ -80,24 +82,25 @@
     outcomes_[index] = restart.outcome();
     rows_[index]["result"] = restart.detail();
     rows_[index]["handed_over"] = restart.reissued_count();
-    if (restart.outcome() != CommandOutcome::yes) stopped_ = true;
+    if (restart.outcome() != CommandOutcome::yes) stopping_ = true;
   }
 
   BatchExecutor& executor_;
   const std::vector<const Instance*>& instances_;
   const ChangeOptions& options_;
-  Rows& rows_;                                                    // by instance
-  std::vector<CommandOutcome>& outcomes_;                         // the same
-  std::map<std::size_t, std::unique_ptr<InstanceRestart>> open_;  // by instance's index
+  Rows& rows_;                                                           // by index of the instance
+  std::vector<CommandOutcome>& outcomes_;                                // by index of the instance
+  std::map<std::size_t, std::unique_ptr<InstanceRestart>> in_progress_;  // by index of the instance
   std::size_t next_ = 0;
-  bool stopped_ = false;  // begins no further one
+  bool stopping_ = false;  // no further restart begins
 };
 
 }  // namespace
 
 int Commands::restart(const ChangeOptions& options) {
-  // Only `at_once` of them stop at a time, not all that are chosen.
-  if (options.at_once > 1 && !options.dry_run && !confirmed(disruptions_of_managers(), "restart", options))
+  // A restart of one instance at a time needs no confirmation.
+  if (options.max_concurrent_restarts > 1 && !options.dry_run &&
+      !confirmed(disruptions_of_managers(), "restart", options))
     return fleet::not_confirmed;
   Rows rows;
   Outcomes outcomes(chosen_.size(), options.dry_run ? CommandOutcome::yes : CommandOutcome::not_begun);
@@ -109,7 +112,7 @@
     rows.push_back(std::move(row));
   }
   if (!options.dry_run) RollingRestart(executor_, chosen_, options, rows, outcomes).run(output_);
-  output_.progress_over();
+  output_.clear_progress();
   output_.rows(rows, {"instance", "zone", "result", "start"});
   return fleet::exit_status_of_change(outcomes);
 }
--- a/src/ctl/rollouts.cpp
+++ b/src/ctl/rollouts.cpp
@@ -1,4 +1,4 @@
-// The commands of AgentCommands over rollouts.
+// The commands of AgentCommands for rollouts.
 #include <algorithm>
 #include <array>
 #include <iostream>
@@ -32,7 +32,7 @@
   return is_over(state) ? fleet::partly_done : fleet::time_was_up;
 }
 
-// "3 done, 1 waiting".
+// Returns the count of targets by stage, such as "3 done, 1 waiting".
 std::string describe_stages(const agent::v1::Rollout& rollout) {
   const std::map<std::string, std::uint32_t> counts(rollout.counts().begin(), rollout.counts().end());
   std::string text;
@@ -69,7 +69,8 @@
   return owned;
 }
 
-// Adds the chosen instances to the plan, and returns a row for each. One that nobody owns is left out.
+// Adds the chosen instances to the plan, and returns a row for each. An instance without an owner among the
+// agents that answered gets a row, but is not added to the plan.
 Rows AgentCommands::add_targets(const std::map<std::string, OwnedInstance>& owned, bool start,
                                 fleet::RolloutPlan& plan) {
   Rows rows;
@@ -96,12 +97,12 @@
 void AgentCommands::warn_of_zone_limits(const std::map<std::string, OwnedInstance>& owned,
                                         const fleet::RolloutPlan& plan) {
   std::map<std::string, int> serving;
-  for (const auto& [name, one] : owned)
-    serving[one.instance.zone()] += one.instance.condition() == "serving" ? 1 : 0;
-  for (const auto& [zone, least] : plan.min_serving) {
-    if (serving[zone] <= least)
+  for (const auto& [name, target] : owned)
+    serving[target.instance.zone()] += target.instance.condition() == "serving" ? 1 : 0;
+  for (const auto& [zone, min_serving] : plan.min_serving) {
+    if (serving[zone] <= min_serving)
       output_.line("zone " + zone + ": " + std::to_string(serving[zone]) + " serve, and " +
-                   std::to_string(least) + " are to stay: nothing there can be stepped now");
+                   std::to_string(min_serving) + " must stay serving: no step can begin there now");
   }
 }
 
@@ -121,13 +122,14 @@
   };
   const auto agent = std::ranges::find_if(fleet_.agents, is_coordinator);
   if (agent == fleet_.agents.end()) {
-    std::cerr << "no agent " << coordinator << " in the fleet file" << std::endl;
+    std::cerr << "the fleet file has no agent '" << coordinator << "'" << std::endl;
     return fleet::usage;
   }
   const CallOutcome result = client_.start_rollout(*agent, plan);
   if (result.outcome == CommandOutcome::unreachable) {
     std::cerr << agent->name << ": " << result.error
-              << "; whether it was started tells: pearchutectl rollout status " << plan.id << std::endl;
+              << "; the rollout may have started; to check: pearchutectl rollout status " << plan.id
+              << std::endl;
     return fleet::some_unreachable;
   }
   if (result.outcome == CommandOutcome::refused) {
@@ -160,7 +162,7 @@
       if (known.response.rollouts_size() > 0) found = known.response.rollouts(0);
     }
     if (!found && !follow) {
-      std::cerr << "no agent that answers knows rollout " << id << std::endl;
+      std::cerr << "no agent that answered knows rollout " << id << std::endl;
       return all_answered ? fleet::usage : fleet::some_unreachable;
     }
     if (found && (!follow || is_over(found->state()) || found->state() == "paused"))
@@ -171,7 +173,7 @@
 }
 
 int AgentCommands::print_rollout(const std::string& id, const agent::v1::Rollout& rollout) {
-  output_.progress_over();
+  output_.clear_progress();
   Rows rows;
   for (const agent::v1::Target& target : rollout.plan().targets())
     rows.push_back(target_row(target, rollout));
@@ -192,7 +194,7 @@
     std::cerr << known.agent->name << ": " << result.error << std::endl;
     return result.outcome == CommandOutcome::refused ? fleet::was_refused : fleet::some_unreachable;
   }
-  std::cerr << "no agent that answers knows rollout " << id << std::endl;
+  std::cerr << "no agent that answered knows rollout " << id << std::endl;
   return fleet::some_unreachable;
 }
 
--- a/src/ctl/rows.h
+++ b/src/ctl/rows.h
@@ -1,4 +1,4 @@
-// Rows of a command's output that several commands share, and the times in them.
+// Output rows that several commands share, and the formatting of durations.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace pearchute::ctl {
 
-// A row that names the instance and its zone.
+// A row with the name and the zone of the instance.
 nlohmann::ordered_json instance_row(const Instance& instance);
 nlohmann::ordered_json order_row(const admin::v1::Order& order);
 
-// A span for people: "4.2s", "75s", "3h07m".
+// Formats a duration for operators: "4.2s", "75s", "3h07m".
 std::string age_text(std::uint64_t milliseconds);
-// In whole seconds: "75s".
+// Formats a duration in whole seconds: "75s".
 std::string seconds_text(std::uint64_t milliseconds);
-std::uint64_t unix_milliseconds();  // of the system's clock
+std::uint64_t unix_milliseconds();  // the current wall-clock time
 
 }  // namespace pearchute::ctl
--- a/src/ctl/selector.cpp
+++ b/src/ctl/selector.cpp
@@ -14,13 +14,13 @@
 using x3::lexeme;
 using x3::lit;
 
-using Field = std::function<const std::string*(const Facts&)>;  // nothing where a label is not there
+using Field = std::function<const std::string*(const Facts&)>;  // null where the instance has no such label
 
 const auto name_char = x3::alnum | char_("-_.:/*?@");
-// A keyword, and not the beginning of a longer name.
+// Matches a keyword, but not a longer name that begins with it.
 const auto keyword = [](const char* text) { return lexeme[lit(text) >> !name_char]; };
 
-const auto keep = [](auto& context) { x3::_val(context) = x3::_attr(context); };
+const auto assign = [](auto& context) { x3::_val(context) = x3::_attr(context); };
 
 const x3::rule<struct FieldRule, Field> field = "a field: name, zone, admin or label.NAME";
 const x3::rule<struct LabelRule, std::string> label = "label.NAME";
@@ -51,10 +51,14 @@
                        keyword("zone")[([](auto& c) { fact<&Facts::zone>(c); })] |
                        keyword("admin")[([](auto& c) { fact<&Facts::admin>(c); })] | label[label_of];
 
-// The comparison of the test's field, which `test` holds as "it is there", with what follows.
-enum class By { equal, unequal, like, unlike };
-struct Operators : x3::symbols<By> {
-  Operators() { add("=", By::equal)("!=", By::unequal)("~", By::like)("!~", By::unlike); }
+// The comparison operators. A test begins with its field: set_field makes it a test for presence, and compare
+// or is_in replaces that by the comparison.
+enum class Comparison { equal, unequal, matches, matches_not };
+struct Operators : x3::symbols<Comparison> {
+  Operators() {
+    add("=", Comparison::equal)("!=", Comparison::unequal)("~", Comparison::matches)("!~",
+                                                                                     Comparison::matches_not);
+  }
 } const operators;
 
 struct FieldTag;
@@ -65,40 +69,43 @@
 struct OperatorTag;
 const auto set_operator = [](auto& context) { x3::get<OperatorTag>(context).get() = x3::_attr(context); };
 const auto compare = [](auto& context) {
-  x3::_val(context) = [field = x3::get<FieldTag>(context).get(), by = x3::get<OperatorTag>(context).get(),
+  x3::_val(context) = [field = x3::get<FieldTag>(context).get(),
+                       comparison = x3::get<OperatorTag>(context).get(),
                        value = x3::_attr(context)](const Facts& facts) {
     const std::string* fact = field(facts);
-    const bool positive = by == By::equal || by == By::like;
+    const bool positive = comparison == Comparison::equal || comparison == Comparison::matches;
     if (!fact) return !positive;
-    const bool fits = by == By::equal || by == By::unequal ? *fact == value
-                                                           : ::fnmatch(value.c_str(), fact->c_str(), 0) == 0;
+    const bool fits = comparison == Comparison::equal || comparison == Comparison::unequal
+                          ? *fact == value
+                          : ::fnmatch(value.c_str(), fact->c_str(), 0) == 0;
     return fits == positive;
   };
 };
-const auto among = [](auto& context) {
+const auto is_in = [](auto& context) {
   x3::_val(context) = [field = x3::get<FieldTag>(context).get(),
                        values = x3::_attr(context)](const Facts& facts) {
     const std::string* fact = field(facts);
     return fact && std::find(values.begin(), values.end(), *fact) != values.end();
   };
 };
-const auto no_comparison = [](auto& context) {
-  // Only a label may stand by itself: the other fields are always there.
+const auto require_label = [](auto& context) {
+  // Only a label is a test without a comparison: the other fields are always present.
   if (x3::get<FieldTag>(context).get()(Facts{}) != nullptr) x3::_pass(context) = false;
 };
 
 using Position = std::string::const_iterator;
-// What has to come next, in the words of the message where it does not.
-const auto or_expect = [](const char* what) {
-  return x3::eps[(
-      [what](auto& context) { throw x3::expectation_failure<Position>(x3::_where(context).begin(), what); })];
+// Fails with the message "expected ..." where the preceding alternatives do not match.
+const auto or_expect = [](const char* expected) {
+  return x3::eps[([expected](auto& context) {
+    throw x3::expectation_failure<Position>(x3::_where(context).begin(), expected);
+  })];
 };
 constexpr const char* factor_description = "not, ( or a field: name, zone, admin or label.NAME";
 
 const auto test_def = field[set_field] >>
-                      ((keyword("in") >> (values[among] | or_expect("values in braces"))) |
+                      ((keyword("in") >> (values[is_in] | or_expect("values in braces"))) |
                        (operators[set_operator] >> (value[compare] | or_expect("a value"))) |
-                       x3::eps[no_comparison]);
+                       x3::eps[require_label]);
 
 const auto negate = [](auto& context) {
   x3::_val(context) = [inner = x3::_attr(context)](const Facts& facts) { return !inner(facts); };
@@ -115,25 +122,28 @@
 };
 
 const auto factor_def = (keyword("not") >> (factor[negate] | or_expect(factor_description))) |
-                        ('(' >> (expression[keep] | or_expect(factor_description)) > ')') | test[keep];
-const auto term_def = factor[keep] >> *(keyword("and") >> (factor[both] | or_expect(factor_description)));
-const auto expression_def = term[keep] >> *(keyword("or") >> (term[either] | or_expect(factor_description)));
+                        ('(' >> (expression[assign] | or_expect(factor_description)) > ')') | test[assign];
+const auto term_def = factor[assign] >> *(keyword("and") >> (factor[both] | or_expect(factor_description)));
+const auto expression_def = term[assign] >>
+                            *(keyword("or") >> (term[either] | or_expect(factor_description)));
 
 BOOST_SPIRIT_DEFINE(field, label, value, values, test, factor, term, expression)
 
 }  // namespace
 
-Selector selector_in(const std::string& text) {
-  // The depth of what it holds is bounded by its length.
+Selector parse_selector(const std::string& text) {
+  // Bounds the recursion depth of the parser.
   constexpr std::size_t max_length = 512;
-  if (text.size() > max_length) throw SelectorError(max_length, "longer than 512 characters");
+  if (text.size() > max_length)
+    throw SelectorError(max_length, "the selector has " + std::to_string(text.size()) +
+                                        " characters; the limit is " + std::to_string(max_length));
   if (text.find_first_not_of(" \t") == std::string::npos) return [](const Facts&) { return true; };
   Selector selector;
-  Field field_now;
-  By operator_now = By::equal;
+  Field current_field;
+  Comparison current_operator = Comparison::equal;
   auto at = text.begin();
-  const auto parser =
-      x3::with<FieldTag>(std::ref(field_now))[x3::with<OperatorTag>(std::ref(operator_now))[expression]];
+  const auto parser = x3::with<FieldTag>(
+      std::ref(current_field))[x3::with<OperatorTag>(std::ref(current_operator))[expression]];
   const auto column = [&](auto where) {
     while (where != text.end() && (*where == ' ' || *where == '\t')) ++where;
     return static_cast<std::size_t>(where - text.begin()) + 1;
@@ -144,7 +154,7 @@
   } catch (const x3::expectation_failure<Position>& failure) {
     throw SelectorError(column(failure.where()), "expected " + failure.which());
   }
-  if (at != text.end()) throw SelectorError(column(at), "expected and, or, or the end");
+  if (at != text.end()) throw SelectorError(column(at), "expected 'and', 'or' or the end of the selector");
   return selector;
 }
 
--- a/src/ctl/selector.h
+++ b/src/ctl/selector.h
@@ -1,12 +1,13 @@
-// The language that picks instances: `zone = hall-a and not name ~ n3*`. It knows no instance by itself.
+// The language that selects instances, such as `zone = hall-a and not name ~ n3*`. A selector tests the facts
+// of one instance.
 //
 //     expression = term { "or" term }        term = factor { "and" factor }
 //     factor = "not" factor | "(" expression ")" | test
 //     test = field ( "=" | "!=" | "~" | "!~" ) value | field "in" "{" value { "," value } "}" | "label." name
 //     field = "name" | "zone" | "admin" | "label." name
 //
-// `~` takes a pattern with * and ?; values stand as they are or in double quotes. A label by itself asks
-// whether it is there.
+// `~` takes a pattern with * and ?. Values are plain or in double quotes. A label without a comparison tests
+// whether the instance has it.
 #pragma once
 
 #include <cstddef>
@@ -18,13 +19,13 @@
 
 namespace pearchute::ctl {
 
-// What a selector can ask of an instance.
+// The facts of an instance that a selector can test.
 struct Facts {
   std::string name, zone, admin;
   std::map<std::string, std::string> labels;
 };
 
-// A selector that can't be parsed.
+// Thrown where a selector cannot be parsed.
 struct SelectorError : ErrorOf<ErrorKind::selector> {
   SelectorError(std::size_t at, const std::string& what)
       : ErrorOf(what, "column " + std::to_string(at)), column(at) {}
@@ -32,7 +33,7 @@
 };
 
 using Selector = std::function<bool(const Facts&)>;
-// Throws SelectorError with the column at which it can't go on. An empty text picks all.
-Selector selector_in(const std::string& text);
+// Throws SelectorError with the column of the fault. An empty text selects all instances.
+Selector parse_selector(const std::string& text);
 
 }  // namespace pearchute::ctl
--- a/tests/test_admin.cpp
+++ b/tests/test_admin.cpp
@@ -1,5 +1,6 @@
-// The admin channel without a socket: frames and sessions fed in any cut and with noise, orders on disk
-// through kills at each point and damage, INI files, places, the selector language, the fleet file.
+// The admin channel without a socket: frames and sessions with input split at any byte and with corrupted
+// input, the orders file after kills at each stage of a write and after damage, the INI files with
+// their addresses, and the selector language.
 #include <sys/stat.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -34,7 +35,7 @@
     ++answers;
     if (call.has_who()) reply.mutable_identity()->set_name("n1");
     if (call.has_jobs()) {
-      // More than fits into a message.
+      // More than fits into a frame.
       for (int i = 0; i < 4000; ++i)
         reply.mutable_jobs()->add_jobs()->set_id("0123456789abcdef0123456789abcdef");
     }
@@ -73,7 +74,7 @@
 }
 
 void sessions() {
-  {  // In any cut.
+  {  // Split at any byte.
     const std::string bytes = framed(who(1)) + framed(who(2));
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
       CountingHandler handler;
@@ -87,10 +88,10 @@
       assert(replies.size() == 2 && replies[1].number() == 2 && replies[1].identity().name() == "n1");
     }
   }
-  {  // From newer and older peers: an unknown call is answered, an unknown field is passed over.
+  {  // From newer and older peers: an unknown call gets a reply, an unknown field is ignored.
     CountingHandler handler;
     Session session(handler);
-    std::string out, unknown("\x08\x07\xfa\x07\x00", 5), more;  // number 7, and field 127 with nothing in it
+    std::string out, unknown("\x08\x07\xfa\x07\x00", 5), more;  // call number 7, with an empty field 127
     append_frame(more, unknown);
     std::string with_more;
     who(8).SerializeToString(&with_more);
@@ -102,7 +103,7 @@
     assert(replies.size() == 3 && replies[0].outcome() == v1::unknown_call && replies[0].number() == 7);
     assert(replies[1].outcome() == v1::ok && replies[2].outcome() == v1::unusable && handler.answers == 1);
   }
-  {  // Bounds: a huge length, an empty one, too many calls at once, an answer that is too large.
+  {  // Limits: a huge length, an empty message, too many pending calls, a reply that is too large.
     for (const std::string& noise :
          {std::string("\xff\xff\xff\xff"), std::string(4, '\0'), std::string("GET / HTTP")}) {
       CountingHandler handler;
@@ -113,22 +114,22 @@
     std::string many, out;
     for (std::size_t i = 0; i <= Session::max_pending_calls; ++i) many += framed(who(i));
     assert(!session.feed(many));
-    Session calm(handler);
+    Session bounded(handler);
     many.clear();
     for (std::uint64_t i = 0; i < 20; ++i) many += framed(who(i));
-    assert(calm.feed(many));
-    calm.answer_pending(0, out), calm.answer_pending(Session::max_unread_bytes + 1, out);
-    assert(handler.answers == Session::max_calls_per_turn && calm.has_pending_calls());
-    calm.answer_pending(0, out), calm.answer_pending(0, out);
-    assert(!calm.has_pending_calls() && replies_in(out).size() == 20);
+    assert(bounded.feed(many));
+    bounded.answer_pending(0, out), bounded.answer_pending(Session::max_unread_bytes + 1, out);
+    assert(handler.answers == Session::max_calls_per_turn && bounded.has_pending_calls());
+    bounded.answer_pending(0, out), bounded.answer_pending(0, out);
+    assert(!bounded.has_pending_calls() && replies_in(out).size() == 20);
     v1::Call jobs;
     jobs.mutable_jobs();
     out.clear();
-    assert(calm.feed(framed(jobs)));
-    calm.answer_pending(0, out);
+    assert(bounded.feed(framed(jobs)));
+    bounded.answer_pending(0, out);
     assert(replies_in(out)[0].outcome() == v1::busy);
   }
-  {  // A watch whose reader is slow loses events and is told how many.
+  {  // A watch with a slow reader loses events, and the next event has the count of lost ones.
     CountingHandler handler;
     Session session(handler);
     std::string out;
@@ -139,7 +140,8 @@
     watch.mutable_watch()->set_after(40);
     assert(out.empty() && session.feed(framed(watch)));
     session.answer_pending(0, out);
-    const auto first = replies_in(out);  // what it missed comes right behind the answer, and to this one only
+    // Missed events follow the reply, and are sent on this connection only.
+    const auto first = replies_in(out);
     assert(session.is_watching() && first.size() == 3 && first[1].event().number() == 41 &&
            first[2].number() == 9);
     out.clear();
@@ -151,7 +153,7 @@
     assert(replies.size() == 2 && replies[0].event().lost() == 0 && replies[0].number() == 9);
     assert(replies[1].event().number() == 5 && replies[1].event().lost() == 3);
   }
-  for (unsigned seed = 1; seed <= 3000; ++seed) {  // Noise, and sound calls with a byte changed
+  for (unsigned seed = 1; seed <= 3000; ++seed) {  // Valid calls with random bytes changed
     std::knuth_b chance(seed);
     std::string bytes = framed(who(seed)) + framed(who(seed + 1));
     for (unsigned i = 0; i <= seed % 4; ++i) bytes[chance() % bytes.size()] = static_cast<char>(chance());
@@ -163,45 +165,48 @@
   }
 }
 
-fleet::ActiveDirective held(const std::string& id, const std::string& subject, std::uint64_t generation,
-                            bool drains = true) {
+fleet::ActiveDirective active_directive(const std::string& id, const std::string& subject,
+                                        std::uint64_t generation, bool drains = true) {
   return {
       {id, subject, "ann", generation, drains, false, seconds(60), "why"}, fleet::Duration(0), seconds(60)};
 }
 
-void orders_on_disk() {
+void directives_file() {
   const std::string path = folder + "/orders";
   const milliseconds now(1'700'000'000'000);
   std::string fault;
   DirectivesFile file(path);
   assert(!file.read(now).damaged && file.read(now).directives.empty());
-  assert(file.write({held("1", "a", 3), held("2", "", 4), held("3", "b", 5, false)}, fleet::Duration(0), now,
-                    fault));
+  assert(file.write(
+      {active_directive("1", "a", 3), active_directive("2", "", 4), active_directive("3", "b", 5, false)},
+      fleet::Duration(0), now, fault));
   const auto found = file.read(now + seconds(20));
   assert(!found.damaged && found.directives.size() == 3 && found.directives[0].remaining == seconds(40));
   assert(found.directives[0].directive.subject == "a" && found.directives[0].directive.generation == 3 &&
          found.directives[1].directive.subject.empty() && !found.directives[2].directive.drains);
   assert(file.read(now + seconds(61)).directives[0].remaining < fleet::Duration(0));
 
-  // As many orders as are taken, at their longest, come back.
-  std::vector<fleet::ActiveDirective> most(fleet::Drains::max_directives, held("1", "a", 3));
-  for (auto& one : most) {
-    one.order.id = one.order.subject = one.order.holder = std::string(fleet::Drains::max_name_bytes, 'x');
-    one.order.reason = std::string(fleet::Drains::max_reason_bytes, 'x');
+  // The maximum number of directives, each of maximum length, can be read back.
+  std::vector<fleet::ActiveDirective> largest(fleet::Drains::max_directives, active_directive("1", "a", 3));
+  for (auto& active : largest) {
+    active.order.id = active.order.subject = active.order.holder =
+        std::string(fleet::Drains::max_name_bytes, 'x');
+    active.order.reason = std::string(fleet::Drains::max_reason_bytes, 'x');
   }
-  assert(file.write(most, fleet::Duration(0), now, fault));
+  assert(file.write(largest, fleet::Duration(0), now, fault));
   assert(file.read(now).directives.size() == fleet::Drains::max_directives);
 
-  // A kill at each point leaves the orders of before or of after.
+  // A kill at each stage leaves either the old or the new directives.
   for (const WriteStage stage : all_write_stages) {
-    assert(file.write({held("old", "a", 1)}, fleet::Duration(0), now, fault));
+    assert(file.write({active_directive("old", "a", 1)}, fleet::Duration(0), now, fault));
     const pid_t child = fork();
     if (child == 0) {
-      // A point of the list that is never passed shows as another status.
+      // A stage that is never reached shows as another exit status.
       DirectivesFile dying(path, [&](WriteStage reached) {
         if (reached == stage) _exit(9);
       });
-      dying.write({held("new", "a", 2), held("more", "b", 2)}, fleet::Duration(0), now, fault);
+      dying.write({active_directive("new", "a", 2), active_directive("more", "b", 2)}, fleet::Duration(0),
+                  now, fault);
       _exit(1);
     }
     int status = 0;
@@ -213,7 +218,7 @@
     assert(after.directives.size() == (renamed ? 2u : 1u) &&
            after.directives[0].directive.id == (renamed ? "new" : "old"));
   }
-  // Damage of any kind is told, the file set aside, and nothing taken from it.
+  // A damaged file is reported and renamed, and none of its content is used.
   std::ifstream whole(path, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(whole), {}};
   for (std::size_t length = 0; length < text.size(); ++length) {
@@ -227,7 +232,7 @@
     std::ofstream(path, std::ios::binary) << changed;
     assert(file.read(now).damaged);
   }
-  // Where it can't be written, the reason comes back.
+  // A failed write returns the reason.
   assert(!DirectivesFile(folder + "/nowhere/orders").write({}, fleet::Duration(0), now, fault) &&
          !fault.empty());
 }
@@ -247,25 +252,25 @@
   return "";
 }
 
-void files() {
+void configuration_files() {
   struct Case {
     const char* text;
-    const char* fault;  // behind the file's name; empty: it is usable
+    const char* fault;  // after the name of the file; empty: the file is valid
   };
-  const Case terms[] = {
+  const Case admin_files[] = {
       {"[admin]\nlisten = unix:/run/x.sock\n", ""},
       {"; a comment\n[admin]\nlisten = 127.0.0.1:900\nconnections = 4\nwatchers = 2\nidle_s = 5\n", ""},
       {"[admin]\nconnections = 4\n", ": 'listen' is missing in [admin]"},
-      {"[admin]\nlisten = 10.0.0.1:900\n", ":2: '10.0.0.1:900' is no loopback address"},
-      {"[admin]\nlisten = unix:x\n", ":2: the path of 'unix:x' is not absolute"},
+      {"[admin]\nlisten = 10.0.0.1:900\n", ":2: '10.0.0.1:900' is not a loopback address"},
+      {"[admin]\nlisten = unix:x\n", ":2: the path of 'unix:x' must be absolute"},
       {"[admin]\nlisten = 127.0.0.1:900\n\nconnections = 0\n", ":4: 'connections' has to be from 1 to 64"},
       {"[admin]\nlisten = 127.0.0.1:900\nconnections = four\n", ":3: 'connections' is no whole number: four"},
       {"[admin]\nlisten = 127.0.0.1:900\nlisten = 127.0.0.1:901\n", ":3: 'listen' comes twice in [admin]"},
-      {"[admin]\nlisten = 127.0.0.1:900\nhear = x\n", ":3: 'hear' is not known in [admin]"},
-      {"[amin]\nlisten = 127.0.0.1:900\n", ":2: [amin] is not known; [admin] is"},
+      {"[admin]\nlisten = 127.0.0.1:900\nhear = x\n", ":3: unknown setting 'hear' in [admin]"},
+      {"[amin]\nlisten = 127.0.0.1:900\n", ":2: unknown section [amin]; expected [admin]"},
       {"[admin]\nwhat is this\n", ":2: neither [section] nor name = value"},
   };
-  for (const Case& c : terms) {
+  for (const Case& c : admin_files) {
     const std::string file = write("terms.ini", c.text);
     const std::string fault = fault_of([&] { read_admin_config(file); });
     if (fault != (*c.fault ? file + c.fault : "")) std::fprintf(stderr, "%s\n", fault.c_str());
@@ -273,13 +278,14 @@
   }
   const Case fleets[] = {
       {"[instance a]\nadmin = 127.0.0.1:1\nzone = x\nlabels = tier=gold, spare\n", ""},
-      {"[fleet]\nparallel = 4\n", ": no instance is named"},
+      {"[fleet]\nparallel = 4\n", ": the file has no [instance NAME]"},
       {"[instance a]\nzone = x\n", ": instance a has no 'admin'"},
       {"[instance a]\nadmin = 127.0.0.1:1\n[instance b]\nadmin = 127.0.0.1:1\n",
-       ":4: another instance has the admin address 127.0.0.1:1"},
+       ":4: another instance already has the admin address 127.0.0.1:1"},
       {"[instance a]\nadmin = 127.0.0.1:1\nlabels = =x\n",
-       ":3: '=x' is no label: NAME=VALUE, set apart by commas"},
-      {"[instance a b]\nadmin = 127.0.0.1:1\n", ":2: 'a b' is no name for an instance"},
+       ":3: invalid label '=x': expected a comma-separated list of NAME or NAME=VALUE"},
+      {"[instance a b]\nadmin = 127.0.0.1:1\n",
+       ":2: invalid instance name 'a b': a name has at least one character and no blanks"},
   };
   for (const Case& c : fleets) {
     const std::string file = write("fleet.ini", c.text);
@@ -298,8 +304,8 @@
       other{"n2", "hall-b", "127.0.0.1:2", {}};
   struct Case {
     const char* text;
-    bool picks_one, picks_other;
-    std::size_t column;  // of its fault; 0: none
+    bool selects_one, selects_other;
+    std::size_t column;  // of the fault; 0: the selector is valid
   };
   const Case cases[] = {
       {"", true, true, 0},
@@ -328,8 +334,8 @@
   for (const Case& c : cases) {
     std::size_t column = 0;
     try {
-      const ctl::Selector selector = ctl::selector_in(c.text);
-      assert(selector(one) == c.picks_one && selector(other) == c.picks_other);
+      const ctl::Selector selector = ctl::parse_selector(c.text);
+      assert(selector(one) == c.selects_one && selector(other) == c.selects_other);
     } catch (const ctl::SelectorError& fault) {
       column = fault.column;
       assert(fault.wrong().starts_with("expected "));
@@ -337,10 +343,10 @@
     if (column != c.column) std::fprintf(stderr, "%s: column %zu\n", c.text, column);
     assert(column == c.column);
   }
-  // As deep as it may get, and one longer.
+  // The deepest nesting that the length limit allows, and a selector over the limit.
   const std::string deep = std::string(250, '(') + "name = n2" + std::string(250, ')');
-  assert(ctl::selector_in(deep)(other));
-  assert(!fault_of([&] { ctl::selector_in("not " + std::string(600, '(')); }).empty());
+  assert(ctl::parse_selector(deep)(other));
+  assert(!fault_of([&] { ctl::parse_selector("not " + std::string(600, '(')); }).empty());
   const ctl::Rows rows = {{{"a", "x"}, {"b", 1.5}}, {{"a", "longer"}, {"c", true}}};
   assert(ctl::table(rows, {"a", "b", "c"}) == "a       b     c\nx       1.50\nlonger        yes\n");
 }
@@ -350,8 +356,8 @@
   assert(mkdtemp(name));
   folder = name;
   sessions();
-  orders_on_disk();
-  files();
+  directives_file();
+  configuration_files();
   selectors();
   for (const char* file : {"orders", "orders.new", "orders.damaged", "terms.ini", "fleet.ini"})
     unlink((folder + "/" + file).c_str());
