--- a/src/drill/fields.h
+++ b/src/simulator_adapter/fields.h
@@ -1,15 +1,16 @@
-// One line of the simulator's wire: a message name and name=value pairs, set apart by tabs. It refers to the
-// line that it was read from.
+// One line of the simulator protocol: a message name and name=value pairs, separated by tabs.
 #pragma once
 
 #include <string_view>
 
 #include "service/named_values.h"
 
-namespace pearchute::drill {
+namespace pearchute::simulator_adapter {
 
+// The parsed fields of one line. Refers to the line, which must outlive it.
 class Fields {
  public:
+  // Replaces the fields by those of `line`. Throws Malformed where a field is not name=value.
   void read(std::string_view line) {
     values_.clear();
     std::size_t tab = line.find('\t');
@@ -34,4 +35,4 @@
   service::NamedValues values_;
 };
 
-}  // namespace pearchute::drill
+}  // namespace pearchute::simulator_adapter
