--- a/tests/adapter_process.h
+++ b/tests/adapter_process.h
@@ -1,4 +1,5 @@
-// The simulator's adapter as a child process: one batch of events in, its reply out. Owned by one thread.
+// The simulator adapter (pearchute_drill) as a child process: exchanges batches of events for replies. Not
+// thread-safe.
 #pragma once
 
 #include <fcntl.h>
@@ -17,11 +18,11 @@
   explicit AdapterProcess(const char* program) {
     std::signal(SIGPIPE, SIG_IGN);
     int to_child[2], from_child[2];
-    // Closed in other children: an adapter ends when its own parent closes its input.
+    // O_CLOEXEC, so that no other child keeps the input open: the adapter exits when its input is closed.
     if (pipe2(to_child, O_CLOEXEC) != 0 || pipe2(from_child, O_CLOEXEC) != 0)
-      throw std::runtime_error("no pipes");
+      throw std::runtime_error("cannot create pipes");
     child_ = fork();
-    if (child_ < 0) throw std::runtime_error("no process");
+    if (child_ < 0) throw std::runtime_error("cannot fork");
     if (child_ == 0) {
       dup2(to_child[0], STDIN_FILENO);
       dup2(from_child[1], STDOUT_FILENO);
@@ -39,24 +40,25 @@
   AdapterProcess(const AdapterProcess&) = delete;
   AdapterProcess& operator=(const AdapterProcess&) = delete;
 
-  // Writes the whole batch, then reads up to and with the line that ends its reply.
+  // Writes the whole batch, then reads the reply up to and including its last line. Throws std::runtime_error
+  // where the adapter has ended.
   std::string exchange(std::string_view batch) {
     while (!batch.empty()) {
       const ssize_t written = write(input_, batch.data(), batch.size());
-      if (written <= 0) throw std::runtime_error("the adapter takes no more input");
+      if (written <= 0) throw std::runtime_error("cannot write to the adapter");
       batch.remove_prefix(static_cast<std::size_t>(written));
     }
     std::string reply;
     while (!reply.ends_with("ACK\n")) {
       char buffer[16384];
       const ssize_t count = read(output_, buffer, sizeof buffer);
-      if (count <= 0) throw std::runtime_error("the adapter ended within a reply");
+      if (count <= 0) throw std::runtime_error("the adapter ended before its reply was complete");
       reply.append(buffer, static_cast<std::size_t>(count));
     }
     return reply;
   }
 
-  // Ends the input; returns the exit status of the child, or -1.
+  // Closes the input and waits for the child. Returns its exit status, or -1 where it was killed by a signal.
   int finish() {
     close(input_);
     close(output_);
--- a/tests/daemon_fixture.h
+++ b/tests/daemon_fixture.h
@@ -1,5 +1,6 @@
-// The daemon as a process among stand-in engines and a stand-in command channel, for tests that look at it
-// from outside: its configuration, its start and end, calls to it, and what the engines saw of each job.
+// The manager as a process with stand-in engines and a stand-in discovery channel, for tests that observe it
+// from outside: its configuration, its start and end, requests to it, and how often engines began each
+// request.
 #pragma once
 
 #include <fstream>
@@ -27,7 +28,7 @@
   return {next_number++, statement + " FROM a_1.t", patience_ms, type, more};
 }
 
-// One that is not overdue before some seconds have passed, so that no engine is blamed meanwhile.
+// A request whose stated cost is 3 s, so that it is not overdue, and its engine not blamed, for some seconds.
 inline JobCall long_job(const std::string& statement) {
   JobCall call = job(statement, 13000, "room");
   call.cost_ms = 3000;
@@ -39,17 +40,19 @@
       .count();
 }
 
+// An engine in an endpoint list.
 struct Member {
   std::string name, address, kind = "std", zone = "east";
   std::int64_t up_since_ms = 0;
 };
 
+// The `known` part of a configuration: one event with a complete list of these engines.
 inline std::string known(const std::vector<Member>& members) {
   std::string text;
-  for (const Member& one : members) {
-    text += (text.empty() ? "" : ",") + std::string(R"({"id":")") + one.name + R"(","host_port":")" +
-            one.address + R"(","locality":")" + one.zone + R"(","flavor":")" + one.kind +
-            R"(","cell":0,"phase":"active","up_since_ms":)" + std::to_string(one.up_since_ms) + "}";
+  for (const Member& member : members) {
+    text += (text.empty() ? "" : ",") + std::string(R"({"id":")") + member.name + R"(","host_port":")" +
+            member.address + R"(","locality":")" + member.zone + R"(","flavor":")" + member.kind +
+            R"(","cell":0,"phase":"active","up_since_ms":)" + std::to_string(member.up_since_ms) + "}";
   }
   return R"({"cursor":1,"cmds":[{"cursor":1,"nodes":{"revision":1,"complete":true,"members":[)" + text +
          "]}}]}";
@@ -63,7 +66,7 @@
     "limits":{"attemptsCap":3,"cancel":true,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":4,
               "retryAfter":true,"maxRetryAfter":500000}})";
 
-// A manager as a process, with stand-ins on a loop of their own.
+// A manager as a process; its stand-ins run on an event loop thread.
 struct DaemonFixture {
   EventLoopThread stage;
   std::map<std::string, std::unique_ptr<StandInEngine>> engines;
@@ -71,7 +74,7 @@
   std::string folder, configuration, more = R"("limits":{"sockets":256})";
   int port = 0;
   pid_t daemon = -1;
-  Environment environment;  // of the daemon, beside its configuration
+  Environment environment;  // variables for the daemon besides PROXY_CONFIG
 
   DaemonFixture() {
     char name[] = "/tmp/pearchute-endings-XXXXXX";
@@ -84,6 +87,7 @@
     stage.on([&] { engines.clear(), channel.reset(); });
     unlink(configuration.c_str()), rmdir(folder.c_str());
   }
+  // Starts a stand-in engine, and returns its address.
   std::string engine(const std::string& name, int cores = 8) {
     return stage.on([&] {
       engines[name] = std::make_unique<StandInEngine>(stage.loop(), name, cores, 8000, 1, nullptr);
@@ -96,24 +100,29 @@
                                  << R"(,"known":)" << list << R"(,"settings":)" << settings << "}";
   }
   bool ready() { return call(port, "GET /check HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"); }
+  // Starts the daemon, and waits until it is ready.
   void go() {
     daemon = ::start(configuration, environment);
     assert(soon([&] { return ready(); }));
   }
   void go(const std::string& settings, const std::string& list) { configure(settings, list), go(); }
+  // Waits for the exit of the daemon, and returns its exit status, or -1 after a signal.
   int ended() {
     const int status = end_of(daemon);
     daemon = -1;
     return status;
   }
+  // How often the engine has begun the request.
   int begun(const std::string& name, const JobCall& job) {
     return stage.on([&] { return engines.at(name)->begun_times(id_of(job.number)); });
   }
+  // The value of the first counter of that name; 0 where there is none.
   std::uint64_t counter(const std::string& name) {
     const std::string text = call(port, "GET /counters HTTP/1.1\r\n\r\n");
     const std::size_t at = text.find("\"" + name + "\":");
     return at == std::string::npos ? 0 : std::stoull(text.substr(at + name.size() + 3));
   }
+  // Sends the request on a new connection, and returns its descriptor.
   int open(const JobCall& job) {
     const int fd = connect_to(port);
     assert(fd >= 0);
@@ -124,7 +133,7 @@
 
 inline void pass(milliseconds time) { std::this_thread::sleep_for(time); }
 
-// A process that has no turn for as long as this lives.
+// Stops a process with SIGSTOP for the lifetime of the object.
 class Stalled {
  public:
   explicit Stalled(pid_t process) : process_(process) {
@@ -143,7 +152,7 @@
   return "GET /job/" + id_of(job.number) + " HTTP/1.1\r\n\r\n";
 }
 
-// The last answer, by the path where one is given.
+// Returns the final response; where the first one has the path of the result, fetches it from there.
 inline std::string hear_out(int fd, const JobCall& job) {
   std::string answer = hear(fd);
   if (answer.find("{\"link\":") == std::string::npos) return answer;
--- a/tests/test_characterization_command_lines.cpp
+++ b/tests/test_characterization_command_lines.cpp
@@ -1,10 +1,10 @@
-// Characterization of the command lines: what each program says of itself to --help at every subcommand, the
-// form of --version, and the exit statuses of uses that can't be meant, whose words on standard error are for
-// people and are not pinned. Written from the build of 2026-12-02 into
-// data/characterization/command_lines.txt.
+// Characterization of the command lines: the --help text of each program and subcommand, the format of
+// --version, and the exit statuses of invalid uses. Error messages on standard error are not compared. The
+// expected output is in data/characterization/command_lines.txt, recorded from the build of 2026-12-02.
 //
-// The expected values are not changed in a sitting that renames: a difference there is a rename that changed
-// what operators' scripts see. What was seen is left beside the test program for comparing.
+// A renaming must not change the expected values: a difference means that operators' scripts see a change.
+// The actual output is written to characterization_command_lines.seen in the working directory, for
+// comparison.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <spawn.h>
@@ -23,35 +23,35 @@
 
 struct Result {
   int status = -1;
-  std::string output;  // what it wrote to standard output
+  std::string output;  // from standard output
 };
 
-// Runs it to its end by its bare name and with an environment of its own, so that nothing of the machine's
-// shows.
+// Runs the program to its end, with its bare name as argv[0] and a fixed environment, so that the output
+// doesn't depend on the machine.
 Result run(const std::string& program, const Arguments& arguments) {
   std::string name = program.substr(program.rfind('/') + 1);
   std::vector<char*> argument_pointers = {name.data()};
   std::vector<std::string> copies = arguments;
-  for (std::string& one : copies) argument_pointers.push_back(one.data());
+  for (std::string& argument : copies) argument_pointers.push_back(argument.data());
   argument_pointers.push_back(nullptr);
   std::string path = "PATH=/usr/bin:/bin";
   char* environment[] = {path.data(), nullptr};
-  int ends[2];
+  int pipe_ends[2];
   Result result;
-  if (pipe2(ends, O_CLOEXEC) != 0) return result;
+  if (pipe2(pipe_ends, O_CLOEXEC) != 0) return result;
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
+  posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDOUT_FILENO);
   posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, "/dev/null", O_WRONLY, 0);
   pid_t child = -1;
   const int failure =
       posix_spawn(&child, program.c_str(), &actions, nullptr, argument_pointers.data(), environment);
   posix_spawn_file_actions_destroy(&actions);
-  close(ends[1]);
+  close(pipe_ends[1]);
   char buffer[4096];
-  for (ssize_t got; failure == 0 && (got = read(ends[0], buffer, sizeof buffer)) > 0;)
-    result.output.append(buffer, static_cast<std::size_t>(got));
-  close(ends[0]);
+  for (ssize_t count; failure == 0 && (count = read(pipe_ends[0], buffer, sizeof buffer)) > 0;)
+    result.output.append(buffer, static_cast<std::size_t>(count));
+  close(pipe_ends[0]);
   int status = 0;
   if (failure == 0 && waitpid(child, &status, 0) == child && WIFEXITED(status))
     result.status = WEXITSTATUS(status);
@@ -60,7 +60,7 @@
 
 std::string joined(const Arguments& arguments) {
   std::string text;
-  for (const std::string& one : arguments) text += " " + one;
+  for (const std::string& argument : arguments) text += " " + argument;
   return text;
 }
 
@@ -139,7 +139,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// The test's own folder goes by one name wherever the sources are.
+// Replaces the path of the test data by a fixed name, so that the output doesn't depend on the source path.
 std::string without_folder(std::string text) {
   const std::string folder = std::string(CHARACTERIZATION_FOLDER) + "/";
   for (std::size_t at; (at = text.find(folder)) != std::string::npos;)
@@ -147,7 +147,7 @@
   return text;
 }
 
-TEST(CommandLines, SayAndEndAsTheyDid) {
+TEST(CommandLines, HelpAndExitStatusesAreUnchanged) {
   std::string seen;
   for (const auto& [program, all] : uses()) {
     for (const Arguments& arguments : all) {
@@ -162,7 +162,7 @@
   EXPECT_EQ(seen, text_of(CHARACTERIZATION_FOLDER "/command_lines.txt"));
 }
 
-TEST(CommandLines, VersionHasItsForm) {
+TEST(CommandLines, VersionHasItsFormat) {
   for (const auto& [program, all] : uses()) {
     const std::string name = program.substr(program.rfind('/') + 1);
     const Result result = run(program, {"--version"});
--- a/tests/test_characterization_wire.cpp
+++ b/tests/test_characterization_wire.cpp
@@ -1,10 +1,10 @@
 // Characterization of the bytes on every connection of a manager: clients' HTTP, the engine protocol, the
-// stream of the discovery service, the frames of the admin channel, and the keys of GET /counters
-// and of pearchutectl's JSON. Written from the build of 2026-12-02 (commit 00483fc). Numbers that depend on
-// the time it takes are written as N.
+// stream of the discovery service, the frames of the admin channel, and the keys of GET /counters and of
+// pearchutectl's JSON. Recorded from the build of 2026-12-02 (commit 00483fc). Numbers that depend on timing
+// are masked as N.
 //
-// The expected values are not changed in a sitting that renames: a difference there is a rename that clients,
-// engines or operators' scripts would notice.
+// A renaming must not change the expected values: a difference means that clients, engines or operators'
+// scripts see a change.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -33,9 +33,9 @@
   return std::regex_replace(text, std::regex(before + "[0-9]+"), before + "N");
 }
 
-// ---- The engine protocol, by its state machine
+// ---- The engine protocol, as encoded and decoded by its state machine
 
-struct NoListener final : net::EngineSession::Listener {
+struct IgnoringListener final : net::EngineSession::Listener {
   void on_attempt_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
   void on_attempt_progress(net::AttemptId, double) override {}
   void on_attempt_spill(net::AttemptId, double) override {}
@@ -48,55 +48,56 @@
   return out;
 }
 
-TEST(EngineProtocol, CommandsAreAsTheyWere) {
-  NoListener listener;
-  net::EngineSession talk(listener);
+TEST(EngineProtocol, CommandsAreUnchanged) {
+  IgnoringListener listener;
+  net::EngineSession session(listener);
   std::string out;
   const net::AttemptId first{RequestId{1}, 0}, second{RequestId{2}, 1};
   net::EngineRequest plain;
   plain.id = "000000000000000a", plain.kind = "quick", plain.statement = "SELECT 1", plain.wait_ms = 250;
-  talk.submit(first, plain, out);
+  session.submit(first, plain, out);
   EXPECT_EQ(out,
             "*4\r\n$4\r\nwant\r\n$16\r\n000000000000000a\r\n$26\r\nkind=quick,ms=250,weight=1\r\n"
             "$8\r\nSELECT 1\r\n");
   out.clear();
-  net::EngineRequest whole;
-  whole.id = "000000000000000b", whole.kind = "marked", whole.token = "key-1", whole.statement = "x";
-  whole.wait_ms = 9, whole.grant_mb = 64, whole.priority = 3;
-  talk.submit(second, whole, out);
+  net::EngineRequest complete;
+  complete.id = "000000000000000b", complete.kind = "marked", complete.token = "key-1";
+  complete.statement = "x";
+  complete.wait_ms = 9, complete.grant_mb = 64, complete.priority = 3;
+  session.submit(second, complete, out);
   EXPECT_EQ(out,
             "*4\r\n$4\r\nwant\r\n$16\r\n000000000000000b\r\n$48\r\n"
             "kind=marked,ms=9,token=key-1,workmem=64,weight=3\r\n$1\r\nx\r\n");
   out.clear();
-  talk.reprioritize(second, 2, out);
+  session.reprioritize(second, 2, out);
   EXPECT_EQ(out, "*3\r\n$5\r\nhurry\r\n$16\r\n000000000000000b\r\n$1\r\n2\r\n");
   out.clear();
-  talk.probe_liveness(out);
+  session.probe_liveness(out);
   EXPECT_EQ(out, "*2\r\n$5\r\nthere\r\n$1\r\n0\r\n");
   out.clear();
-  talk.cancel(first, out);
+  session.cancel(first, out);
   EXPECT_EQ(out, "*2\r\n$10\r\nnever_mind\r\n$16\r\n000000000000000a\r\n*2\r\n$5\r\nthere\r\n$1\r\n1\r\n");
   out.clear();
-  ASSERT_TRUE(talk.feed(resp({"000000000000000b", "HIT", "fetches=2", "a\tb\tc\n"}), out));
+  ASSERT_TRUE(session.feed(resp({"000000000000000b", "HIT", "fetches=2", "a\tb\tc\n"}), out));
   EXPECT_EQ(out, "*3\r\n$4\r\nturn\r\n$16\r\n000000000000000b\r\n$1\r\n1\r\n");
   out.clear();
-  ASSERT_TRUE(talk.feed(resp({"000000000000000b", "PART", "fetch_no=1", "d\te\tf\n"}), out));
+  ASSERT_TRUE(session.feed(resp({"000000000000000b", "PART", "fetch_no=1", "d\te\tf\n"}), out));
   EXPECT_EQ(out, "*2\r\n$4\r\nshut\r\n$16\r\n000000000000000b\r\n");
 }
 
 // ---- The admin channel's frames
 
-struct NameDesk final : admin::CallHandler {
+struct IdentityHandler final : admin::CallHandler {
   void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override {
     if (call.has_who()) reply.mutable_identity()->set_name("n1");
   }
 };
 
-TEST(AdminFrames, CallsAndRepliesAreFramedAsTheyWere) {
-  NameDesk desk;
-  admin::Session session(desk);
+TEST(AdminFrames, FramingIsUnchanged) {
+  IdentityHandler handler;
+  admin::Session session(handler);
   std::string out;
-  // Number 5, asks who it is: field 1 is 5, field 2 an empty message; and number 6 a call that nobody knows.
+  // Call number 5 asks for the identity: field 1 is 5, field 2 an empty message. Call number 6 is unknown.
   ASSERT_TRUE(session.feed(std::string("\0\0\0\4\x08\x05\x12\x00", 8)));
   ASSERT_TRUE(session.feed(std::string("\0\0\0\5\x08\x06\xfa\x07\x00", 9)));
   session.answer_pending(0, out);
@@ -109,7 +110,7 @@
   EXPECT_EQ(out.substr(identity.size() + 4, 4), std::string("\x08\x06\x10\x01"));  // its outcome is 1
 }
 
-// ---- A manager as a process, with an engine that answers by the statement's first word
+// ---- A manager as a process, with an engine whose reply depends on the first word of the statement
 
 class RecordingEngine {
  public:
@@ -126,7 +127,7 @@
   RecordingEngine& operator=(const RecordingEngine&) = delete;
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  // The commands since the last call, their words set apart by spaces.
+  // Returns the commands since the last call, with their words separated by spaces.
   Lines take() {
     const std::lock_guard lock(mutex_);
     return std::exchange(commands_, {});
@@ -146,14 +147,14 @@
   void read_all(int peer) {
     net::RespReader reader;
     char buffer[4096];
-    for (ssize_t got; (got = recv(peer, buffer, sizeof buffer, 0)) > 0;) {
-      reader.feed({buffer, static_cast<std::size_t>(got)}, [&](std::vector<std::string>& words) {
-        note(words);
+    for (ssize_t count; (count = recv(peer, buffer, sizeof buffer, 0)) > 0;) {
+      reader.feed({buffer, static_cast<std::size_t>(count)}, [&](std::vector<std::string>& words) {
+        record(words);
         say(peer, answer_to(words));
       });
     }
   }
-  void note(const std::vector<std::string>& words) {
+  void record(const std::vector<std::string>& words) {
     std::string line;
     for (const std::string& word : words) line += (line.empty() ? "" : " ") + word;
     const std::lock_guard lock(mutex_);
@@ -169,7 +170,7 @@
     if (statement.starts_with("page")) return resp({words[1], "HIT", "fetches=1", "a\t\"b\"\tc\n"});
     if (statement.starts_with("fault")) return resp({words[1], "FAULT", "-", "broken"});
     if (statement.starts_with("shed")) return resp({words[1], "SHED", "-", ""});
-    return "";  // never answers
+    return "";  // no reply
   }
 
   int port_ = 0;
@@ -220,8 +221,8 @@
     return {number, statement, 1500, type, headers};
   }
   std::string answer_to(const std::string& bytes) const { return call(fixture_.port, bytes); }
-  std::string answer_to(const JobCall& one) const { return answer_to(one.bytes()); }
-  // What the engine has been sent since the last call.
+  std::string answer_to(const JobCall& job) const { return answer_to(job.bytes()); }
+  // The commands that the engine has received since the last call, with the time limits masked.
   Lines sent() {
     Lines lines = engine_.take();
     for (std::string& line : lines) line = with_numbers_masked(line, "ms=");
@@ -238,7 +239,7 @@
          headers + "\r\n" + body;
 }
 
-TEST_F(ManagerTest, AnswersWithAResult) {
+TEST_F(ManagerTest, SuccessfulRequests) {
   EXPECT_EQ(answer_to(request(1, "page FROM a_1.t")),
             response("200 OK", "", R"({"values":[["a","\"b\"","c"]]})"));
   EXPECT_EQ(sent(), (Lines{"want 0000000000000001 kind=quick,ms=N,workmem=9,weight=2 page FROM a_1.t"}));
@@ -249,7 +250,7 @@
                            "turn 0000000000000002 1", "shut 0000000000000002"}));
 }
 
-TEST_F(ManagerTest, AnswersWhatItCanNotTake) {
+TEST_F(ManagerTest, RejectedRequests) {
   const std::pair<std::string, std::string> cases[] = {
       {"GET /check HTTP/1.1\r\n\r\n", response("200 OK", "", R"({"up":true})")},
       {request(1, "page", "nothing").bytes(),
@@ -282,7 +283,7 @@
   EXPECT_EQ(sent(), Lines{});
 }
 
-TEST_F(ManagerTest, AnswersWhatFails) {
+TEST_F(ManagerTest, FailedRequests) {
   const std::string try_later =
       response("503 Service Unavailable", "Retry-After-Ms: 500\r\n", R"({"abort":"TryLater"})");
   const std::string pure = "want 0000000000000001 kind=quick,ms=N,workmem=9,weight=2 fault";
@@ -296,16 +297,16 @@
   EXPECT_EQ(sent(), (Lines{"want 0000000000000003 kind=once,ms=N,workmem=9,weight=2 fault"}));
 }
 
-TEST_F(ManagerTest, TellsWhenToComeAgain) {
+TEST_F(ManagerTest, ThrottledRequestsHaveRetryAfter) {
   EXPECT_EQ(with_numbers_masked(answer_to(request(1, "shed")), "Retry-After-Ms: "),
             response("503 Service Unavailable", "Retry-After-Ms: N\r\n", R"({"abort":"TryLater"})"));
   Lines lines = sent();
   for (std::string& line : lines) line = with_numbers_masked(line, "workmem=");
-  const std::string turned_away = "want 0000000000000001 kind=quick,ms=N,workmem=N,weight=2 shed";
-  EXPECT_EQ(lines, (Lines{turned_away, turned_away}));
+  const std::string command = "want 0000000000000001 kind=quick,ms=N,workmem=N,weight=2 shed";
+  EXPECT_EQ(lines, (Lines{command, command}));
 }
 
-TEST_F(ManagerTest, CancelsAtTheEngine) {
+TEST_F(ManagerTest, CancelledRequestIsCancelledAtTheEngine) {
   const int fd = connect_to(fixture_.port);
   say(fd, request(1, "never").bytes());
   ASSERT_TRUE(soon([&] { return engine_.count() == 1; }));
@@ -317,7 +318,7 @@
                            "never_mind 0000000000000001", "there 0"}));
 }
 
-TEST_F(ManagerTest, GivesAPathToALongRequest) {
+TEST_F(ManagerTest, LongRequestGetsThePathOfItsResult) {
   JobCall long_request = request(1, "never");
   long_request.patience_ms = 9000;
   const int fd = connect_to(fixture_.port);
@@ -329,7 +330,7 @@
 
 // ---- GET /counters
 
-// Those hold what has happened so far and is not zero; `NamesOfReasonsAreAsTheyWere` looks at their keys.
+// These objects contain only counts over zero. `NamesOfReasonsAreUnchanged` checks their keys.
 const std::set<std::string> counts_by_name = {"clients_closed", "engines_closed",  "refused",     "given_up",
                                               "retried",        "rules.held_back", "rules.broken"};
 
@@ -347,7 +348,7 @@
   return keys;
 }
 
-TEST_F(ManagerTest, CountersHaveTheKeysThatTheyHad) {
+TEST_F(ManagerTest, KeysOfCountersAreUnchanged) {
   const std::string answer = answer_to("GET /counters HTTP/1.1\r\n\r\n");
   const std::size_t body = answer.find("\r\n\r\n");
   ASSERT_NE(body, std::string::npos);
@@ -359,7 +360,7 @@
   EXPECT_EQ(keys_of(nlohmann::json::parse(answer.substr(body + 4))), expected);
 }
 
-// Counts that are zero are left out there, so that their names are looked at here.
+// Returns all names as a JSON object, with a count over zero for each, since counts of zero are omitted.
 template <class Reason>
 std::string all_names(const std::array<std::string_view, net::ReasonCounts<Reason>::size>& names) {
   net::ReasonCounts<Reason> counts;
@@ -369,7 +370,7 @@
   return net::as_json_object(counts, names);
 }
 
-TEST(Counters, NamesOfReasonsAreAsTheyWere) {
+TEST(Counters, NamesOfReasonsAreUnchanged) {
   EXPECT_EQ(all_names<net::ClientCloseReason>(net::client_close_names),
             "{\"client_left\":1,\"last_answer\":2,\"idle\":3,\"call_incomplete\":4,\"call_unreadable\":5,"
             "\"answer_unread\":6,\"table_full\":7,\"no_place\":8,\"too_much_unread\":9,\"came_again\":10,"
@@ -397,14 +398,14 @@
 
 // ---- The discovery service's stream
 
-TEST(Discovery, RequestIsAsItWas) {
+TEST(Discovery, RequestIsUnchanged) {
   std::mutex mutex;
-  std::string heard;
+  std::string received;
   ScriptedDiscovery discovery([&](int peer) {
     const std::string request = hear_request(peer);
     {
       const std::lock_guard lock(mutex);
-      if (heard.empty()) heard = request;
+      if (received.empty()) received = request;
     }
     close(peer);
   });
@@ -413,26 +414,27 @@
   fixture.go();
   ASSERT_TRUE(soon([&] {
     const std::lock_guard lock(mutex);
-    return !heard.empty();
+    return !received.empty();
   }));
   const std::lock_guard lock(mutex);
-  EXPECT_EQ(heard, "GET /cmd/next HTTP/1.1\r\nHost: " + discovery.address() +
-                       "\r\nAccept: text/event-stream\r\nLast-Event-ID: 1\r\n\r\n");
+  EXPECT_EQ(received, "GET /cmd/next HTTP/1.1\r\nHost: " + discovery.address() +
+                          "\r\nAccept: text/event-stream\r\nLast-Event-ID: 1\r\n\r\n");
 }
 
 // ---- pearchutectl's JSON
 
 class ControlTest : public ManagerTest {
  protected:
-  // One line for each row of its output: the row's keys as they stand, each with its type.
+  // Runs pearchutectl, and returns one line per row of its output: the keys of the row in order, each with
+  // its type.
   Lines keys_printed_by(const Lines& arguments, int expected_status = 0) const {
     const std::string output_file = fixture_.folder + "/output";
     std::filesystem::remove(output_file);
-    Lines whole = {"--fleet", fleet_file(), "--output", "json"};
-    whole.insert(whole.end(), arguments.begin(), arguments.end());
+    Lines all_arguments = {"--fleet", fleet_file(), "--output", "json"};
+    all_arguments.insert(all_arguments.end(), arguments.begin(), arguments.end());
     const int output = open(output_file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     const pid_t child = lab::start_child({.program = PEARCHUTECTL,
-                                          .arguments = whole,
+                                          .arguments = all_arguments,
                                           .environment = {},
                                           .log = "/dev/null",
                                           .output = output});
@@ -453,7 +455,7 @@
   }
 };
 
-TEST_F(ControlTest, RowsHaveTheKeysThatTheyHad) {
+TEST_F(ControlTest, KeysOfRowsAreUnchanged) {
   const int fd = connect_to(fixture_.port);
   say(fd, request(1, "never").bytes());
   ASSERT_TRUE(soon([&] { return engine_.count() == 1; }));
@@ -470,7 +472,7 @@
   EXPECT_EQ(keys_printed_by({"jobs"}),
             Lines{"instance:string zone:string job:string type:string age:string left_ms:number "
                   "dispatches:number out:string waits_for:string "});
-  // It calls itself t and not n1.
+  // Status 4, since the manager's name is t and not n1.
   EXPECT_EQ(keys_printed_by({"check"}, 4), Lines{"instance:string zone:string admin:string result:string "});
   EXPECT_EQ(keys_printed_by({"engine", "list"}),
             Lines{"engine:string zone:string address:string states:string one_mind:boolean held_by:string "});
