--- a/src/engines/engines.h
+++ b/src/engines/engines.h
@@ -1,7 +1,8 @@
-// The connections to engines: opened as dispatches need them, one for each as far as descriptors go, shared
-// beyond that, closed before an engine would call them idle, and given up once they are in doubt. It tells
-// how each dispatch ends, once, whatever its connection does. It never picks an engine, retries, or judges
-// one.
+// The connections to engines. EnginePool opens them on demand, one for each attempt while the connection
+// limit allows it and shared beyond that; it closes them before the engine's idle timeout, and stops using
+// those that hold a cancelled attempt which the engine has not confirmed. It reports the end of each attempt
+// exactly once, whatever happens to the connection. It doesn't choose engines, retry attempts or detect
+// outliers.
 #pragma once
 
 #include <map>
@@ -18,37 +19,42 @@
 
 namespace pearchute::net {
 
-// A dispatch whose first byte is about to leave.
+// An attempt whose first byte is about to be written to the engine's socket.
 struct PendingSend {
-  AttemptId key;
+  AttemptId attempt;
   EngineId engine;
   EngineState state = EngineState::up;
-  std::chrono::milliseconds told{};  // how long the engine is told that the manager waits
+  std::chrono::milliseconds wait{};  // the time that the request tells the engine it has to answer
 };
 
 class EnginePool {
  public:
   class Listener : public EngineSession::Listener {
    public:
-    // Asked just before the first byte of a dispatch leaves: how it ends where it may not leave any more.
+    // Called just before the first byte of an attempt is written. Returns the outcome with which the attempt
+    // ends where it must no longer be sent, nullopt where it is to be sent.
     virtual std::optional<Outcome> check_before_send(const PendingSend&) { return std::nullopt; }
   };
   EnginePool(Loop& loop, const service::EngineConnectionLimits& limits, std::size_t max_connections,
              Listener& listener, Counters& counters);
   ~EnginePool();
   void set_endpoint(EngineId engine, const std::string& address, EngineState state = EngineState::up);
-  void remove_endpoint(EngineId engine);  // it has gone; what is still open there ends in its own way
-  void remove_endpoints_except(const std::set<EngineId>& named);
-  // What has not left by `leave_by` never does, and ends as unreachable.
-  void submit(EngineId engine, AttemptId key, const EngineRequest& request,
-              std::optional<TimePoint> leave_by = {});
-  void cancel(AttemptId key);  // it still ends once, as stopped if nothing else
-  // True where it has not left: it never does, and ends so, after this event.
-  bool retract_unsent(AttemptId key, Outcome ends_as);
-  void reprioritize(AttemptId key, int priority);
-  // What has not left for it ends as unreachable, now; what has left goes on.
+  // Attempts that already run on the engine continue to their end; new ones end as unreachable.
+  void remove_endpoint(EngineId engine);
+  void remove_endpoints_except(const std::set<EngineId>& listed);
+  // Sends an attempt to `engine`. An attempt that is still unsent at `send_deadline` is never sent and ends
+  // as unreachable. The listener receives the end after the current event at the earliest.
+  void submit(EngineId engine, AttemptId attempt, const EngineRequest& request,
+              std::optional<TimePoint> send_deadline = {});
+  // Gives up an attempt. It still ends exactly once: as cancelled, unless another outcome comes first.
+  void cancel(AttemptId attempt);
+  // Returns true where the attempt is unsent: it is then never sent and ends with `outcome` after the current
+  // event.
+  bool retract_unsent(AttemptId attempt, Outcome outcome);
+  void reprioritize(AttemptId attempt, int priority);
+  // Ends the unsent attempts for `engine` as unreachable, at once; those that are sent continue.
   void suspend_sending(EngineId engine);
-  // What the sockets to an engine show.
+  // The state of the sockets to one engine.
   struct SocketStats {
     std::string address;
     std::size_t connections = 0, dispatches = 0, unsent_requests = 0;
@@ -62,19 +68,19 @@
   friend class EngineConnection;
   struct EndpointState {
     std::string address;
-    std::optional<Poco::Net::SocketAddress> socket_address;  // none where the list tells no number address
-    bool gone = false, draining = false;
-    bool can_be_reached() const { return !gone && socket_address.has_value(); }
+    std::optional<Poco::Net::SocketAddress> socket_address;  // none where `address` is not numeric
+    bool removed = false, draining = false;
+    bool is_reachable() const { return !removed && socket_address.has_value(); }
     EngineState state() const {
-      return gone ? EngineState::removed : draining ? EngineState::draining : EngineState::up;
+      return removed ? EngineState::removed : draining ? EngineState::draining : EngineState::up;
     }
     std::vector<std::unique_ptr<EngineConnection>> connections;
   };
   EngineConnection* connection_for(EngineId engine, std::string_view id);
   EngineState state_of(EngineId engine) const;
-  void post_end(AttemptId key, Outcome ends_as);
+  void post_end(AttemptId attempt, Outcome outcome);
   bool close_oldest_idle();
-  bool may_probe_liveness();  // a connection for a sign
+  bool spend_probe_allowance();
   void drop(EngineConnection& connection, EngineCloseReason reason);
   void retire_connections(EndpointState& endpoint);
   void sweep();
@@ -88,8 +94,8 @@
   std::map<AttemptId, EngineConnection*> connection_by_attempt_;
   std::vector<std::unique_ptr<EngineConnection>> closed_connections_;
   std::size_t connections_ = 0;
-  double probe_allowance_ = 0;
-  // What is put off may come up after these have gone.
+  double probe_allowance_ = 0;  // liveness probes that may be sent now, where probes have a cost
+  // False once the pool is destroyed; callbacks that the loop still holds check it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/engines/feed.cpp
+++ b/src/engines/feed.cpp
@@ -3,28 +3,28 @@
 namespace pearchute::net {
 
 namespace {
-constexpr std::size_t longest_event = 1 << 20;  // a whole list of a large fleet is a few hundred kilobytes
+constexpr std::size_t max_event_bytes = 1 << 20;  // a snapshot of a large fleet has a few hundred kB
 }
 
 bool EventStreamReader::feed(std::string_view bytes) {
   while (!bytes.empty()) {
     const std::string_view before = bytes;
-    const std::string_view part = bytes.substr(0, 4096);  // keeps what the reader holds small
+    const std::string_view part = bytes.substr(0, 4096);  // bounds the body held by the reader
     std::string_view rest = part;
     const MessageReader::Status status = reader_.feed(rest);
     bytes.remove_prefix(part.size() - rest.size());
     if (status == MessageReader::Status::malformed || status == MessageReader::Status::too_large)
       return false;
-    if (reader_.head_read() && !checked_) {
+    if (reader_.head_read() && !status_checked_) {
       const std::string& line = reader_.message().first_line;
       if (!line.starts_with("HTTP/1.") || line.find(" 200") != 8) return false;
-      checked_ = true;
+      status_checked_ = true;
     }
     if (reader_.head_read()) {
       std::string& body = reader_.message().body;
-      const bool sound = take(body);
+      const bool valid = parse_text(body);
       body.clear();
-      if (!sound) return false;
+      if (!valid) return false;
     }
     if (status == MessageReader::Status::whole) return bytes.empty();
     if (bytes.size() == before.size()) return false;
@@ -32,19 +32,19 @@
   return true;
 }
 
-bool EventStreamReader::take(std::string_view text) {
+bool EventStreamReader::parse_text(std::string_view text) {
   for (const char c : text) {
     const bool second_of_pair = c == '\n' && after_cr_;
     after_cr_ = c == '\r';
     if (second_of_pair) continue;
-    if (c == '\n' || c == '\r') line_done();
+    if (c == '\n' || c == '\r') on_line_end();
     else line_.push_back(c);
-    if (line_.size() + data_.size() > longest_event) return false;
+    if (line_.size() + data_.size() > max_event_bytes) return false;
   }
   return true;
 }
 
-void EventStreamReader::line_done() {
+void EventStreamReader::on_line_end() {
   std::string line;
   line.swap(line_);
   if (line.empty()) {
--- a/src/engines/feed.h
+++ b/src/engines/feed.h
@@ -1,5 +1,5 @@
-// The reading side of server-sent events over HTTP: fed the bytes of one response, it tells of each event and
-// each sign of life. It knows no socket and no clock, and nothing of what an event holds.
+// A parser for a stream of server-sent events in an HTTP response. It gets the bytes of one response and
+// calls the listener for each event. It uses no socket and no clock, and doesn't interpret the events' data.
 #pragma once
 
 #include <string>
@@ -17,17 +17,17 @@
     virtual void on_event(std::string_view id, std::string_view data) = 0;
   };
   explicit EventStreamReader(Listener& listener) : listener_(listener) {}
-  // False once the response is not a stream of events.
+  // Returns false once the response is not a valid event stream.
   bool feed(std::string_view bytes);
 
  private:
-  bool take(std::string_view text);
-  void line_done();
+  bool parse_text(std::string_view text);
+  void on_line_end();
 
   Listener& listener_;
   MessageReader reader_{MessageReader::Side::passing_responses};
   std::string line_, id_, data_;
-  bool has_data_ = false, after_cr_ = false, checked_ = false;
+  bool has_data_ = false, after_cr_ = false, status_checked_ = false;
 };
 
 }  // namespace pearchute::net
--- a/src/engines/list.cpp
+++ b/src/engines/list.cpp
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-// A name's number is the same at every manager, whatever else each has heard; a collision, which only very
-// large fleets could meet, takes the next number.
+// An engine's id is a hash of its name, so it is the same at all managers, whichever events each has
+// received. Where the hash is taken, which only happens in very large fleets, the next free id is used.
 EngineId EndpointList::id_of(const std::string& name) {
   const auto known = ids_.find(name);
   if (known != ids_.end()) return known->second;
@@ -53,7 +53,7 @@
 
 EndpointList::Change EndpointList::known(const json& known) {
   std::map<EngineId, DiscoveredEndpoint> endpoints;
-  Change whole;
+  Change cached;
   for (const json& event : known.value("cmds", json::array())) {
     Change change = read(event);
     if (change.result != EventResult::applied) return change;
@@ -63,72 +63,73 @@
     resume_version_ = std::max(resume_version_, event.value("cursor", std::int64_t{0}));
   }
   resume_version_ = std::max(resume_version_, known.value("cursor", std::int64_t{0}));
-  whole.result = EventResult::applied, whole.update = EndpointUpdate::cached;
+  cached.result = EventResult::applied, cached.update = EndpointUpdate::cached;
   for (auto& [id, endpoint] : endpoints) {
-    if (endpoint.engine.state != EngineState::removed) whole.endpoints.push_back(std::move(endpoint));
+    if (endpoint.engine.state != EngineState::removed) cached.endpoints.push_back(std::move(endpoint));
   }
-  return whole;
+  return cached;
 }
 
 EndpointList::Change EndpointList::event(std::string_view id, std::string_view data, bool gap_allowed) {
   Change change;
   json event = json::parse(data, nullptr, false);
   if (event.is_discarded() || !event.is_object()) {
-    change.fault = "not JSON";
+    change.fault = "expected a JSON object";
     return change;
   }
-  std::int64_t number = 0;
-  const auto [stop, error] = std::from_chars(id.data(), id.data() + id.size(), number);
+  std::int64_t version = 0;
+  const auto [stop, error] = std::from_chars(id.data(), id.data() + id.size(), version);
   if (error != std::errc{} || stop != id.data() + id.size()) {
     if (!event.contains("cursor") || !event["cursor"].is_number_integer()) {
-      change.fault = "no number";
+      change.fault = "expected an integer as event id or cursor";
       return change;
     }
-    number = event["cursor"].get<std::int64_t>();
+    version = event["cursor"].get<std::int64_t>();
   }
-  return apply(event, number, gap_allowed);
+  return apply(event, version, gap_allowed);
 }
 
-void EndpointList::apply_newer(const json& known, const std::function<void(const Change&)>& applied) {
+void EndpointList::apply_newer(const json& known, const std::function<void(const Change&)>& on_applied) {
   for (const json& event : known.value("cmds", json::array())) {
     const Change change = apply(event, event.value("cursor", std::int64_t{0}), false);
     if (change.result == EventResult::old) continue;
-    if (change.result != EventResult::applied) return;  // the stream tells it
-    applied(change);
+    if (change.result != EventResult::applied) return;  // the stream delivers this event
+    on_applied(change);
   }
 }
 
-// An event by its number: once, and in order.
-EndpointList::Change EndpointList::apply(const json& event, std::int64_t number, bool gap_allowed) {
+// Applies an event by its version: once, and in order.
+EndpointList::Change EndpointList::apply(const json& event, std::int64_t version, bool gap_allowed) {
   Change change;
-  if (number <= resume_version_) {
+  if (version <= resume_version_) {
     change.result = EventResult::old;
     return change;
   }
   change = read(event);
   if (change.result != EventResult::applied) return change;
-  // What was missed may have been of an engine that is gone: the stream is asked for it once more. A whole
-  // list makes up for whatever was missed.
-  if (number != resume_version_ + 1 && change.update != EndpointUpdate::snapshot && !gap_allowed) {
+  // A missing event may be the removal of an engine, so the stream is reopened once to get it. A snapshot
+  // replaces all missing events.
+  if (version != resume_version_ + 1 && change.update != EndpointUpdate::snapshot && !gap_allowed) {
     change.result = EventResult::gap;
     return change;
   }
-  resume_version_ = number, has_endpoints_ = true;
-  forget_gone(change);
+  resume_version_ = version, has_endpoints_ = true;
+  forget_removed(change);
   return change;
 }
 
-// Names live as long as their engines are listed: engines are replaced all day.
-void EndpointList::forget_gone(const Change& change) {
-  const bool whole = change.update == EndpointUpdate::snapshot;
-  std::map<EngineId, bool> gone;
+// Forgets the names of engines that are no longer listed. Engines are replaced all the time, so their names
+// would otherwise accumulate.
+void EndpointList::forget_removed(const Change& change) {
+  const bool is_snapshot = change.update == EndpointUpdate::snapshot;
+  std::map<EngineId, bool> removed;
   for (const DiscoveredEndpoint& endpoint : change.endpoints)
-    gone[endpoint.engine.id] = endpoint.engine.state == EngineState::removed;
+    removed[endpoint.engine.id] = endpoint.engine.state == EngineState::removed;
   std::erase_if(ids_, [&](const auto& one) {
-    const auto named = gone.find(one.second);
-    const bool over = named == gone.end() ? whole : named->second;
-    if (over) taken_ids_.erase(one.second), start_times_.forget(one.second);
-    return over;
+    const auto listed = removed.find(one.second);
+    const bool remove = listed == removed.end() ? is_snapshot : listed->second;
+    if (remove) taken_ids_.erase(one.second), start_times_.forget(one.second);
+    return remove;
   });
 }
 
@@ -142,27 +143,29 @@
 
 using std::chrono::milliseconds;
 
-// At once the first time, then at growing distance, well within what the list may come late.
-constexpr milliseconds first_pause(50), longest_pause(400);
-// A stream that held for so long was sound: what ended it is no reason to wait.
+// The stream is reopened at once the first time, then with a growing backoff, which stays well below the
+// permitted delay of the list.
+constexpr milliseconds min_backoff(50), max_backoff(400);
+// A stream that lasted this long was healthy, so it is reopened without backoff.
 constexpr milliseconds stable_after(1000);
-// A connection comes up within the first, and its first word comes within the second: a comment comes each
-// second, so after two missed it is no good, whatever it looks like. Guards against discovery that is slower
-// than that and would never be heard: each time in a row that it is, it gets twice the time.
-constexpr milliseconds connect_timeout(500), first_data_timeout(2300), longest_wait(9200);
+// The limits for opening the connection and for silence on it. Discovery sends a comment each second, so a
+// stream on which two are missing no longer works. Guards against slow discovery whose streams would all be
+// closed before their first data: the timeouts double, up to max_timeout, each time in a row that they expire
+// without data.
+constexpr milliseconds connect_timeout(500), first_data_timeout(2300), max_timeout(9200);
 
 }  // namespace
 
 void EndpointWatch::open() {
   last_data_at_ = opened_at_ = loop_.now();
   broken_ = received_data_ = false;
-  const std::uint64_t which = ++opened_;
+  const std::uint64_t stream_number = ++opened_;
   ++counters_.list_connections;
   stream_ = std::make_unique<EventStreamReader>(*this);
   try {
     connection_ = std::make_unique<Connection>(loop_, resolved_address(address_, "channel"), *this);
   } catch (const AddressError&) {
-    reopen("its address can't be used");
+    reopen("the channel's address can't be resolved");
     return;
   }
   const std::string request =
@@ -170,27 +173,27 @@
       "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + std::to_string(list_.resume_version()) +
       "\r\n\r\n";
   connection_->send(request);
-  watch(which);
+  check_timeouts_later(stream_number);
 }
 
 void EndpointWatch::set_address(std::string address) {
   if (address == address_) return;
   address_ = std::move(address);
-  pause_ = Duration(0);
+  backoff_ = Duration(0);
   timeout_factor_ = 1;
-  reopen("the channel has moved");
+  reopen("the channel's address has changed");
 }
 
 void EndpointWatch::on_opened() { last_data_at_ = loop_.now(); }
 
-void EndpointWatch::watch(std::uint64_t which) {
-  loop_.at(loop_.now() + milliseconds(100), [this, which] {
-    if (which != opened_ || !connection_) return;
-    Duration longest = connection_->opened() ? first_data_timeout : connect_timeout;
-    if (!received_data_) longest = std::min<Duration>(longest * timeout_factor_, longest_wait);
-    if (loop_.now() - last_data_at_ <= longest) return watch(which);
+void EndpointWatch::check_timeouts_later(std::uint64_t stream_number) {
+  loop_.at(loop_.now() + milliseconds(100), [this, stream_number] {
+    if (stream_number != opened_ || !connection_) return;
+    Duration timeout = connection_->opened() ? first_data_timeout : connect_timeout;
+    if (!received_data_) timeout = std::min<Duration>(timeout * timeout_factor_, max_timeout);
+    if (loop_.now() - last_data_at_ <= timeout) return check_timeouts_later(stream_number);
     if (!received_data_) timeout_factor_ = std::min(2 * timeout_factor_, max_timeout_factor);
-    reopen(connection_->opened() ? "the stream is silent" : "the connection does not come up");
+    reopen(connection_->opened() ? "the stream sends no data" : "connect timeout");
   });
 }
 
@@ -198,16 +201,17 @@
   last_data_at_ = loop_.now();
   received_data_ = true;
   timeout_factor_ = 1;
-  // What was missed comes as soon as the stream is up.
+  // A stream delivers all missing events as soon as it is open, so after a second the list is current.
   list_.heard(last_data_at_, last_data_at_ - opened_at_ >= stable_after);
-  const Connection* here = connection_.get();
-  const bool sound = stream_->feed(bytes);
-  if (connection_.get() != here || !connection_) return;  // a gap has closed it already
-  if (!sound || broken_) reopen("what came is no stream of events");
+  const Connection* current = connection_.get();
+  const bool valid = stream_->feed(bytes);
+  if (connection_.get() != current || !connection_)
+    return;  // the stream was closed while its events were handled
+  if (!valid || broken_) reopen("the response is not a valid event stream");
 }
 
 void EndpointWatch::on_event(std::string_view id, std::string_view data) {
-  if (broken_) return;  // what comes behind a broken event or a gap comes again
+  if (broken_) return;  // events after a malformed event or a gap are sent again on the next stream
   ++counters_.list_events;
   const EndpointList::Change change = list_.event(id, data, gap_seen_);
   switch (change.result) {
@@ -218,29 +222,29 @@
     case EndpointList::EventResult::old:
       break;
     case EndpointList::EventResult::gap:
-      PEARCHUTE_LOG(spdlog::level::warn, "list of engines: event {} came after {}", id,
+      PEARCHUTE_LOG(spdlog::level::warn, "endpoint list: event {} follows version {}; events are missing", id,
                     list_.resume_version());
       gap_seen_ = broken_ = true;
       break;
     case EndpointList::EventResult::broken:
       ++counters_.broken_events;
-      PEARCHUTE_LOG(spdlog::level::warn, "list of engines: event {} can't be read: {}", id, change.fault);
+      PEARCHUTE_LOG(spdlog::level::warn, "endpoint list: event {} is malformed: {}", id, change.fault);
       broken_ = true;
       break;
   }
 }
 
-void EndpointWatch::reopen(const char* why) {
-  PEARCHUTE_LOG(spdlog::level::warn, "list of engines: {}; opened anew", why);
+void EndpointWatch::reopen(const char* reason) {
+  PEARCHUTE_LOG(spdlog::level::warn, "endpoint list: {}; reopening the stream", reason);
   loop_.retire(std::move(connection_));
   connection_.reset();
-  // Guards against discovery that turns callers away, or ends their streams, as fast as they come: only a
-  // stream that held is opened anew at once.
-  if (received_data_ && loop_.now() - opened_at_ >= stable_after) pause_ = Duration(0);
-  loop_.at(loop_.now() + pause_, [this, which = opened_] {
-    if (which == opened_) open();
+  // Guards against discovery that rejects connections, or ends streams, as soon as they are opened: only
+  // after a stream that lasted is the next one opened without backoff.
+  if (received_data_ && loop_.now() - opened_at_ >= stable_after) backoff_ = Duration(0);
+  loop_.at(loop_.now() + backoff_, [this, stream_number = opened_] {
+    if (stream_number == opened_) open();
   });
-  pause_ = std::clamp<Duration>(2 * pause_, first_pause, longest_pause);
+  backoff_ = std::clamp<Duration>(2 * backoff_, min_backoff, max_backoff);
 }
 
 }  // namespace pearchute::net
--- a/src/front/arrival_times.h
+++ b/src/front/arrival_times.h
@@ -1,5 +1,6 @@
-// When the bytes of a client's connection came, for calls that wait behind an open one: their time runs from
-// when they came, not from when their turn is. Both bounds err to the outside, by ten milliseconds at most.
+// Bounds of the arrival times of the bytes on a client's connection, for HTTP requests that are buffered
+// behind an open one: their timeout starts when they arrived, not when they are handled. Both bounds lie
+// outside the true time, by 10 ms at most.
 #pragma once
 
 #include <algorithm>
@@ -12,22 +13,23 @@
 
 class ArrivalTimes {
  public:
-  // All bytes up to the `up_to`-th of the connection had come by `read`, and none of the new ones before
-  // `at`.
+  // Records that all bytes of the connection before offset `up_to` had arrived by `read`, and that none of
+  // the new ones arrived before `at`.
   void came(std::uint64_t up_to, TimePoint at, TimePoint read) {
-    constexpr std::chrono::milliseconds together(10);
-    if (!arrivals_.empty() && at - arrivals_.back().at < together)
+    constexpr std::chrono::milliseconds resolution(10);
+    if (!arrivals_.empty() && at - arrivals_.back().at < resolution)
       arrivals_.back().up_to = up_to, arrivals_.back().read = read;
     else arrivals_.push_back({up_to, at, read});
   }
   void came(std::uint64_t up_to, TimePoint at) { came(up_to, at, at); }
-  // When the byte before that one came; what came earlier is forgotten.
+  // Returns the earliest time at which the last byte before `offset` may have arrived, `otherwise` where it
+  // is not recorded. Forgets the bytes before it.
   TimePoint of(std::uint64_t offset, TimePoint otherwise) {
     const auto at = std::ranges::find_if(arrivals_, [&](const Arrival& one) { return one.up_to >= offset; });
     arrivals_.erase(arrivals_.begin(), at);
     return arrivals_.empty() ? otherwise : arrivals_.front().at;
   }
-  // By when the byte had come of which `of` was asked last.
+  // Returns the latest time at which the byte of the last call of `of` may have arrived.
   TimePoint latest(TimePoint otherwise) const {
     return arrivals_.empty() ? otherwise : arrivals_.front().read;
   }
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "front/answers.h"
 #include "front/client.h"
-#include "front/job_request.h"
+#include "front/request_parser.h"
+#include "front/responses.h"
 #include "front/statement.h"
 #include "service/flatten.h"
 
@@ -15,45 +15,49 @@
 
 namespace {
 
-// How late a wake or a call may come where others share the core: on a full machine, one step in a hundred
-// took 15 to 30 ms on its way through. The module keeps clear of each job's end by twice this and a little.
-constexpr milliseconds wakes_late(25);
+// The delay to expect of a wakeup or a client's request where other processes share the core: on a fully
+// loaded machine, 1 % of the steps took 15 to 30 ms. The WorkloadManager finishes a request before its
+// deadline by a little more than twice this delay.
+constexpr milliseconds max_wakeup_delay(25);
 
-// The service as it is on sockets: each open job holds a client's connection, and clients hold a third of the
-// descriptors at most.
-service::Deployment on_sockets(service::Deployment deployment, std::size_t descriptors) {
+// Adapts the service to the process's limits: each open request holds a client connection, and open requests
+// may hold a third of the descriptors at most.
+service::Deployment with_descriptor_limits(service::Deployment deployment, std::size_t descriptors) {
   ServiceDefinition& service = deployment.service;
-  service.event_interval = std::max<Duration>(service.event_interval, wakes_late);
-  const auto places = static_cast<std::int64_t>(descriptors / 3);
+  service.event_interval = std::max<Duration>(service.event_interval, max_wakeup_delay);
+  const auto max_connections = static_cast<std::int64_t>(descriptors / 3);
   service.max_open_requests =
-      service.max_open_requests > 0 ? std::min(service.max_open_requests, places) : places;
+      service.max_open_requests > 0 ? std::min(service.max_open_requests, max_connections) : max_connections;
   return deployment;
 }
 
-// A client whose connection broke calls again at once; more would let answers pile up beside the open jobs.
-constexpr seconds long_enough_to_call_again(1);
+// How long an answer is kept for a client whose connection broke, which reconnects at once. Answers that are
+// kept for longer would accumulate beside the open requests.
+constexpr seconds client_retry_window(1);
 
-// Of the clients' descriptors, for the last words to those who find no place.
-constexpr std::size_t most_turned_away = 8;
+// Descriptors of the clients' share that are reserved for sending 503 on rejected connections.
+constexpr std::size_t max_rejected_connections = 8;
 
-constexpr std::string_view work_path = "/do/", job_path = "/job/";
+constexpr std::string_view submit_path_prefix = "/do/", result_path_prefix = "/job/";
 
 }  // namespace
 
 Front::Front(Loop& loop, const service::Deployment& deployment, std::uint64_t seed, std::size_t descriptors,
              std::size_t memory, Counters& counters)
     : loop_(loop),
-      deployment_(on_sockets(deployment, descriptors)),
+      deployment_(with_descriptor_limits(deployment, descriptors)),
       counters_(counters),
-      // Clients hold a third at most; half leaves room for strangers, and for what is on its way out. Of the
-      // rest, a few are for the log, the list and the like.
-      max_clients_(std::max<std::size_t>(descriptors / 2, 2 * most_turned_away) - most_turned_away),
+      // Open requests hold a third of the descriptors at most; client connections may use half, which leaves
+      // room for connections without a request and for those that are closing. Of the rest, 20 are reserved
+      // for the log, the command channel and the like.
+      max_clients_(std::max<std::size_t>(descriptors / 2, 2 * max_rejected_connections) -
+                   max_rejected_connections),
       max_unparsed_bytes_(memory / 8),
       engines_(loop, deployment.links, descriptors > 40 ? descriptors - descriptors / 2 - 20 : 1, *this,
                counters),
       manager_(deployment_.service, seed, *this) {
   counters_.rules.configure(deployment_.service);
-  loop.after_each_look([this] { return !arrivals_.empty(); }, [this] { submit_settled(); });
+  loop.after_each_poll([this] { return !arrivals_.empty(); }, [this] { submit_settled(); });
   sweep();
 }
 
@@ -63,9 +67,9 @@
   if (!request.answered) unanswered_requests_ -= 1;
   request.answered = true;
   counters_.rules.on_finished(id);
-  // Guards against a dispatch that leaves after the final answer, once its connection is up: where nothing
-  // can be called off the module leaves alone what is out, and only the sockets know that this never went
-  // out.
+  // Guards against an attempt that is sent after the final answer, once its connection opens: where attempts
+  // can't be cancelled the WorkloadManager leaves them open, and only the engine pool knows that this one is
+  // still unsent.
   retract_unsent_attempts(id, request);
   statement_bytes_ -= request.statement.size();
   request.statement = {};
@@ -77,37 +81,38 @@
   counters_.open_engine_connections = engines_.connections();
   counters_.failed_events = loop_.failed_events();
   counters_.open_dispatches = 0;
-  for (const auto& [id, request] : requests_) counters_.open_dispatches += request.out.size();
+  for (const auto& [id, request] : requests_) counters_.open_dispatches += request.open_attempts.size();
   return counters_.as_json();
 }
 
 // ---- Clients ----
 
-// Guards against connections that are held for nothing, of whatever kind: what waits outside a full table
-// would be taken late and out of turn. The least useful one goes, see usefulness; where all have a call open,
-// the newcomer itself.
+// Guards against unused connections that fill the table: connections that wait to be accepted would be read
+// late and out of order. The least useful connection is closed, see Client::usefulness; where all have an
+// open HTTP request, the new connection is rejected.
 void Front::on_client_accepted(const Poco::Net::StreamSocket& socket) {
   ++counters_.connections;
-  while (loop_.finishing() > 0 && clients_.size() + loop_.finishing() >= max_clients_ + most_turned_away)
-    loop_.cut_finishing();
+  while (loop_.finishing() > 0 &&
+         clients_.size() + loop_.finishing() >= max_clients_ + max_rejected_connections)
+    loop_.close_oldest_finishing();
   if (clients_.size() >= max_clients_) {
     ++counters_.shed;
     const TimePoint now = loop_.now();
-    Client* least = nullptr;
+    Client* least_useful = nullptr;
     for (const auto& [id, client] : clients_) {
-      const bool is_less =
-          client->is_evictable() && (!least || client->usefulness(now) < least->usefulness(now));
-      if (is_less && may_close(*client)) least = client.get();
+      const bool is_less_useful = client->is_evictable() &&
+                                  (!least_useful || client->usefulness(now) < least_useful->usefulness(now));
+      if (is_less_useful && may_close(*client)) least_useful = client.get();
     }
-    if (!least) return reject_connection(socket);
-    least->connection().close();  // at once: many may come before the next event
-    drop(*least, ClientCloseReason::table_full);
+    if (!least_useful) return reject_connection(socket);
+    least_useful->connection().close();  // at once: many connections may be accepted before the next event
+    drop(*least_useful, ClientCloseReason::table_full);
   }
   const ClientId id{next_client_++};
   clients_[id] = std::make_unique<Client>(*this, id, socket);
 }
 
-// Guards against the close of a connection on which a call has come that was not read yet.
+// Guards against closing a connection on which an HTTP request has arrived that is not read yet.
 bool Front::may_close(const Client& client) {
   return !counters_.rules.forbids_closing({client.owes_answer(), false, client.connection().has_unread()});
 }
@@ -121,15 +126,17 @@
   loop_.finish(std::move(connection));
 }
 
-// Guards against calls that are never whole, many at once: the largest goes where all together hold too much.
+// Guards against many HTTP requests that are never completed: where all together hold too many bytes, the
+// connection with the largest incomplete request is closed.
 void Front::evict_unparsed_request() {
-  std::size_t held = statement_bytes_;
+  std::size_t total = statement_bytes_;
   Client* largest = nullptr;
   for (const auto& [id, client] : clients_) {
-    held += client->held();
-    if (client->is_evictable() && (!largest || client->held() > largest->held())) largest = client.get();
+    total += client->buffered_bytes();
+    if (client->is_evictable() && (!largest || client->buffered_bytes() > largest->buffered_bytes()))
+      largest = client.get();
   }
-  if (held <= max_unparsed_bytes_ || !largest || largest->held() == 0) return;
+  if (total <= max_unparsed_bytes_ || !largest || largest->buffered_bytes() == 0) return;
   ++counters_.shed;
   largest->end_with(503, "too much is unread", ClientCloseReason::too_much_unread);
 }
@@ -143,7 +150,7 @@
   if (!has_left && reason != ClientCloseReason::last_answer && reason != ClientCloseReason::idle)
     PEARCHUTE_LOG(spdlog::level::info, "client connection {} closed: reason={}", client.id().value,
                   client_close_names[static_cast<std::size_t>(reason)]);
-  if (const auto id = std::exchange(client.may_call, std::nullopt)) disconnect_if_unattended(*id);
+  if (const auto id = std::exchange(client.expected_path, std::nullopt)) disconnect_if_unattended(*id);
   closed_clients_.push_back(std::move(it->second));
   clients_.erase(it);
   loop_.post([this] {
@@ -156,24 +163,24 @@
 }
 
 void Front::on_client_left(Client& client, ClientCloseReason reason) {
-  const std::optional<RequestId> id = client.waits_for;
-  client.waits_for.reset();
+  const std::optional<RequestId> id = client.waiting_request;
+  client.waiting_request.reset();
   drop(client, reason);
   if (!id) return;
   const auto it = requests_.find(*id);
   if (it == requests_.end()) return;
-  it->second.caller.reset();
+  it->second.waiting_client.reset();
   if (it->second.answered) return;
-  if (it->second.has_path) return disconnect_if_unattended(*id);  // it may call the path again
-  log_.withdrawn(it->second.id, client_close_names[static_cast<std::size_t>(reason)],
-                 loop_.now() - it->second.taken);
+  if (it->second.has_path) return disconnect_if_unattended(*id);  // the client may request the path again
+  log_.on_cancelled_by_client(it->second.id, client_close_names[static_cast<std::size_t>(reason)],
+                              loop_.now() - it->second.accepted_at);
   finish_request(*id, it->second);
   ++counters_.withdrawn;
   manager_.on_request_cancelled(loop_.now(), *id);
   forget_if_done(*id);
 }
 
-// Guards against dispatches for clients that have gone: what has not left for an engine is taken back.
+// Guards against sending attempts for clients that have disconnected: retracts the unsent ones.
 void Front::on_client_unreachable(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.answered) return;
@@ -182,19 +189,19 @@
 }
 
 void Front::retract_unsent_attempts(RequestId id, OpenRequest& request) {
-  for (SentAttempt& sent : request.out) {
+  for (SentAttempt& sent : request.open_attempts) {
     if (engines_.retract_unsent({id, sent.index}, Outcome::not_sent)) record_retraction(id, sent);
   }
 }
 
 void Front::record_retraction(RequestId id, SentAttempt& sent) {
-  if (!std::exchange(sent.has_left, false)) return;
+  if (!std::exchange(sent.is_sent, false)) return;
   counters_.rules.on_attempt_retracted(id);
 }
 
 void Front::disconnect_if_unattended(RequestId id) {
   const auto it = requests_.find(id);
-  if (it != requests_.end() && !it->second.caller) on_client_unreachable(id);
+  if (it != requests_.end() && !it->second.waiting_client) on_client_unreachable(id);
 }
 
 bool Front::idle() const {
@@ -202,7 +209,7 @@
   const TimePoint now = loop_.now();
   return std::ranges::none_of(requests_, [&](const auto& one) {
     const OpenRequest& request = one.second;
-    return request.status != 0 && !request.fetched && now - request.answered_at <= long_enough_to_call_again;
+    return request.status != 0 && !request.fetched && now - request.answered_at <= client_retry_window;
   });
 }
 
@@ -216,54 +223,56 @@
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& client = *it->second;
-  client.waits_for.reset();
-  client.note_answered();
+  client.waiting_request.reset();
+  client.on_answered();
   std::string out;
-  // A client that is given a path calls it on the same connection.
+  // Keeps the connection where the answer gives a path, which the client requests on the same connection.
   const bool keep = client.http().keeps_alive() &&
                     ((!closing_idle_connections_ && !draining_) || body.starts_with("{\"link\""));
   append_response(out, status, headers, body, keep);
   client.connection().send(out);
   if (!keep) return drop(client, ClientCloseReason::last_answer);
-  // Later, since a further call may wait there, and the module may be at work on this one.
+  // Done after the current event, since a further HTTP request may already be buffered, and the
+  // WorkloadManager may still be handling this request.
   loop_.post([this, id] {
     if (const auto at = clients_.find(id); at != clients_.end()) at->second->answered();
   });
 }
 
 std::optional<RequestId> Front::request_of_path(std::string_view path) const {
-  if (!path.starts_with(job_path)) return std::nullopt;
-  const auto number = hex_in(path.substr(job_path.size()));
+  if (!path.starts_with(result_path_prefix)) return std::nullopt;
+  const auto number = parse_hex_id(path.substr(result_path_prefix.size()));
   if (!number || !requests_.contains(RequestId{*number})) return std::nullopt;
   return RequestId{*number};
 }
 
-void Front::called(Client& client, const std::string& method, const std::string& path, Message& message) {
-  const std::string_view whole(path);
-  const auto promised = std::exchange(client.may_call, std::nullopt);
-  if (promised && request_of_path(whole) != promised) disconnect_if_unattended(*promised);
-  if (whole == "/check") {
+void Front::on_http_request(Client& client, const std::string& method, const std::string& path,
+                            Message& message) {
+  const std::string_view target(path);
+  const auto expected = std::exchange(client.expected_path, std::nullopt);
+  if (expected && request_of_path(target) != expected) disconnect_if_unattended(*expected);
+  if (target == "/check") {
     const bool up = ready_ && !draining_;
     return respond(client.id(), up ? 200 : 503, "", up ? R"({"up":true})" : R"({"up":false})");
   }
-  if (whole == "/counters" && method == "GET") return respond(client.id(), 200, "", counters_now());
-  if (whole.starts_with(work_path)) {
+  if (target == "/counters" && method == "GET") return respond(client.id(), 200, "", counters_now());
+  if (target.starts_with(submit_path_prefix)) {
     if (method == "POST")
-      return accept_request(client, percent_decoded(whole.substr(whole.rfind('/') + 1)), message);
+      return accept_request(client, percent_decoded(target.substr(target.rfind('/') + 1)), message);
     ++counters_.bad_calls;
     return respond(client.id(), 405, "", error_body("work is posted"));
   }
-  const std::optional<RequestId> id = request_of_path(whole);
+  const std::optional<RequestId> id = request_of_path(target);
   if (!id || (method != "GET" && method != "DELETE")) {
     ++counters_.bad_calls;
     return respond(client.id(), id ? 405 : 404, "", error_body("nothing is here"));
   }
   OpenRequest& request = requests_.at(*id);
   if (method == "DELETE") {
-    if (request.caller) respond(*request.caller, 404, "", error_body("withdrawn"));
-    request.caller.reset();
+    if (request.waiting_client) respond(*request.waiting_client, 404, "", error_body("withdrawn"));
+    request.waiting_client.reset();
     const bool open = !request.answered;
-    if (open) log_.withdrawn(request.id, "DELETE", loop_.now() - request.taken);
+    if (open) log_.on_cancelled_by_client(request.id, "DELETE", loop_.now() - request.accepted_at);
     finish_request(*id, request), request.status = 0;
     respond(client.id(), 200, "", "{}");
     if (open) {
@@ -273,41 +282,42 @@
     return forget_if_done(*id);
   }
   ++counters_.fetched_again;
-  if (request.caller) {  // the connection that the client left has not been seen to end yet
-    const auto old = clients_.find(*request.caller);
+  if (request.waiting_client) {  // the client reconnected before the end of its old connection was noticed
+    const auto old = clients_.find(*request.waiting_client);
     if (old != clients_.end())
-      old->second->waits_for.reset(), drop(*old->second, ClientCloseReason::came_again);
+      old->second->waiting_request.reset(), drop(*old->second, ClientCloseReason::came_again);
   }
-  request.caller = client.id();
+  request.waiting_client = client.id();
   request.path_given_to.reset();
-  client.waits_for = *id;
+  client.waiting_request = *id;
   if (request.answered) {
-    request.caller.reset();
+    request.waiting_client.reset();
     if (request.status == 0) return respond(client.id(), 404, "", error_body("withdrawn"));
     request.fetched = true;
     respond(client.id(), request.status, request.headers, request.body);
-    expire_answer_at(loop_.now() + long_enough_to_call_again, *id);
+    expire_answer_at(loop_.now() + client_retry_window, *id);
     return;
   }
   manager_.on_client_reconnected(loop_.now(), *id);
 }
 
-// ---- Jobs ----
+// ---- Requests ----
 
 void Front::accept_request(Client& client, std::string_view kind, Message& message) {
   const TimePoint now = loop_.now();
   const RequestTypeId type = deployment_.type(service::plain_name(std::string(kind)));
   const std::variant<Request, BadRequest> read = parse_request(deployment_, type, message);
   if (const auto* refusal = std::get_if<BadRequest>(&read))
-    return reject(client, RefusalReason::unusable, refusal->status, refusal->what);
+    return reject(client, RefusalReason::unusable, refusal->status, refusal->fault);
   Request request = std::get<Request>(read);
-  // The client's time runs from when its call came, which a busy loop reads late.
-  request.time_left -= now - std::min(now, client.call_came());
+  // The request timeout starts when the HTTP request arrived, which a busy loop reads late.
+  request.time_left -= now - std::min(now, client.request_arrival());
   if (requests_.contains(request.id))
     return reject(client, RefusalReason::id_in_use, 409, "this request is being served");
   if (counters_.rules.forbids_taking(closing_)) return reject_temporarily(client, RefusalReason::ending);
   if (draining_) return reject_temporarily(client, RefusalReason::draining);
-  // A connection's last job may not be forgotten yet when its next one comes: a few over the limit are taken.
+  // Accepts some requests above the limit, since a connection's previous request may not be forgotten yet
+  // when its next one arrives.
   if (unanswered_requests_ >= 2 * static_cast<std::size_t>(deployment_.service.max_open_requests))
     return reject_temporarily(client, RefusalReason::too_many_open);
   if (statement_bytes_ + message.body.size() > max_unparsed_bytes_)
@@ -317,39 +327,41 @@
   OpenRequest& open = requests_[request.id];
   open.id = message.header("x-request-id");
   open.kind = kind;
-  std::ranges::replace(open.kind, ',', '_');  // it goes on in a list that commas set apart
+  std::ranges::replace(open.kind, ',', '_');  // the engine protocol sends it in a comma-separated list
   open.token = message.header("idempotency-key");
   open.statement = std::move(message.body);
   statement_bytes_ += open.statement.size();
   open.type = type;
   open.estimate_ms = request.work_ms;
-  open.taken = now, open.end = now + std::max(request.time_left, Duration(0));
-  open.caller = client.id();
-  client.waits_for = request.id;
+  open.accepted_at = now, open.deadline = now + std::max(request.time_left, Duration(0));
+  open.waiting_client = client.id();
+  client.waiting_request = request.id;
   if (request.key && deployment_.service.types[static_cast<std::size_t>(type.value)].ordered_by_key) {
     open.order_key = request.key;
     submit_in_order(client, request, message.header("x-object"));
   } else {
     submit(request);
   }
-  // Guards long jobs against the loss of their connection: with a path, the client can call again.
-  constexpr milliseconds long_hold(2000);  // most jobs are over by then, without a call more
-  if (request.time_left > long_hold)
-    loop_.at(now + long_hold, [this, id = request.id] { send_result_path(id); });
+  // Guards long requests against the loss of their connection: with a path, the client can fetch the answer
+  // on another one. Most requests end within the delay and don't need the additional HTTP request.
+  constexpr milliseconds path_delay(2000);
+  if (request.time_left > path_delay)
+    loop_.at(now + path_delay, [this, id = request.id] { send_result_path(id); });
 }
 
-// Guards against calls of a key that are taken in the order in which they are read, where several lie unread
-// or one waits behind an open call: the module hears of them as they came.
+// Guards against handling requests of a key in the order in which they are read, where several are unread or
+// one is buffered behind an open HTTP request: the WorkloadManager gets them in the order in which they
+// arrived.
 void Front::submit_in_order(Client& client, const Request& request, std::string_view key) {
   const TimePoint now = loop_.now();
-  const auto [earliest, latest] = client.call_came_between();
-  log_.taken(requests_.at(request.id).id, requests_.at(request.id).kind, *request.key, request.time_left,
-             now - earliest, now - latest);
-  Request arriving = request;
-  arriving.arrival_order_known = std::ranges::none_of(clients_, [&](const auto& one) {
-    return one.second.get() != &client && one.second->may_hold_call_of(key);
+  const auto [earliest, latest] = client.arrival_bounds();
+  log_.on_received(requests_.at(request.id).id, requests_.at(request.id).kind, *request.key,
+                   request.time_left, now - earliest, now - latest);
+  Request arrived = request;
+  arrived.arrival_order_known = std::ranges::none_of(clients_, [&](const auto& one) {
+    return one.second.get() != &client && one.second->may_have_buffered_request_of(key);
   });
-  awaiting_order_.emplace(request.id, arriving);
+  awaiting_order_.emplace(request.id, arrived);
   arrivals_.came({request.id, *request.key, earliest, latest, now});
 }
 
@@ -363,32 +375,32 @@
   }
 }
 
-// Its client may have left meanwhile.
+// Passes a request to the WorkloadManager, unless its client has left while the arrival order was settled.
 void Front::submit(const Request& request) {
   const auto it = requests_.find(request.id);
   if (it == requests_.end() || it->second.answered) return;
   const TimePoint now = loop_.now();
-  Request taken = request;
-  taken.time_left = it->second.end - now;
+  Request updated = request;
+  updated.time_left = it->second.deadline - now;
   counters_.rules.on_request(now, {request.id, request.type, it->second.order_key});
-  manager_.on_request(now, taken);
+  manager_.on_request(now, updated);
   log_queue_cause(request.id);
 }
 
 void Front::log_queue_cause(RequestId id) {
-  constexpr std::string_view words[] = {"", "key_order", "key_quiet_period", "retry_budget", "capacity"};
+  constexpr std::string_view causes[] = {"", "key_order", "key_quiet_period", "retry_budget", "capacity"};
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.order_key) return;
-  const WorkloadManager::QueuedFor what = manager_.queued_for(loop_.now(), id);
-  if (what != WorkloadManager::QueuedFor::not_queued)
-    log_.waits(it->second.id, words[static_cast<int>(what)]);
+  const WorkloadManager::QueuedFor cause = manager_.queued_for(loop_.now(), id);
+  if (cause != WorkloadManager::QueuedFor::not_queued)
+    log_.on_queued(it->second.id, causes[static_cast<int>(cause)]);
 }
 
-void Front::reject(Client& client, RefusalReason reason, int status, std::string_view what) {
+void Front::reject(Client& client, RefusalReason reason, int status, std::string_view fault) {
   ++counters_.bad_calls;
   counters_.refused.add(reason);
-  PEARCHUTE_LOG(spdlog::level::warn, "request invalid: reason={}", what);
-  respond(client.id(), status, "", error_body(what));
+  PEARCHUTE_LOG(spdlog::level::warn, "request invalid: reason={}", fault);
+  respond(client.id(), status, "", error_body(fault));
 }
 
 void Front::reject_temporarily(Client& client, RefusalReason reason) {
@@ -396,24 +408,25 @@
   counters_.refused.add(reason);
   PEARCHUTE_LOG(spdlog::level::info, "request rejected before admission: reason={}",
                 refusal_names[static_cast<std::size_t>(reason)]);
-  const Duration advice =
+  const Duration retry_after =
       deployment_.service.sends_retry_after ? deployment_.service.max_retry_after : Duration(0);
-  respond(client.id(), 503, retry_after_header(advice), R"({"abort":"TryLater"})");
+  respond(client.id(), 503, retry_after_header(retry_after), R"({"abort":"TryLater"})");
 }
 
 void Front::send_result_path(RequestId id) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.answered || it->second.has_path || !it->second.caller) return;
+  if (it == requests_.end() || it->second.answered || it->second.has_path || !it->second.waiting_client)
+    return;
   OpenRequest& request = it->second;
   request.has_path = true;
-  const ClientId caller = *request.caller;
-  request.caller.reset();
-  respond(caller, 200, "", "{\"link\":\"" + std::string(job_path) + request.id + "\"}");
-  expire_answer_at(request.end + milliseconds(100), id);
-  const auto at = clients_.find(caller);
+  const ClientId waiting_client = *request.waiting_client;
+  request.waiting_client.reset();
+  respond(waiting_client, 200, "", "{\"link\":\"" + std::string(result_path_prefix) + request.id + "\"}");
+  expire_answer_at(request.deadline + milliseconds(100), id);
+  const auto at = clients_.find(waiting_client);
   if (at == clients_.end()) return disconnect_if_unattended(id);
-  at->second->may_call = id;
-  request.path_given_to = caller;
+  at->second->expected_path = id;
+  request.path_given_to = waiting_client;
 }
 
 void Front::expire_answer_at(TimePoint when, RequestId id) {
@@ -427,27 +440,27 @@
 
 void Front::answer(RequestId id, OpenRequest& request, int status, std::string headers, std::string body) {
   if (request.answered) return;
-  counters_.rules.on_answering({loop_.now(), request.end, request.answered});
+  counters_.rules.on_answering({loop_.now(), request.deadline, request.answered});
   finish_request(id, request);
   request.answered_at = loop_.now();
-  log_.answered(
+  log_.on_answered(
       request.id, request.order_key.has_value(), status,
-      request.given_up ? rejection_reason_names[static_cast<std::size_t>(*request.given_up)] : "done",
-      request.answered_at - request.taken);
-  if (const Duration late = loop_.now() - request.end; late > Duration(0)) {
+      request.rejection ? rejection_reason_names[static_cast<std::size_t>(*request.rejection)] : "done",
+      request.answered_at - request.accepted_at);
+  if (const Duration delay = loop_.now() - request.deadline; delay > Duration(0)) {
     PEARCHUTE_LOG(spdlog::level::warn, "request {} answered {} ms after its deadline", request.id,
-                  late.count() / 1000);
+                  delay.count() / 1000);
   }
-  if (request.caller) {
+  if (request.waiting_client) {
     request.fetched = true;
-    respond(*request.caller, status, headers, body);
-    if (request.has_path) expire_answer_at(loop_.now() + long_enough_to_call_again, id);
+    respond(*request.waiting_client, status, headers, body);
+    if (request.has_path) expire_answer_at(loop_.now() + client_retry_window, id);
   }
-  request.caller.reset();
-  // Kept a while where the client has a path: should its connection break, it calls that again.
+  request.waiting_client.reset();
+  // Kept for a while where the client has the path: it fetches the answer again if its connection breaks.
   if (request.has_path)
     request.status = status, request.headers = std::move(headers), request.body = std::move(body);
-  // The module may still be at work on it.
+  // After the current event, since the WorkloadManager may still be handling the request.
   loop_.post([this, id] { forget_if_done(id); });
 }
 
@@ -455,7 +468,7 @@
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   const OpenRequest& request = it->second;
-  if (request.answered && request.status == 0 && request.out.empty()) requests_.erase(it);
+  if (request.answered && request.status == 0 && request.open_attempts.empty()) requests_.erase(it);
 }
 
 void Front::close_idle_connections() {
@@ -463,7 +476,7 @@
   closing_idle_connections_ = true;
   std::vector<Client*> idle;
   for (const auto& [id, client] : clients_) {
-    if (client->is_evictable() && !client->http().within_call() && may_close(*client))
+    if (client->is_evictable() && !client->http().is_within_request() && may_close(*client))
       idle.push_back(client.get());
   }
   for (Client* client : idle) drop(*client, ClientCloseReason::manager_ends);
@@ -472,10 +485,10 @@
 void Front::answer_all() {
   if (closing_) return;
   closing_ = true;
-  // What still waits for its place in the order has to be answered, too.
-  const auto arriving = std::exchange(awaiting_order_, {});
-  for (const auto& [id, request] : arriving) arrivals_.withdrawn(id);
-  for (const auto& [id, request] : std::map(arriving.begin(), arriving.end())) submit(request);
+  // Requests whose arrival order is not settled have to be answered, too.
+  const auto unsettled = std::exchange(awaiting_order_, {});
+  for (const auto& [id, request] : unsettled) arrivals_.withdrawn(id);
+  for (const auto& [id, request] : std::map(unsettled.begin(), unsettled.end())) submit(request);
   manager_.closing(loop_.now());
 }
 
@@ -484,15 +497,15 @@
   counters_.rules.forget_idle(now);
   std::vector<std::pair<Client*, int>> overdue;
   for (const auto& [id, client] : clients_) {
-    if (const auto status = client->overdue(now)) overdue.emplace_back(client.get(), *status);
+    if (const auto status = client->timeout_status(now)) overdue.emplace_back(client.get(), *status);
   }
   for (const auto& [client, status] : overdue) {
-    const bool reads_nothing = client->connection().waiting() > 0;
+    const bool has_unread_answer = client->connection().waiting() > 0;
     if (status > 0)
       client->end_with(status, "the call is not whole in time", ClientCloseReason::call_incomplete);
     else if (!client->is_evictable())
       client->connection().close(), on_client_left(*client, ClientCloseReason::answer_unread);
-    else if (reads_nothing) drop(*client, ClientCloseReason::answer_unread);
+    else if (has_unread_answer) drop(*client, ClientCloseReason::answer_unread);
     else if (may_close(*client)) drop(*client, ClientCloseReason::idle);
   }
   loop_.at(now + milliseconds(200), [this] { sweep(); });
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -1,6 +1,7 @@
-// The front: takes clients' calls as jobs, and is the DecisionSink through which the module acts. It owns the
-// clients' connections, the table of open jobs, and the way from a job to its dispatches and back. It decides
-// nothing: whether, where and when a job goes, and how it ends without a result, is the module's.
+// The front end of the manager process: accepts clients' requests over HTTP and, as the DecisionSink, carries
+// out the decisions of the WorkloadManager. It owns the clients' connections and the table of open requests,
+// and maps requests to their attempts and back. The WorkloadManager decides whether, where and when a request
+// is sent to an engine, and how it ends without a result.
 #pragma once
 
 #include <functional>
@@ -30,23 +31,26 @@
   ~Front() override;
   void on_client_accepted(const Poco::Net::StreamSocket& socket);
   void set_ready(bool ready) { ready_ = ready; }
-  // Every job has its answer, and nobody is expected to come for one.
+  // Whether all requests are answered and no client is expected to fetch an answer by its path.
   bool idle() const;
-  bool all_written() const;  // nothing waits for a client to read it
+  bool all_written() const;  // whether all answers have been handed to the system
   std::string counters_now();
-  // Every job that is still open gets its final answer now; what comes later is turned away.
+  // Gives all open requests their final answer now; rejects requests that arrive later.
   void answer_all();
-  // Nothing more goes to engines: what waits is given up by the module, what is out may still end.
+  // Sends no more attempts to engines: the WorkloadManager rejects the queued requests, attempts that are
+  // sent may still end.
   void send_nothing() { sending_nothing_ = true; }
-  // Connections with nothing open are closed, and others with their next answer: a client that comes again
-  // goes elsewhere.
+  // Closes idle connections now and the others after their next answer, so that clients reconnect to another
+  // manager.
   void close_idle_connections();
-  // New calls are told to come back elsewhere or later, and the check says no; what is open goes on.
+  // Rejects new requests with advice to retry and fails the health check; open requests continue.
   void set_draining(bool draining) { draining_ = draining; }
-  // What the module remarks, as it does.
-  void set_trace_listener(std::function<void(std::string_view)> heard) { trace_listener_ = std::move(heard); }
+  // Sets the receiver of the WorkloadManager's trace events.
+  void set_trace_listener(std::function<void(std::string_view)> on_event) {
+    trace_listener_ = std::move(on_event);
+  }
 
-  // For those who ask what goes on.
+  // An open request, as the admin channel shows it.
   struct RequestView {
     const std::string& id;
     const std::string& type;
@@ -57,15 +61,15 @@
   };
   std::size_t open_requests() const { return unanswered_requests_; }
   std::size_t queued_requests() const { return manager_.queued_requests(); }
-  void visit_requests(std::size_t most,
-                      const std::function<void(const RequestView&)>& visit);  // the oldest first
-  // How many held jobs wait for what, of the first few thousand.
+  // Visits up to `max_count` open requests, oldest first.
+  void visit_requests(std::size_t max_count, const std::function<void(const RequestView&)>& visit);
+  // Counts queued requests by cause, among a few thousand requests of the table at most.
   std::map<WorkloadManager::QueuedFor, std::size_t> count_queued_by_cause();
-  // `oldest` is for how long the oldest dispatch there has been out.
+  // `oldest` is the time since the oldest open attempt on the engine was submitted.
   void visit_engines(const std::function<void(const Engine&, const WorkloadManager::EngineEstimate&,
                                               const EnginePool::SocketStats&, Duration oldest)>& visit) const;
 
-  // What the module does
+  // DecisionSink
   void dispatch(RequestId request, EngineId engine, Duration time_limit) override;
   void set_execution_terms(RequestId request, double grant_mb, int priority) override;
   void limit_send_delay(RequestId request, Duration span) override;
@@ -75,16 +79,16 @@
   void fail(RequestId request) override;
   void schedule_wakeup(Duration span, std::uint64_t mark) override;
   void probe(EngineId engine) override;
-  void subscribe_endpoints() override {}  // this platform's list comes unasked
+  void subscribe_endpoints() override {}  // the command channel sends the endpoint list without a request
   void trace_event(std::string_view text) override;
 
-  // What engines and the list tell
+  // EnginePool::Listener and EndpointWatch::Listener
   std::optional<Outcome> check_before_send(const PendingSend& pending) override;
-  void on_attempt_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) override;
-  void on_attempt_progress(AttemptId key, double share_done) override;
-  void on_attempt_spill(AttemptId key, double missing_mb) override;
-  void on_attempt_wait(AttemptId key, WaitCause wait) override;
-  void on_late_answer(AttemptId key, std::string_view word) override;
+  void on_attempt_ended(AttemptId attempt, Outcome outcome, std::vector<std::string> pages) override;
+  void on_attempt_progress(AttemptId attempt, double share_done) override;
+  void on_attempt_spill(AttemptId attempt, double missing_mb) override;
+  void on_attempt_wait(AttemptId attempt, WaitCause wait) override;
+  void on_late_answer(AttemptId attempt, std::string_view answer) override;
   void on_endpoints_changed(EndpointUpdate update, const std::vector<DiscoveredEndpoint>& endpoints) override;
 
  private:
@@ -92,47 +96,48 @@
   friend class Client;
   using ClientId = Id<struct ClientTag, std::uint64_t>;
 
-  // For one dispatch.
+  // An attempt that has been submitted to the engine pool.
   struct SentAttempt {
     int index = 0;
-    TimePoint at{};
+    TimePoint submitted_at{};
     EngineId engine{};
     std::string engine_name;
-    bool has_left = false;
+    bool is_sent = false;  // its first byte has been written to the engine's socket
   };
-  // For one job.
+  // A request, from its arrival until it is answered, its attempts have ended and its answer has expired.
   struct OpenRequest {
     std::string id, kind, token, statement;
-    TimePoint taken{};
-    TimePoint end{};  // the client's patience
+    TimePoint accepted_at{};
+    TimePoint deadline{};
     RequestTypeId type;
-    std::optional<OrderKey> order_key;  // in a class that keeps order
+    std::optional<OrderKey> order_key;  // set in classes that are ordered by key
     std::optional<double> estimate_ms;
-    std::optional<ClientId> caller;
-    std::optional<ClientId> path_given_to;  // it is about to call the path there
-    bool has_path = false;
+    std::optional<ClientId> waiting_client;  // the connection on which the client waits for the answer
+    std::optional<ClientId> path_given_to;   // the connection on which the client got the path
+    bool has_path = false;                   // the client fetches the answer by the request's path
     bool answered = false, fetched = false;
     TimePoint answered_at{};
-    int status = 0;  // of an answer that may be fetched by its path
+    int status = 0;  // of the answer that is kept for the path; 0 where there is none
     std::string headers, body;
     double grant_mb = 0;
     int priority = 1;
-    std::optional<TimePoint> leave_by;  // of the next dispatch, or the last
-    int dispatches = 0;
-    std::vector<SentAttempt> out;
-    std::optional<TimePoint>
-        first_uncertain_attempt_at;         // when the first dispatch that may have run was sent
-    Outcome last_end = Outcome::succeeded;  // of a dispatch; done where none has ended
-    std::optional<RejectionReason> given_up;
+    std::optional<TimePoint> send_deadline;  // for submitting attempts; see EnginePool::submit
+    int attempt_count = 0;
+    std::vector<SentAttempt> open_attempts;
+    // When the first attempt that ended with an uncertain outcome was submitted.
+    std::optional<TimePoint> first_uncertain_attempt_at;
+    Outcome last_outcome = Outcome::succeeded;  // of the attempt that ended last
+    std::optional<RejectionReason> rejection;
   };
 
-  void called(Client& client, const std::string& method, const std::string& path, Message& message);
+  void on_http_request(Client& client, const std::string& method, const std::string& path, Message& message);
   void accept_request(Client& client, std::string_view kind, Message& message);
   void submit(const Request& request);
   void submit_in_order(Client& client, const Request& request, std::string_view key);
   void submit_settled();
   void on_client_left(Client& client, ClientCloseReason reason);
-  void disconnect_if_unattended(RequestId id);  // unless its client waits on another connection
+  // Treats the client of a request as disconnected unless it waits on a connection.
+  void disconnect_if_unattended(RequestId id);
   void on_client_unreachable(RequestId id);
   bool may_close(const Client& client);
   void reject_connection(const Poco::Net::StreamSocket& socket);
@@ -143,14 +148,14 @@
   void finish_request(RequestId id, OpenRequest& request);
   void expire_answer_at(TimePoint when, RequestId id);
   void forget_if_done(RequestId id);
-  void reject(Client& client, RefusalReason reason, int status, std::string_view what);
+  void reject(Client& client, RefusalReason reason, int status, std::string_view fault);
   void reject_temporarily(Client& client, RefusalReason reason);
   bool client_connected(const OpenRequest& request) const;
   bool retry_is_forbidden(RequestId id, const OpenRequest& request);
   void retract_unsent_attempts(RequestId id, OpenRequest& request);
   void record_retraction(RequestId id, SentAttempt& sent);
-  void cancel_sent_attempt(AttemptId key, CancelReason reason);
-  AttemptFacts attempt_of(AttemptId key, const OpenRequest& request, const SentAttempt& sent) const;
+  void cancel_sent_attempt(AttemptId attempt, CancelReason reason);
+  AttemptFacts attempt_of(AttemptId attempt, const OpenRequest& request, const SentAttempt& sent) const;
   static AttemptName name_of(const OpenRequest& request, const SentAttempt& sent);
   void drop(Client& client, ClientCloseReason reason);
   void evict_unparsed_request();
@@ -163,23 +168,24 @@
   RequestLog log_;
   std::map<EngineId, std::string> engine_names_;
   std::size_t max_clients_, max_unparsed_bytes_;
-  std::size_t statement_bytes_ = 0;  // of the jobs in the table
+  std::size_t statement_bytes_ = 0;  // of the unanswered requests
   bool ready_ = false, closing_ = false, closing_idle_connections_ = false, sending_nothing_ = false,
        draining_ = false;
   std::unordered_map<RequestId, OpenRequest> requests_;
-  std::size_t unanswered_requests_ = 0;  // jobs without their answer
+  std::size_t unanswered_requests_ = 0;
   std::map<ClientId, std::unique_ptr<Client>> clients_;
   std::vector<std::unique_ptr<Client>> closed_clients_;
   struct IgnoreEvents final : Connection::Listener {
     void on_data(std::string_view) override {}
     void on_closed() override {}
-  } ignored_;  // who hears of connections that are turned away
+  } ignored_;  // the listener of rejected connections
   std::uint64_t next_client_ = 1;
   std::function<void(std::string_view)> trace_listener_;
   EnginePool engines_;
   WorkloadManager manager_;
   ArrivalOrder arrivals_;
-  std::unordered_map<RequestId, Request> awaiting_order_;  // read, and not with the module yet
+  // Requests of ordered keys whose order of arrival is not settled yet.
+  std::unordered_map<RequestId, Request> awaiting_order_;
 };
 
 }  // namespace pearchute::net
--- a/src/front/statement.cpp
+++ b/src/front/statement.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-bool starts_name(char c) {
+bool is_name_start(char c) {
   return std::isalpha(static_cast<unsigned char>(c)) || c == '_' || static_cast<unsigned char>(c) >= 0x80;
 }
-bool in_name(char c) { return starts_name(c) || std::isdigit(static_cast<unsigned char>(c)) || c == '$'; }
+bool is_name_char(char c) {
+  return is_name_start(c) || std::isdigit(static_cast<unsigned char>(c)) || c == '$';
+}
 
 struct Token {
   enum Kind { name, quoted_name, dot, other, end } kind = end;
@@ -28,49 +30,50 @@
     skip_blank_and_comments();
     if (rest_.empty()) return {};
     const char c = rest_.front();
-    if (starts_name(c)) {
+    if (is_name_start(c)) {
       std::size_t length = 1;
-      while (length < rest_.size() && in_name(rest_[length])) ++length;
+      while (length < rest_.size() && is_name_char(rest_[length])) ++length;
       const Token token{Token::name, rest_.substr(0, length)};
-      // A letter or two right before a quote is a string's prefix: its quote comes next and is skipped.
+      // The prefix of a string, e.g. E'...', is returned as a name; the string itself is the next token.
       rest_.remove_prefix(length);
       return token;
     }
-    if (std::isdigit(static_cast<unsigned char>(c))) {  // a number, its point included, is no name's dot
+    if (std::isdigit(static_cast<unsigned char>(c))) {  // the point of a number is no dot between names
       std::size_t length = 1;
-      while (length < rest_.size() && (in_name(rest_[length]) || rest_[length] == '.')) ++length;
-      return take(Token::other, length);
+      while (length < rest_.size() && (is_name_char(rest_[length]) || rest_[length] == '.')) ++length;
+      return consume(Token::other, length);
     }
-    if (c == '\'') return take(Token::other, quoted('\'', true));
+    if (c == '\'') return consume(Token::other, quoted_length('\'', true));
     if (c == '"' || c == '`') {
-      const std::size_t length = quoted(c, false);
-      Token token = take(Token::quoted_name, length);
+      const std::size_t length = quoted_length(c, false);
+      Token token = consume(Token::quoted_name, length);
       token.text = token.text.substr(1, token.text.size() - std::min<std::size_t>(token.text.size(), 2));
       return token;
     }
     if (c == '[') {
-      const std::size_t close = rest_.find(']');
-      if (close != std::string_view::npos && close > 1 && starts_name(rest_[1])) {
-        Token token = take(Token::quoted_name, close + 1);
-        token.text = token.text.substr(1, close - 1);
+      const std::size_t end = rest_.find(']');
+      if (end != std::string_view::npos && end > 1 && is_name_start(rest_[1])) {
+        Token token = consume(Token::quoted_name, end + 1);
+        token.text = token.text.substr(1, end - 1);
         return token;
       }
     }
     if (c == '$') {
-      if (const std::size_t length = dollar_quoted(); length > 0) return take(Token::other, length);
+      if (const std::size_t length = dollar_quoted_length(); length > 0) return consume(Token::other, length);
     }
-    return take(c == '.' ? Token::dot : Token::other, 1);
+    return consume(c == '.' ? Token::dot : Token::other, 1);
   }
 
  private:
-  Token take(Token::Kind kind, std::size_t length) {
+  Token consume(Token::Kind kind, std::size_t length) {
     const Token token{kind, rest_.substr(0, length)};
     rest_.remove_prefix(length);
     return token;
   }
 
-  // The length of what begins with this quote; a doubled quote stays inside, as does one after a backslash.
-  std::size_t quoted(char quote, bool escapes) const {
+  // Returns the length of the quoted text at the front. A doubled quote, and a quote after a backslash where
+  // `escapes` is set, don't end it.
+  std::size_t quoted_length(char quote, bool escapes) const {
     for (std::size_t i = 1; i < rest_.size(); ++i) {
       // NOLINTNEXTLINE(bugprone-branch-clone): a backslash and a doubled quote both escape the next character
       if (escapes && rest_[i] == '\\' && i + 1 < rest_.size()) ++i;
@@ -81,12 +84,12 @@
     return rest_.size();
   }
 
-  std::size_t dollar_quoted() const {
+  std::size_t dollar_quoted_length() const {
     std::size_t tag = 1;
-    while (tag < rest_.size() && in_name(rest_[tag]) && rest_[tag] != '$') ++tag;
+    while (tag < rest_.size() && is_name_char(rest_[tag]) && rest_[tag] != '$') ++tag;
     if (tag >= rest_.size() || rest_[tag] != '$') return 0;
-    const std::size_t close = rest_.find(rest_.substr(0, tag + 1), tag + 1);
-    return close == std::string_view::npos ? rest_.size() : close + tag + 1;
+    const std::size_t end = rest_.find(rest_.substr(0, tag + 1), tag + 1);
+    return end == std::string_view::npos ? rest_.size() : end + tag + 1;
   }
 
   void skip_blank_and_comments() {
@@ -96,7 +99,7 @@
       } else if (rest_.starts_with("--") || rest_.front() == '#') {
         rest_.remove_prefix(std::min(rest_.find('\n'), rest_.size()));
       } else if (rest_.starts_with("/*")) {
-        std::size_t depth = 1, at = 2;  // they nest in some dialects
+        std::size_t depth = 1, at = 2;  // comments nest in some dialects
         while (at < rest_.size() && depth > 0) {
           if (rest_.substr(at, 2) == "*/") --depth, at += 2;
           else if (rest_.substr(at, 2) == "/*") ++depth, at += 2;
@@ -118,7 +121,7 @@
   return result;
 }
 
-std::optional<std::int64_t> number_of(std::string_view schema) {
+std::optional<std::int64_t> table_group_of(std::string_view schema) {
   if (lower(schema) == "staging") return std::nullopt;
   const std::size_t underscore = schema.rfind('_');
   if (underscore == std::string_view::npos || underscore + 1 == schema.size()) return std::nullopt;
@@ -132,18 +135,18 @@
 }  // namespace
 
 std::optional<std::int64_t> table_group(std::string_view statement) {
-  // Words after which a table stands: a qualified name there beats one elsewhere, which may be an alias's
-  // column.
+  // The keywords before a table name. A qualified name after one of them takes precedence over the first one
+  // in another place, which may be a column of an alias.
   constexpr std::array<std::string_view, 7> before_table = {"from",  "join",      "into", "update",
                                                             "table", "overwrite", "only"};
   Lexer lexer(statement);
-  std::optional<std::int64_t> elsewhere;
-  bool table_next = false;
+  std::optional<std::int64_t> fallback;
+  bool expects_table = false;
   Token token = lexer.next();
   while (token.kind != Token::end) {
     if (token.kind != Token::name && token.kind != Token::quoted_name) {
-      if (token.kind != Token::other || token.text != ",") table_next = false;
-      // A name behind a dot belongs to what stands before it.
+      if (token.kind != Token::other || token.text != ",") expects_table = false;
+      // A name after a dot belongs to the name before the dot.
       const bool after_dot = token.kind == Token::dot;
       token = lexer.next();
       if (after_dot && (token.kind == Token::name || token.kind == Token::quoted_name)) token = lexer.next();
@@ -152,14 +155,14 @@
     const Token schema = token;
     token = lexer.next();
     if (token.kind == Token::dot) {
-      const auto number = number_of(schema.text);
-      if (number && table_next) return number;
-      if (number && !elsewhere) elsewhere = number;
+      const auto number = table_group_of(schema.text);
+      if (number && expects_table) return number;
+      if (number && !fallback) fallback = number;
     } else if (schema.kind == Token::name) {
-      if (std::ranges::count(before_table, lower(schema.text))) table_next = true;
+      if (std::ranges::count(before_table, lower(schema.text))) expects_table = true;
     }
   }
-  return elsewhere;
+  return fallback;
 }
 
 }  // namespace pearchute::net
--- a/src/front/statement.h
+++ b/src/front/statement.h
@@ -1,5 +1,5 @@
-// Finds the table group that a statement is about. A lexer, no parser: it knows strings, comments, quoted
-// names and dots, and nothing of what a statement does. It changes nothing in what goes on to engines.
+// Finds the table group that a statement uses, with a lexer instead of a full parser: it recognizes strings,
+// comments, quoted names and dots, but not the structure of statements.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace pearchute::net {
 
-// The number behind the last underscore in the name of the schema that is read or written; nothing where no
-// schema has one. Names in strings and comments, and the schema `staging`, do not count.
+// Returns the number after the last underscore in the name of the schema that is read or written, nullopt
+// where no schema has one. Names in strings and comments, and the schema `staging`, are ignored.
 std::optional<std::int64_t> table_group(std::string_view statement);
 
 }  // namespace pearchute::net
--- a/src/net/addresses.h
+++ b/src/net/addresses.h
@@ -1,4 +1,4 @@
-// Addresses as configurations and lists write them. The one place that makes them from text.
+// Parsing and resolving of addresses from configurations and endpoint lists.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -8,12 +8,13 @@
 
 namespace pearchute::net {
 
-// A number address with a port. Nothing where the text is none: names are not resolved, which would take its
-// time, so this is fit for the event loop.
+// Parses a numeric address with a port; returns nullopt for other text. Doesn't resolve names, so it never
+// blocks and may be called on the event loop.
 std::optional<Poco::Net::SocketAddress> numeric_address(const std::string& text);
 
-// The same, or a name, which is resolved: that may take seconds. For a start, and for what an operator asks.
-// `where` tells which setting it is. Throws AddressError.
+// Parses a numeric address or resolves a host name, with a port. Resolving may block for seconds, so this is
+// for the start of a process and for operators' commands. Throws AddressError, which names the setting
+// `where`.
 Poco::Net::SocketAddress resolved_address(const std::string& text, const std::string& where);
 
 }  // namespace pearchute::net
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -1,4 +1,4 @@
-// Door of the driver: the listening socket.
+// ListeningSocket: accepting connections.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -8,22 +8,22 @@
 
 namespace {
 
-// As many as may come in a moment; the system cuts it to its own limit.
+// Enough for a burst of connections; the system applies its own limit.
 constexpr int backlog = 512;
 
 }  // namespace
 
 ListeningSocket::ListeningSocket(Loop& loop, const Poco::Net::SocketAddress& at,
-                                 std::function<void(const Poco::Net::StreamSocket&)> came)
-    : loop_(loop), on_accepted_(std::move(came)) {
+                                 std::function<void(const Poco::Net::StreamSocket&)> on_accepted)
+    : loop_(loop), on_accepted_(std::move(on_accepted)) {
   const Opened opened = listen_at(at, backlog);
   if (!opened.is_open()) {
-    const std::string wrong = "can't be listened at: " + text_of_error(opened.error);
+    const std::string wrong = "can't listen: " + text_of_error(opened.error);
     if (failure_of_listening(opened.error) == Failure::not_now) throw ResourceShortage(wrong, at.toString());
     throw ListeningError(wrong, at.toString());
   }
   descriptor_ = opened.descriptor;
-  // Own hold on the address only: the socket stays this object's.
+  // Only the address is copied; the descriptor stays owned by this object.
   sockaddr_storage place{};
   socklen_t size = sizeof place;
   ::getsockname(descriptor_, reinterpret_cast<sockaddr*>(&place), &size);
@@ -34,27 +34,27 @@
   watch_ = loop_.watch(descriptor_, {true, false, false}, *this);
   if (!watch_) {
     close();
-    throw ResourceShortage("can't be watched", at.toString());
+    throw ResourceShortage("can't register the listening socket with the event loop", at.toString());
   }
 }
 
 ListeningSocket::~ListeningSocket() { close(); }
 
-// Guards against what the system took and nobody accepted: closed with the door, it would be reset.
+// Guards against resets of connections that the system has established but that are not accepted yet.
 void ListeningSocket::shut() {
   if (shut_ || shutting_) return;
   shutting_ = true;
   if (watch_) loop_.unwatch(*watch_);
   watch_.reset();
-  constexpr std::chrono::milliseconds at_most(100);
-  accept_remaining(loop_.now() + at_most);
+  constexpr std::chrono::milliseconds max_duration(100);
+  accept_remaining(loop_.now() + max_duration);
 }
 
 void ListeningSocket::accept_remaining(TimePoint until) {
   if (shut_) return;
-  if (take(backlog) == Taken::all || loop_.now() >= until) return close();
-  constexpr std::chrono::milliseconds between(2);
-  loop_.at(loop_.now() + between, [this, alive = alive_, until] {
+  if (accept_up_to(backlog) == AcceptResult::all || loop_.now() >= until) return close();
+  constexpr std::chrono::milliseconds retry_interval(2);
+  loop_.at(loop_.now() + retry_interval, [this, alive = alive_, until] {
     if (*alive) accept_remaining(until);
   });
 }
@@ -69,7 +69,8 @@
   --loop_.descriptors_;
 }
 
-// Guards against spinning on a connection that can't be accepted: those that wait stay in the backlog.
+// Guards against a busy loop over a connection that can't be accepted: it stays in the system's queue for 20
+// ms.
 void ListeningSocket::pause_accepting() {
   loop_.change_interest(*watch_, {});
   ++loop_.unwatched_;
@@ -79,38 +80,38 @@
   });
 }
 
-ListeningSocket::Taken ListeningSocket::take(int most) {
-  for (int count = 0; count < most; ++count) {
+ListeningSocket::AcceptResult ListeningSocket::accept_up_to(int max_count) {
+  for (int count = 0; count < max_count; ++count) {
     const Accepted one = accept_one(descriptor_);
     switch (one.status) {
       case AcceptStatus::accepted:
         loop_.note_accepted();
         on_accepted_(socket_of(one.descriptor));
         break;
-      case AcceptStatus::none_waits:
+      case AcceptStatus::none_pending:
       case AcceptStatus::broken:
-        return Taken::all;
+        return AcceptResult::all;
       case AcceptStatus::shortage:
-        return Taken::shortage;
+        return AcceptResult::shortage;
     }
   }
-  return Taken::some;
+  return AcceptResult::some;
 }
 
-// Guards against a connection that is taken to have come just now: what is left for the next round, or waits
-// for a descriptor, has been there since the first of them.
-void ListeningSocket::socket_ready(Readiness) {
+// Guards against dating a connection's arrival too late: connections that were left in the queue, for the
+// next event or for lack of a descriptor, may have arrived as early as the first of them.
+void ListeningSocket::on_socket_ready(Readiness) {
   const TimePoint found_since = loop_.unread_since_;
-  const TimePoint waits_since = std::min(waits_since_.value_or(found_since), found_since);
-  loop_.unread_since_ = waits_since;
-  // A few at a time, so that what they say is read before others are taken: in a burst a full table would
-  // else take those for idle that have called.
-  constexpr int at_a_time = 16;
-  const Taken taken = take(at_a_time);
+  const TimePoint queued_since = std::min(queued_since_.value_or(found_since), found_since);
+  loop_.unread_since_ = queued_since;
+  // Accepts a few at a time, so that their data is read before more are accepted. Otherwise, in a burst with
+  // a full table, connections that have sent a request would be taken for idle.
+  constexpr int batch_size = 16;
+  const AcceptResult result = accept_up_to(batch_size);
   loop_.unread_since_ = found_since;
-  waits_since_ = taken == Taken::all ? std::nullopt : std::optional(waits_since);
-  if (taken != Taken::all) loop_.note_unread_left();
-  if (taken == Taken::shortage && !shut_) pause_accepting();
+  queued_since_ = result == AcceptResult::all ? std::nullopt : std::optional(queued_since);
+  if (result != AcceptResult::all) loop_.note_unread_data();
+  if (result == AcceptResult::shortage && !shut_) pause_accepting();
 }
 
 }  // namespace pearchute::net
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -1,7 +1,7 @@
-// The thin driver between the state machines and the sockets: one thread that waits for sockets and timers,
-// reads, writes, accepts and connects. It owns the clock, the buffers and the count of descriptors; it looks
-// into no byte, and decides nothing but when a socket is ready. All its times are those of the steady clock:
-// a wall clock that is stepped moves no timer and no wait.
+// The event loop and its sockets, between the system and the protocol state machines: one thread that waits
+// for sockets and timers, reads, writes, accepts and connects. The loop owns the clock, the buffers and the
+// count of descriptors; it doesn't interpret the bytes. All times are those of the steady clock, so that a
+// step of the wall clock moves no timer.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -21,10 +21,10 @@
 
 namespace pearchute::net {
 
-// Buffers of one size, used again.
+// A pool of buffers of one size.
 class BufferPool {
  public:
-  // A few segments of loopback traffic or one page of a result with room to spare.
+  // More than a page of a result, which has up to 6000 bytes; a few segments of loopback traffic.
   static constexpr std::size_t buffer_size = 16 * 1024;
   struct Buffer {
     std::array<char, buffer_size> bytes;
@@ -33,27 +33,27 @@
   std::unique_ptr<Buffer> take();
   void give_back(std::unique_ptr<Buffer> buffer);
   std::size_t idle() const { return idle_.size(); }
-  std::size_t out() const { return out_; }
+  std::size_t out() const { return in_use_; }
 
  private:
   std::vector<std::unique_ptr<Buffer>> idle_;
-  std::size_t out_ = 0;
+  std::size_t in_use_ = 0;
 };
 
 class Connection;
 
-// What a socket is watched for, and what it is ready for.
+// The events for which a socket is watched, or for which it is ready.
 struct Readiness {
   bool readable = false;
   bool writable = false;
-  bool broken = false;  // told whether asked for or not
+  bool broken = false;  // reported whether watched or not
   bool operator==(const Readiness&) const = default;
 };
 
-class Watcher {
+class SocketObserver {
  public:
-  virtual ~Watcher() = default;
-  virtual void socket_ready(Readiness what) = 0;
+  virtual ~SocketObserver() = default;
+  virtual void on_socket_ready(Readiness ready) = 0;
 };
 using WatchId = Id<struct WatchTag, std::uint64_t>;
 
@@ -64,76 +64,80 @@
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
-  void run();  // until `stop`
+  void run();  // returns after `stop`
   void stop() { stopped_ = true; }
-  // From now on `watcher` hears when the descriptor is ready; where the system is short of memory for it, as
-  // soon as it has some. Nothing where it can't be watched at all.
-  std::optional<WatchId> watch(int descriptor, Readiness interest, Watcher& watcher);
+  // Calls `observer` whenever the descriptor is ready, until `unwatch`. Where the system is short of memory
+  // for it, the registration is retried. Returns nullopt where the descriptor can't be watched at all.
+  std::optional<WatchId> watch(int descriptor, Readiness interest, SocketObserver& observer);
   void change_interest(WatchId id, Readiness interest);
-  void unwatch(WatchId id);  // it hears no more, not even of what was found together
+  void unwatch(WatchId id);  // cancels events of the current poll, too
   TimePoint now() const;
-  // The earliest moment at which bytes that are read now can have come: while the loop is busy they lie
-  // unread.
+  // The earliest time at which bytes that are read now can have arrived; they stay unread while the loop is
+  // busy.
   TimePoint unread_since() const { return unread_since_; }
-  // From a wait that found events which may have lain there for long, or from when none was made for long,
-  // until one that finds none, within bounds: what peers have said meanwhile may not have been read yet.
-  bool has_input_backlog() const { return backlog_since_ || now() - looked_at_ > stale_after; }
-  void run_when_input_drained(std::function<void()> what);  // after the event at hand, where it is not behind
-  // All that had come by then has been read, also from connections that waited to be accepted.
+  // Whether input may be unread that arrived during a stall: true from a poll whose events may be old, or
+  // when the last poll is long ago, until a poll finds no events, for a limited time.
+  bool has_input_backlog() const { return backlog_since_ || now() - last_poll_at_ > stale_after; }
+  // Runs `callback` after the current event, or after the input backlog, if there is one.
+  void run_when_input_drained(std::function<void()> callback);
+  // Everything that had arrived by this time has been read, also from connections that waited to be accepted.
   TimePoint read_up_to() const { return read_up_to_; }
-  // Heard after each look for what has come, while `needs` asks for one: the loop does not wait meanwhile.
-  void after_each_look(std::function<bool()> needs, std::function<void()> what);
-  // Something that has come is left unread for now.
-  void note_unread_left() { unread_left_ = true; }
+  // Calls `callback` after each poll while `needs` returns true; the loop then polls without waiting.
+  void after_each_poll(std::function<bool()> needs, std::function<void()> callback);
+  // Records that the current poll leaves arrived data unread.
+  void note_unread_data() { has_unread_data_ = true; }
   void note_accepted() { accepted_ = true; }
-  void at(TimePoint when, std::function<void()> what);
-  void post(std::function<void()> what);                // after the event at hand, before the next
-  void retire(std::unique_ptr<Connection> connection);  // closes it; destroyed once no event can be within it
-  void finish(std::unique_ptr<Connection>
-                  connection);  // the same once it has written what it was given and the peer has heard
+  // Runs `callback` at the given time, or as soon as possible afterwards.
+  void at(TimePoint when, std::function<void()> callback);
+  // Runs `callback` after the current event and before the next one.
+  void post(std::function<void()> callback);
+  // Closes the connection, and destroys it after the current event.
+  void retire(std::unique_ptr<Connection> connection);
+  // Closes the connection after all its data is written and the peer has closed its side, or after a timeout.
+  void finish(std::unique_ptr<Connection> connection);
   std::size_t finishing() const { return finishing_.size(); }
-  bool all_written() const;  // by those that finish
-  void cut_finishing();      // the one that has been at it for longest
-  void settle();             // what was put off, until nothing is
+  bool all_written() const;       // whether the finishing connections have written all their data
+  void close_oldest_finishing();  // without waiting for its peer
+  void settle();                  // runs posted callbacks until none is left
   BufferPool& buffers() { return buffers_; }
   std::size_t descriptors() const { return descriptors_; }
 
-  // Events that an error within the program cut short; each is a fault of the program.
+  // Events whose callback threw an exception; each is a defect of the program.
   std::uint64_t failed_events() const { return failed_events_; }
 
  private:
   friend class Connection;
   friend class ListeningSocket;
-  // Half of the tenth of a second within which an attempt may begin after its client has gone.
+  // An attempt may begin up to 100 ms after its client has disconnected; half of this is spent here.
   static constexpr std::chrono::milliseconds stale_after{50};
-  struct LookListener {
+  struct PollListener {
     std::function<bool()> needs;
-    std::function<void()> what;
+    std::function<void()> callback;
   };
   void wait();
-  void note_wait(TimePoint begun, Duration at_most, bool looked);
-  void note_look(TimePoint begun);
+  void note_wait(TimePoint begun, Duration timeout, bool was_polled);
+  void on_poll_end(TimePoint begun);
   void note_backlog(int found);
   void run_timers();
   int wait_ms() const;
-  template <class What>
-  void run_contained(What what);
+  template <class Callback>
+  void run_contained(Callback callback);
   struct Watch;
   std::optional<Failure> register_interest(WatchId id, Watch& watch);
-  void register_interest_later(WatchId id, Watch& watch);
+  void retry_registration_later(WatchId id, Watch& watch);
 
-  // What one descriptor is watched for, and whether the system has been told so.
+  // The watch of one descriptor, and whether it is registered with the system.
   struct Watch {
-    Watcher* watcher = nullptr;
+    SocketObserver* observer = nullptr;
     int descriptor = -1;
     Readiness interest;
-    bool is_known = false;  // the system watches it, though maybe for something else
-    bool is_later = false;  // the system is to be told once more
+    bool is_registered = false;       // possibly with an earlier interest
+    bool is_retry_scheduled = false;  // of the registration
   };
   struct Timer {
     TimePoint when;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> callback;
     bool operator<(const Timer& other) const {  // the heap's top is the earliest
       return when != other.when ? when > other.when : order > other.order;
     }
@@ -146,10 +150,10 @@
   std::vector<std::function<void()>> when_input_drained_;
   std::deque<std::function<void()>> posted_;
   std::vector<std::unique_ptr<Connection>> retired_;
-  // A connection that has all it is to send, until that has gone and the peer has ended, too.
+  // A connection that closes after its data is written and the peer has closed its side.
   struct Finishing {
     std::unique_ptr<Connection> connection;
-    TimePoint since{}, moved_at{};  // when bytes last went
+    TimePoint since{}, last_write_at{};
     std::uint64_t written = 0;
   };
   void close_stalled();
@@ -160,24 +164,24 @@
   int poll_descriptor_ = -1;
   std::unordered_map<std::uint64_t, Watch> watches_;
   std::uint64_t next_watch_ = 1, failed_events_ = 0;
-  std::optional<LookListener> look_listener_;
-  TimePoint read_up_to_{Duration(-1)}, looked_at_{};
-  std::optional<TimePoint> last_whole_look_;  // the one before, where all that it found was read
-  bool unread_left_ = false, accepted_ = false;
-  std::size_t unwatched_ = 0;  // sockets that the system has not taken yet, or not as they are to be watched
+  std::optional<PollListener> poll_listener_;
+  TimePoint read_up_to_{Duration(-1)}, last_poll_at_{};
+  std::optional<TimePoint> last_complete_poll_;  // start of the previous poll, where all its input was read
+  bool has_unread_data_ = false, accepted_ = false;
+  std::size_t unwatched_ = 0;  // sockets whose registration is missing or outdated
 };
 
-// One TCP connection.
-class Connection final : private Watcher {
+// One TCP connection. Its listener must outlive it or its `close`.
+class Connection final : private SocketObserver {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
     virtual void on_opened() {}
-    virtual void on_writable() {}  // nothing waits to be written; what is sent now goes out at once
+    virtual void on_writable() {}  // the send buffer is empty and the socket accepts data
     virtual void on_data(std::string_view bytes) = 0;
-    virtual void
-    on_closed() = 0;  // by the peer, by an error, or never opened; the connection is closed by then
+    // The peer or an error has closed the connection, or it could not be opened.
+    virtual void on_closed() = 0;
   };
   Connection(Loop& loop, const Poco::Net::StreamSocket& accepted, Listener& listener);
   Connection(Loop& loop, const Poco::Net::SocketAddress& to, Listener& listener);
@@ -185,55 +189,57 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   void send(std::string_view bytes);
-  void offer();  // on_writable comes before this event is over, or as soon as the socket has taken what waits
-  // Drops so many bytes of the front of what waits, and counts them as written.
-  void skip(std::size_t bytes);
-  void close();  // at once; the user hears no more
-  void abort();  // the same, and what the peer has not got by now it never gets
+  // Asks for a call of on_writable, after the current event or as soon as the socket has accepted the
+  // buffered data.
+  void request_write();
+  // Discards bytes from the front of the send buffer and counts them as written.
+  void discard_front(std::size_t bytes);
+  void close();  // at once, without a call of the listener
+  void abort();  // like `close`, and discards the data that the peer has not received
   bool opened() const { return opened_; }
   std::uint64_t written() const { return written_; }  // bytes handed to the system
-  std::size_t waiting() const { return waiting_; }
+  std::size_t waiting() const { return waiting_; }    // bytes in the send buffer
   bool closed() const { return closed_; }
-  int error() const { return error_; }  // the system's number, where it ended before it was opened or broke
+  int error() const { return error_; }  // errno of a failed connect or a broken connection, otherwise 0
   bool reset_as_it_opened() const;
-  // It could not be opened because this machine was short of something; the peer had no part in it.
+  // Whether it could not be opened because of a shortage on this machine, not because of the peer.
   bool short_of_resources() const {
     return !opened_ && failure_of(error_) == Failure::not_now && error_ != 0;
   }
-  // Whether the peer has ended, even behind bytes that have not been read.
+  // Whether the peer has closed or broken the connection, even if bytes before that are unread.
   bool peer_has_ended() const;
-  // Whether bytes of the peer's lie with the system.
+  // Whether the system holds unread bytes from the peer.
   bool has_unread() const { return has_socket_ && net::has_unread(descriptor()); }
   std::optional<std::chrono::milliseconds> age_of_last_data() const {
     return has_socket_ ? net::age_of_last_data(descriptor()) : std::nullopt;
   }
-  // Bytes that have not left this machine, and will as soon as the peer takes them.
+  // Bytes that have not left this machine, because the peer accepts no more.
   std::size_t unsent() const;
-  // While paused nothing is read, so what the peer sends stays with the system, and its end goes unseen.
+  // Stops or resumes reading. While paused, the end of the connection is not noticed.
   void pause(bool paused);
   bool paused() const { return paused_; }
 
  private:
   friend class Loop;
-  void socket_ready(Readiness what) override;
+  void on_socket_ready(Readiness ready) override;
   void close_when_written();
   void connect();
-  void connect_again();
-  void start();
-  void leave_socket();
+  void retry_connect();
+  void start_watching();
+  void close_socket();
   void check_opened();
   void read();
   void flush();
-  void ended();
+  void close_and_notify();
   void update_interest();
   void shut_down_writing();
-  void discard();
+  void discard_input();
   int descriptor() const { return socket_.impl()->sockfd(); }
 
   Loop& loop_;
   Poco::Net::StreamSocket socket_;
   Listener* listener_;
-  std::deque<std::unique_ptr<BufferPool::Buffer>> out_;
+  std::deque<std::unique_ptr<BufferPool::Buffer>> unsent_buffers_;
   std::size_t waiting_ = 0;
   std::uint64_t written_ = 0;
   bool opened_ = false, closed_ = false, closing_ = false, writable_wanted_ = false, flush_due_ = false;
@@ -246,22 +252,22 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// The listening socket.
-class ListeningSocket final : private Watcher {
+// A listening socket.
+class ListeningSocket final : private SocketObserver {
  public:
-  // Throws ResourceShortage where it can't be had now, ListeningError where it can't be had.
+  // Throws ResourceShortage where a retry may succeed, ListeningError otherwise.
   ListeningSocket(Loop& loop, const Poco::Net::SocketAddress& at,
-                  std::function<void(const Poco::Net::StreamSocket&)> came);
+                  std::function<void(const Poco::Net::StreamSocket&)> on_accepted);
   ~ListeningSocket() override;
-  // What has come by then is taken, over a tenth of a second at most where the system is short of something.
+  // Accepts the connections that are queued and closes; retries for up to 100 ms where resources are short.
   void shut();
   bool is_shut() const { return shut_; }
   Poco::Net::SocketAddress address() const { return address_; }  // with the port that was picked
 
  private:
-  enum class Taken { all, some, shortage };
-  void socket_ready(Readiness what) override;
-  Taken take(int most);
+  enum class AcceptResult { all, some, shortage };
+  void on_socket_ready(Readiness ready) override;
+  AcceptResult accept_up_to(int max_count);
   void accept_remaining(TimePoint until);
   void close();
   void pause_accepting();
@@ -271,8 +277,7 @@
   Poco::Net::SocketAddress address_;
   std::function<void(const Poco::Net::StreamSocket&)> on_accepted_;
   std::optional<WatchId> watch_;
-  std::optional<TimePoint>
-      waits_since_;  // the oldest connection that may be in the queue, where one is left there
+  std::optional<TimePoint> queued_since_;  // earliest arrival of the connections left in the queue
   bool shutting_ = false, shut_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/net/event_loop_thread.h
+++ b/src/net/event_loop_thread.h
@@ -1,5 +1,5 @@
-// A loop on a thread of its own, and the way to it for whoever goes step by step on another thread (the
-// command line, the scripts of stand-ins): what is to happen on the loop is handed over and waited for.
+// An event loop on its own thread, for code that runs sequentially on another thread, such as the command
+// line and the test clusters: it passes functions to the loop and waits for their results.
 #pragma once
 
 #include <deque>
@@ -33,15 +33,17 @@
   EventLoopThread& operator=(const EventLoopThread&) = delete;
 
   Loop& loop() { return *loop_; }
-  template <class What>
-  auto on(What what) -> std::invoke_result_t<What> {
-    using Result = std::invoke_result_t<What>;
+  // Runs `function` on the loop's thread, and returns its result or throws its exception. Must not be called
+  // on the loop's thread.
+  template <class Function>
+  auto on(Function function) -> std::invoke_result_t<Function> {
+    using Result = std::invoke_result_t<Function>;
     std::promise<Result> promise;
     auto future = promise.get_future();
     post([&] {
       try {
-        if constexpr (std::is_void_v<Result>) what(), promise.set_value();
-        else promise.set_value(what());
+        if constexpr (std::is_void_v<Result>) function(), promise.set_value();
+        else promise.set_value(function());
       } catch (...) {
         promise.set_exception(std::current_exception());
       }
@@ -49,12 +51,12 @@
     return future.get();
   }
 
-  // Handed over, and not waited for.
-  void post(std::function<void()> what) {
+  // Runs `function` on the loop's thread within about a millisecond; doesn't wait for it.
+  void post(std::function<void()> function) {
     const std::lock_guard lock(mutex_);
     // on() waits until its function has run, so what that captures outlives it.
     // cppcheck-suppress danglingLifetime
-    posted_.push_back(std::move(what));
+    posted_.push_back(std::move(function));
   }
 
  private:
@@ -68,16 +70,16 @@
     run(*loop);
   }
   void run(Loop& loop) {
-    const std::function<void()> look = [&] {
-      std::deque<std::function<void()>> now;
+    const std::function<void()> run_posted = [&] {
+      std::deque<std::function<void()>> due;
       {
         const std::lock_guard lock(mutex_);
-        now.swap(posted_);
+        due.swap(posted_);
       }
-      for (const auto& what : now) what(), loop.settle();
-      loop.at(loop.now() + std::chrono::milliseconds(1), look);
+      for (const auto& function : due) function(), loop.settle();
+      loop.at(loop.now() + std::chrono::milliseconds(1), run_posted);
     };
-    loop.at(loop.now(), look);
+    loop.at(loop.now(), run_posted);
     ready_.set_value(&loop);
     loop.run();
   }
@@ -86,7 +88,7 @@
   std::deque<std::function<void()>> posted_;
   std::promise<Loop*> ready_;
   Loop* loop_ = nullptr;
-  std::thread thread_;  // last, so that all else is there before it runs
+  std::thread thread_;  // the last member, so that all others are initialized before it starts
 };
 
 }  // namespace pearchute::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Far over what the protocol needs, far under what memory allows for every descriptor.
-constexpr std::size_t largest_head = 16 * 1024;
-constexpr std::size_t largest_body = 64 * 1024;
-constexpr std::size_t most_headers = 100;  // each costs more than its bytes
+// Limits far above the needs of the protocol, and low enough for all connections together to fit into memory.
+constexpr std::size_t max_head_bytes = 16 * 1024;
+constexpr std::size_t max_body_bytes = 64 * 1024;
+constexpr std::size_t max_headers = 100;  // each needs more memory than its bytes
 
-bool token_char(char c) {
+bool is_token_char(char c) {
   return std::isalnum(static_cast<unsigned char>(c)) ||
          std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
@@ -35,7 +35,7 @@
   return !text.empty() && error == std::errc{} && stop == text.data() + text.size();
 }
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -71,7 +71,7 @@
   return {};
 }
 
-bool MessageReader::line(std::string_view& bytes) {
+bool MessageReader::read_line(std::string_view& bytes) {
   const std::size_t end = bytes.find('\n');
   const std::string_view part = bytes.substr(0, end);
   line_.append(part);
@@ -82,7 +82,7 @@
   return true;
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): one case a state of the parser
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): one case for each state of the parser
 MessageReader::Status MessageReader::feed(std::string_view& bytes) {
   while (state_ != State::whole && !bytes.empty()) {
     switch (state_) {
@@ -91,11 +91,11 @@
       case State::trailers:
       case State::chunk_size:
       case State::chunk_end: {
-        if (!line(bytes)) {
-          if (line_.size() > largest_head || head_bytes_ > largest_head) return Status::too_large;
+        if (!read_line(bytes)) {
+          if (line_.size() > max_head_bytes || head_bytes_ > max_head_bytes) return Status::too_large;
           break;
         }
-        if (head_bytes_ > largest_head) return Status::too_large;
+        if (head_bytes_ > max_head_bytes) return Status::too_large;
         if (line_.find('\0') != std::string::npos || line_.find('\r') != std::string::npos)
           return Status::malformed;
         if (state_ == State::first_line) {
@@ -103,7 +103,7 @@
           message_.first_line = std::move(line_);
           state_ = State::headers;
         } else if (state_ == State::headers) {
-          const Status status = line_.empty() ? head_done() : take_header();
+          const Status status = line_.empty() ? on_head_end() : parse_header();
           if (status != Status::more) return status;
         } else if (state_ == State::trailers) {
           if (line_.empty()) state_ = State::whole;
@@ -113,9 +113,9 @@
         } else {
           head_bytes_ = 0;
           const std::string_view size = trimmed(std::string_view(line_).substr(0, line_.find(';')));
-          if (!read_size(size, 16, left_)) return Status::malformed;
-          if (left_ > largest_body && side_ == Side::requests) return Status::too_large;
-          state_ = left_ > 0 ? State::chunk : State::trailers;
+          if (!read_size(size, 16, remaining_bytes_)) return Status::malformed;
+          if (remaining_bytes_ > max_body_bytes && side_ == Side::requests) return Status::too_large;
+          state_ = remaining_bytes_ > 0 ? State::chunk : State::trailers;
         }
         line_.clear();
         break;
@@ -123,11 +123,12 @@
       case State::body:
       case State::chunk:
       case State::until_end: {
-        const std::size_t part = state_ == State::until_end ? bytes.size() : std::min(left_, bytes.size());
-        if (message_.body.size() + part > largest_body) return Status::too_large;
+        const std::size_t part =
+            state_ == State::until_end ? bytes.size() : std::min(remaining_bytes_, bytes.size());
+        if (message_.body.size() + part > max_body_bytes) return Status::too_large;
         message_.body.append(bytes.substr(0, part));
         bytes.remove_prefix(part);
-        if (state_ != State::until_end && (left_ -= part) == 0)
+        if (state_ != State::until_end && (remaining_bytes_ -= part) == 0)
           state_ = state_ == State::body ? State::whole : State::chunk_end;
         break;
       }
@@ -138,43 +139,44 @@
   return state_ == State::whole ? Status::whole : Status::more;
 }
 
-MessageReader::Status MessageReader::take_header() {
+MessageReader::Status MessageReader::parse_header() {
   const std::size_t colon = line_.find(':');
   if (colon == std::string::npos || colon == 0) return Status::malformed;
   const std::string_view name = std::string_view(line_).substr(0, colon);
-  if (!std::ranges::all_of(name, token_char) || message_.headers.size() >= most_headers)
+  if (!std::ranges::all_of(name, is_token_char) || message_.headers.size() >= max_headers)
     return Status::malformed;
-  head_total_ += line_.size();
+  head_bytes_total_ += line_.size();
   message_.headers.emplace_back(lower(name), trimmed(std::string_view(line_).substr(colon + 1)));
   return Status::more;
 }
 
-MessageReader::Status MessageReader::head_done() {
+MessageReader::Status MessageReader::on_head_end() {
   head_bytes_ = 0;
-  // Guards against two readers that see two different calls: what is said twice has to be the same.
+  // Guards against request smuggling, where two parsers see different requests: repeated headers must be
+  // equal.
   for (auto one = message_.headers.begin(); one != message_.headers.end(); ++one) {
     for (auto other = message_.headers.begin(); other != one; ++other) {
       if (other->first == one->first && other->second != one->second) return Status::malformed;
     }
   }
-  bool sized = false, chunked = false;
+  bool has_length = false, chunked = false;
   std::size_t size = 0;
   for (const auto& [name, value] : message_.headers) {
     if (name == "content-length") {
-      std::size_t told = 0;
-      if (!read_size(value, 10, told) || (sized && told != size)) return Status::malformed;
-      sized = true, size = told;
+      std::size_t length = 0;
+      if (!read_size(value, 10, length) || (has_length && length != size)) return Status::malformed;
+      has_length = true, size = length;
     } else if (name == "transfer-encoding") {
       if (lower(value) != "chunked") return Status::malformed;
       chunked = true;
     }
   }
-  if (sized && chunked) return Status::malformed;  // two readers could see two different bodies
-  // What is passed on is never held whole.
-  if (size > largest_body && side_ == Side::requests) return Status::too_large;
-  left_ = size;
+  if (has_length && chunked) return Status::malformed;  // two parsers could see different bodies
+  // Only a request's body is held completely in memory.
+  if (size > max_body_bytes && side_ == Side::requests) return Status::too_large;
+  remaining_bytes_ = size;
   if (chunked) state_ = State::chunk_size;
-  else if (!sized && side_ == Side::passing_responses) state_ = State::until_end;
+  else if (!has_length && side_ == Side::passing_responses) state_ = State::until_end;
   else state_ = size > 0 ? State::body : State::whole;
   return Status::more;
 }
@@ -183,27 +185,27 @@
   state_ = State::first_line;
   message_ = {};
   line_.clear();
-  head_bytes_ = head_total_ = left_ = 0;
+  head_bytes_ = head_bytes_total_ = remaining_bytes_ = 0;
 }
 
 void HttpServerSide::feed(std::string_view bytes) {
-  if (dead_) return;
-  fed_ += bytes.size();
-  kept_.append(bytes);
-  take();
+  if (failed_) return;
+  received_ += bytes.size();
+  unparsed_.append(bytes);
+  parse();
 }
 
-void HttpServerSide::take() {
-  if (taking_) return;  // an answer from within a call: the loop below goes on with it
-  taking_ = true;
-  while (!open_ && !dead_ && !kept_.empty()) {
-    std::string_view rest = kept_;
+void HttpServerSide::parse() {
+  if (parsing_) return;  // called by the listener within the loop below, which continues
+  parsing_ = true;
+  while (!open_ && !failed_ && !unparsed_.empty()) {
+    std::string_view rest = unparsed_;
     const MessageReader::Status status = reader_.feed(rest);
-    kept_.erase(0, kept_.size() - rest.size());
+    unparsed_.erase(0, unparsed_.size() - rest.size());
     if (status == MessageReader::Status::more) break;
     if (status != MessageReader::Status::whole) {
-      dead_ = true;
-      kept_ = {};
+      failed_ = true;
+      unparsed_ = {};
       listener_.refused_call(status == MessageReader::Status::too_large ? 413 : 400);
       break;
     }
@@ -214,8 +216,8 @@
     const std::string version = second == std::string::npos ? "" : line.substr(second + 1);
     if (first == 0 || first == std::string::npos || second <= first + 1 ||
         line.find(' ', first + 1) != second || (version != "HTTP/1.1" && version != "HTTP/1.0") ||
-        !std::ranges::all_of(std::string_view(line).substr(0, first), token_char)) {
-      dead_ = true;
+        !std::ranges::all_of(std::string_view(line).substr(0, first), is_token_char)) {
+      failed_ = true;
       listener_.refused_call(400);
       break;
     }
@@ -224,18 +226,18 @@
     open_ = true;
     listener_.called(line.substr(0, first), line.substr(first + 1, second - first - 1), message);
   }
-  taking_ = false;
-  if (kept_.empty() && kept_.capacity() > 1024) kept_ = {};
+  parsing_ = false;
+  if (unparsed_.empty() && unparsed_.capacity() > 1024) unparsed_ = {};
 }
 
 void HttpServerSide::answered() {
   open_ = false;
-  take();
+  parse();
 }
 
 void append_response(std::string& out, int status, std::string_view more_headers, std::string_view body,
                      bool keeps_alive) {
-  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status));
+  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason_phrase(status));
   out.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(std::to_string(body.size()));
   out.append("\r\n").append(more_headers);
   if (!keeps_alive) out.append("Connection: close\r\n");
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,5 +1,6 @@
-// HTTP/1.1: the server's side of one client connection, and what both sides share of reading messages. Fed
-// bytes, it tells of whole calls; it knows no socket and no clock, and nothing of what a call means.
+// HTTP/1.1: a message parser for clients and servers, and the server side of one connection. HttpServerSide
+// parses received bytes and calls its listener for each complete HTTP request. It uses no socket and no
+// clock, and doesn't interpret the requests.
 #pragma once
 
 #include <cstdint>
@@ -14,72 +15,75 @@
   std::string first_line;
   std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
   std::string body;
-  std::string_view header(std::string_view lower_name) const;  // empty where absent
+  std::string_view header(std::string_view lower_name) const;  // empty if absent
 };
 
-// Reads one message after the other. What is read has bounds, so a peer cannot make it grow.
+// Parses one message after the other. The sizes of head and body are limited, so a peer can't exhaust memory.
 class MessageReader {
  public:
   enum class Status { more, whole, too_large, malformed };
-  // A response with neither length nor chunks runs until the connection ends; `passing` hands its body on as
-  // it comes instead of keeping it.
+  // A response with neither length nor chunks ends with the connection. With `passing_responses` the user
+  // takes the parts of the body out of `message` as they arrive.
   enum class Side { requests, passing_responses };
   explicit MessageReader(Side side) : side_(side) {}
-  // Takes what it can use from the front of `bytes`.
+  // Parses from the front of `bytes` up to the end of the message, and removes what it has parsed.
   Status feed(std::string_view& bytes);
-  std::size_t held() const { return line_.size() + head_total_ + message_.body.size(); }
+  std::size_t buffered_bytes() const { return line_.size() + head_bytes_total_ + message_.body.size(); }
   bool begun() const { return state_ != State::first_line || !line_.empty(); }
   bool head_read() const { return state_ != State::first_line && state_ != State::headers; }
-  Message& message() { return message_; }  // whole; with `passing`, the body is what came since the last look
-  void next();
+  // The message, complete after Status::whole; with `passing_responses` as far as it has arrived.
+  Message& message() { return message_; }
+  void next();  // starts the next message
 
  private:
   enum class State { first_line, headers, body, until_end, chunk_size, chunk, chunk_end, trailers, whole };
-  bool line(std::string_view& bytes);
-  Status head_done();
-  Status take_header();
+  bool read_line(std::string_view& bytes);
+  Status on_head_end();
+  Status parse_header();
 
   Side side_;
   State state_ = State::first_line;
   Message message_;
   std::string line_;
-  std::size_t head_bytes_ = 0, head_total_ = 0, left_ = 0;
+  std::size_t head_bytes_ = 0, head_bytes_total_ = 0, remaining_bytes_ = 0;
 };
 
-// The server's side: one call at a time; what comes after it waits for `answered`.
+// The server side of a connection. It handles one HTTP request at a time; bytes after it are buffered until
+// `answered` is called.
 class HttpServerSide {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
     virtual void called(const std::string& method, const std::string& path, Message& message) = 0;
-    virtual void refused_call(int status) = 0;  // malformed or too large: answer it and close
+    // A request is malformed or too large; the listener answers it with `status` and closes the connection.
+    virtual void refused_call(int status) = 0;
   };
   explicit HttpServerSide(Listener& listener) : listener_(listener) {}
   void feed(std::string_view bytes);
-  // The open call has its answer; the next one may follow at once.
+  // Ends the open request, which has been answered; may call the listener for the next one.
   void answered();
-  bool call_open() const { return open_; }
+  bool has_open_request() const { return open_; }
   bool keeps_alive() const { return keeps_alive_; }
-  std::size_t held() const { return kept_.size() + reader_.held(); }
-  std::uint64_t bytes_taken() const { return fed_ - kept_.size(); }  // of all that came, by calls so far
-  std::uint64_t bytes_fed() const { return fed_; }
-  // Nothing more should be read until the open call has its answer.
-  bool has_enough() const { return open_ && kept_.size() >= most_kept; }
-  bool within_call() const { return !open_ && reader_.begun(); }
-  // Whether a text stands in what has come behind the open call.
-  bool holds_behind(std::string_view text) const { return kept_.find(text) != std::string::npos; }
+  std::size_t buffered_bytes() const { return unparsed_.size() + reader_.buffered_bytes(); }
+  std::uint64_t consumed_bytes() const { return received_ - unparsed_.size(); }  // by the requests so far
+  std::uint64_t received_bytes() const { return received_; }
+  // Whether the user should stop reading until the open request is answered.
+  bool has_full_buffer() const { return open_ && unparsed_.size() >= max_unparsed_bytes; }
+  bool is_within_request() const { return !open_ && reader_.begun(); }
+  // Whether the buffered bytes after the open request contain `text`.
+  bool has_buffered(std::string_view text) const { return unparsed_.find(text) != std::string::npos; }
 
  private:
-  static constexpr std::size_t most_kept = 16 * 1024;  // clients make one call at a time
+  static constexpr std::size_t max_unparsed_bytes = 16 * 1024;  // clients send one request at a time
 
-  void take();
+  void parse();
 
   Listener& listener_;
   MessageReader reader_{MessageReader::Side::requests};
-  std::string kept_;
-  std::uint64_t fed_ = 0;
-  bool open_ = false, keeps_alive_ = true, dead_ = false, taking_ = false;
+  std::string unparsed_;
+  std::uint64_t received_ = 0;
+  bool open_ = false, keeps_alive_ = true, failed_ = false, parsing_ = false;
 };
 
 void append_response(std::string& out, int status, std::string_view more_headers, std::string_view body,
--- a/src/net/json_lines.cpp
+++ b/src/net/json_lines.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// A line's text, as it stands within a JSON string.
+// Escapes a line's text for a JSON string.
 class JsonText final : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& message, const std::tm&, spdlog::memory_buf_t& out) override {
-    const auto put = [&](std::string_view text) { out.append(text.data(), text.data() + text.size()); };
+    const auto append = [&](std::string_view text) { out.append(text.data(), text.data() + text.size()); };
     for (const char c : std::string_view(message.payload.data(), message.payload.size())) {
       const auto byte = static_cast<unsigned char>(c);
       if (c == '"' || c == '\\') out.push_back('\\'), out.push_back(c);
-      else if (byte < 0x20 || byte >= 0x7f) put(fmt::format("\\u{:04x}", byte));  // never broken UTF-8
+      else if (byte < 0x20 || byte >= 0x7f)
+        append(fmt::format("\\u{:04x}", byte));  // so invalid UTF-8 can't occur
       else out.push_back(c);
     }
   }
--- a/src/net/json_lines.h
+++ b/src/net/json_lines.h
@@ -1,4 +1,4 @@
-// Log lines as JSON objects, one on a line, for programs that read them.
+// Formats log lines as JSON objects, one a line.
 #pragma once
 
 #include <spdlog/formatter.h>
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -16,62 +16,63 @@
 
 namespace {
 
-// Lines are gathered only where somebody writes them out regularly: from the first call of flush_log on.
-std::atomic<bool> gathers = false;
+// Lines are buffered only where the program flushes them regularly: from the first call of flush_log on.
+std::atomic<bool> is_buffering = false;
 
-// Writes only what standard error takes at once, several lines by one call. Locked, since an agent has
-// threads.
-class PatientSink final : public spdlog::sinks::base_sink<std::mutex> {
+// Writes buffered lines in one call, and drops them where standard error is not ready. Uses a mutex, since an
+// agent logs from several threads.
+class NonBlockingSink final : public spdlog::sinks::base_sink<std::mutex> {
  public:
-  ~PatientSink() override { flush_(); }
+  ~NonBlockingSink() override { flush_(); }
 
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    if (gathered_.size() + line.size() > most_at_once) flush_();
-    gathered_.append(line.data(), line.data() + std::min<std::size_t>(line.size(), most_at_once));
-    if (!gathers || message.level >= spdlog::level::warn) flush_();
+    if (buffer_.size() + line.size() > max_write_bytes) flush_();
+    buffer_.append(line.data(), line.data() + std::min<std::size_t>(line.size(), max_write_bytes));
+    if (!is_buffering || message.level >= spdlog::level::warn) flush_();
   }
   void flush_() override {
-    if (gathered_.size() == 0) return;
+    if (buffer_.size() == 0) return;
     pollfd ready{STDERR_FILENO, POLLOUT, 0};
-    const bool takes_it =
+    const bool is_writable =
         uninterrupted([&] { return ::poll(&ready, 1, 0); }) == 1 && (ready.revents & POLLOUT) != 0;
-    if (takes_it) uninterrupted([&] { return ::write(STDERR_FILENO, gathered_.data(), gathered_.size()); });
-    gathered_.clear();
+    if (is_writable) uninterrupted([&] { return ::write(STDERR_FILENO, buffer_.data(), buffer_.size()); });
+    buffer_.clear();
   }
 
  private:
-  // A pipe that is ready takes this much whole (PIPE_BUF), so the write can't block.
-  static constexpr std::size_t most_at_once = 4096;
-  spdlog::memory_buf_t gathered_;
+  // PIPE_BUF: a pipe that is ready accepts this many bytes, so the write can't block.
+  static constexpr std::size_t max_write_bytes = 4096;
+  spdlog::memory_buf_t buffer_;
 };
 
 }  // namespace
 
-void start_log(const std::string& name, std::unique_ptr<spdlog::formatter> form) {
-  auto logger = std::make_shared<spdlog::logger>(name, std::make_shared<PatientSink>());
-  if (form) logger->set_formatter(std::move(form));
+void start_log(const std::string& name, std::unique_ptr<spdlog::formatter> formatter) {
+  auto logger = std::make_shared<spdlog::logger>(name, std::make_shared<NonBlockingSink>());
+  if (formatter) logger->set_formatter(std::move(formatter));
   else logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %n %^%l%$ %v");
   spdlog::set_default_logger(std::move(logger));
 }
 
 void flush_log() {
-  gathers = true;
+  is_buffering = true;
   if (spdlog::logger* logger = spdlog::default_logger_raw()) logger->flush();
 }
 
-bool LineRation::allows() {
+bool LineRateLimit::allows() {
   const std::int64_t now = std::chrono::duration_cast<std::chrono::milliseconds>(
                                std::chrono::steady_clock::now().time_since_epoch())
                                .count();
-  left_ = std::min(at_once_, left_ + a_second_ * static_cast<double>(now - last_ms_) / 1000);
+  tokens_ = std::min(burst_, tokens_ + lines_per_second_ * static_cast<double>(now - last_ms_) / 1000);
   last_ms_ = now;
-  if (left_ < 1) return ++kept_back_, false;
-  left_ -= 1;
-  if (kept_back_ > 0) spdlog::log(spdlog::level::info, "{} lines like the next were kept back", kept_back_);
-  kept_back_ = 0;
+  if (tokens_ < 1) return ++dropped_, false;
+  tokens_ -= 1;
+  if (dropped_ > 0)
+    spdlog::log(spdlog::level::info, "{} lines like the next one dropped by the rate limit", dropped_);
+  dropped_ = 0;
   return true;
 }
 
@@ -80,8 +81,8 @@
 std::string rules_as_json(const RuleGuard& rules, std::uint64_t (RuleGuard::*count)(Rule) const) {
   std::string text = "{";
   for (std::size_t i = 0; i < rule_count; ++i) {
-    const std::uint64_t found = (rules.*count)(static_cast<Rule>(i));
-    if (found > 0) text += fmt::format(R"({}"{}":{})", text.size() > 1 ? "," : "", rule_names[i], found);
+    const std::uint64_t value = (rules.*count)(static_cast<Rule>(i));
+    if (value > 0) text += fmt::format(R"({}"{}":{})", text.size() > 1 ? "," : "", rule_names[i], value);
   }
   return text + "}";
 }
@@ -102,7 +103,7 @@
       R"("open":{{"jobs":{},"dispatches":{},"clients":{},"engine_connections":{}}}}})",
       notes, broken_answers, silent_connections, list_events, list_connections, broken_events, open_jobs,
       open_dispatches, open_clients, open_engine_connections);
-  text.pop_back();  // the object goes on
+  text.pop_back();  // the closing brace; more members follow
   text += R"(,"clients_closed":)" + as_json_object(clients_closed, client_close_names);
   text += R"(,"engines_closed":)" + as_json_object(engines_closed, engine_close_names);
   text += R"(,"refused":)" + as_json_object(refused, refusal_names);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,4 +1,4 @@
-// Loop and BufferPool of the driver: waits, timers, what is put off.
+// Loop and BufferPool: polling, timers, posted callbacks.
 #include <sys/epoll.h>
 #include <unistd.h>
 
@@ -13,7 +13,7 @@
 // ---- Buffers ----
 
 std::unique_ptr<BufferPool::Buffer> BufferPool::take() {
-  ++out_;
+  ++in_use_;
   // NOLINTNEXTLINE(modernize-make-unique): that would clear 16 kB for each buffer
   if (idle_.empty()) return std::unique_ptr<Buffer>(new Buffer);
   std::unique_ptr<Buffer> buffer = std::move(idle_.back());
@@ -23,9 +23,9 @@
 }
 
 void BufferPool::give_back(std::unique_ptr<Buffer> buffer) {
-  constexpr std::size_t most_idle = 256;  // 4 MB; what a burst needed beyond goes back to the system
-  --out_;
-  if (idle_.size() < most_idle) idle_.push_back(std::move(buffer));
+  constexpr std::size_t max_idle = 256;  // 4 MB; further buffers, which a burst needed, are freed
+  --in_use_;
+  if (idle_.size() < max_idle) idle_.push_back(std::move(buffer));
 }
 
 // ---- Loop ----
@@ -39,8 +39,8 @@
   return event;
 }
 
-// Heeds only what the socket is watched for by now: an event before this one, or the system's being short of
-// memory, may have left another interest with the system.
+// Reports only events for which the socket is currently watched. The interest that the system knows may be
+// outdated, after an earlier event of the same poll or a shortage of memory.
 Readiness readiness_in(const epoll_event& event, Readiness interest) {
   const bool both_have_ended = (event.events & EPOLLHUP) != 0;
   const bool has_bytes = (event.events & EPOLLIN) != 0 && interest.readable;
@@ -53,22 +53,22 @@
 Loop::Loop() : poll_descriptor_(::epoll_create1(EPOLL_CLOEXEC)) {
   if (poll_descriptor_ >= 0) return;
   const Failure failure = last_failure();
-  const std::string wrong = "no event loop can be had: " + text_of_last_error();
+  const std::string wrong = "can't create an event loop: " + text_of_last_error();
   if (failure == Failure::not_now) throw ResourceShortage(wrong);
   throw SystemError(wrong);
 }
 
-// What was put off would reach into what is gone by now.
+// Pending callbacks are dropped, since they refer to objects that are destroyed by now.
 Loop::~Loop() {
   posted_.clear(), timers_.clear(), when_input_drained_.clear();
   retired_.clear(), finishing_.clear();
   ::close(poll_descriptor_);
 }
 
-std::optional<WatchId> Loop::watch(int descriptor, Readiness interest, Watcher& watcher) {
+std::optional<WatchId> Loop::watch(int descriptor, Readiness interest, SocketObserver& observer) {
   const WatchId id{next_watch_++};
   Watch& watch = watches_[id.value];
-  watch.watcher = &watcher, watch.descriptor = descriptor, watch.interest = interest;
+  watch.observer = &observer, watch.descriptor = descriptor, watch.interest = interest;
   if (register_interest(id, watch) != Failure::never) return id;
   watches_.erase(id.value);
   return std::nullopt;
@@ -85,46 +85,46 @@
   const auto found = watches_.find(id.value);
   if (found == watches_.end()) return;
   const Watch& watch = found->second;
-  if (watch.is_known) ::epoll_ctl(poll_descriptor_, EPOLL_CTL_DEL, watch.descriptor, nullptr);
+  if (watch.is_registered) ::epoll_ctl(poll_descriptor_, EPOLL_CTL_DEL, watch.descriptor, nullptr);
   watches_.erase(found);
 }
 
-// Why the system did not take it, if it did not.
+// Returns the failure of the registration, nullopt where it succeeded.
 std::optional<Failure> Loop::register_interest(WatchId id, Watch& watch) {
   epoll_event event = event_for(watch.interest, id);
-  const int operation = watch.is_known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
+  const int operation = watch.is_registered ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
   if (::epoll_ctl(poll_descriptor_, operation, watch.descriptor, &event) == 0) {
-    watch.is_known = true;
+    watch.is_registered = true;
     return std::nullopt;
   }
   const Failure failure = last_failure();
-  if (failure == Failure::not_now) register_interest_later(id, watch);
+  if (failure == Failure::not_now) retry_registration_later(id, watch);
   return failure;
 }
 
-// Guards against a socket that is never heard again because the system was short of memory for a moment: it
-// is told later what the socket is watched for by then.
-void Loop::register_interest_later(WatchId id, Watch& watch) {
-  if (std::exchange(watch.is_later, true)) return;
+// Guards against a socket whose events are lost forever because the system was short of memory for a moment:
+// the registration is retried with the interest of that time.
+void Loop::retry_registration_later(WatchId id, Watch& watch) {
+  if (std::exchange(watch.is_retry_scheduled, true)) return;
   ++unwatched_;
-  constexpr std::chrono::milliseconds later(10);
-  at(now() + later, [this, id] {
+  constexpr std::chrono::milliseconds retry_delay(10);
+  at(now() + retry_delay, [this, id] {
     --unwatched_;
     const auto found = watches_.find(id.value);
     if (found == watches_.end()) return;
-    found->second.is_later = false;
+    found->second.is_retry_scheduled = false;
     register_interest(id, found->second);
   });
 }
 
-// Guards the other events against an error within one of them, which is logged and counted.
-template <class What>
-void Loop::run_contained(What what) {
+// Runs a callback and logs and counts an exception that it throws, so that other events are not affected.
+template <class Callback>
+void Loop::run_contained(Callback callback) {
   try {
-    what();
+    callback();
   } catch (const std::exception& error) {
     ++failed_events_;
-    PEARCHUTE_LOG(spdlog::level::err, "an event was cut short: {}", error.what());
+    PEARCHUTE_LOG(spdlog::level::err, "exception in an event handler: {}", error.what());
   }
 }
 
@@ -135,108 +135,110 @@
   }
 }
 
-// Keeps when it was last known that nothing lay unread. Where a wait had to wait, nothing lay there before
-// it; else what it brought may have come at any time since the last look. Guards against a process that had
-// no turn when its wait was over: it took longer than was asked for, and nobody knows when in it the system
-// looked.
-void Loop::note_wait(TimePoint begun, Duration at_most, bool looked) {
-  constexpr Duration waited = std::chrono::milliseconds(1), overslept = std::chrono::milliseconds(10);
+// Tracks the last time at which no data was unread. Where a poll had to wait, no data was there before its
+// end; otherwise the data that it found may have arrived at any time since the previous poll. Guards against
+// a stall of the process during the poll: the poll took longer than its timeout, and the time within it at
+// which the system checked the sockets is unknown.
+void Loop::note_wait(TimePoint begun, Duration timeout, bool was_polled) {
+  constexpr Duration waited = std::chrono::milliseconds(1), oversleep = std::chrono::milliseconds(10);
   const TimePoint ended = now();
-  const bool had_to_wait = ended - begun > waited;
-  const bool had_no_turn = ended - begun > at_most + overslept;
-  if (had_no_turn) unread_since_ = begun;
-  else if (had_to_wait) unread_since_ = ended;
+  const bool has_waited = ended - begun > waited;
+  const bool was_stalled = ended - begun > timeout + oversleep;
+  if (was_stalled) unread_since_ = begun;
+  else if (has_waited) unread_since_ = ended;
   else unread_since_ = polled_;
-  // One that a signal interrupted has looked for nothing since it began, or, at once, since the one before.
-  if (had_no_turn || (!looked && had_to_wait)) polled_ = begun;
-  else if (looked) polled_ = ended;
+  // A poll that a signal interrupted found nothing since its begin, or, without waiting, since the previous
+  // one.
+  if (was_stalled || (!was_polled && has_waited)) polled_ = begun;
+  else if (was_polled) polled_ = ended;
 }
 
-// Guards against acting on what is known while a peer has said otherwise some time ago: after a time without
-// a turn, what came is read before anything leaves that can wait. The longest that this takes is again half
-// of the tenth of a second within which an attempt may begin after its client has gone.
+// Guards against acting on outdated state after a stall of the process: input that has arrived meanwhile is
+// read before requests are sent. This is limited to the other half of the 100 ms within which an attempt may
+// begin after its client has disconnected, see stale_after.
 void Loop::note_backlog(int found) {
-  constexpr std::chrono::milliseconds at_most(50);
-  looked_at_ = now();
-  if (!backlog_since_ && found > 0 && looked_at_ - unread_since_ > stale_after) backlog_since_ = looked_at_;
-  if (backlog_since_ && found != 0 && looked_at_ - *backlog_since_ <= at_most) return;
+  constexpr std::chrono::milliseconds max_duration(50);
+  last_poll_at_ = now();
+  if (!backlog_since_ && found > 0 && last_poll_at_ - unread_since_ > stale_after)
+    backlog_since_ = last_poll_at_;
+  if (backlog_since_ && found != 0 && last_poll_at_ - *backlog_since_ <= max_duration) return;
   backlog_since_.reset();
-  for (auto& what : when_input_drained_) post(std::move(what));
+  for (auto& callback : when_input_drained_) post(std::move(callback));
   when_input_drained_.clear();
 }
 
-void Loop::run_when_input_drained(std::function<void()> what) {
-  if (has_input_backlog()) when_input_drained_.push_back(std::move(what));
-  else post(std::move(what));
+void Loop::run_when_input_drained(std::function<void()> callback) {
+  if (has_input_backlog()) when_input_drained_.push_back(std::move(callback));
+  else post(std::move(callback));
 }
 
-// Sockets before timers: where the process had no turn for a while, what has come meanwhile counts before
-// the time that has passed.
+// Sockets are handled before timers: after a stall of the process, input that has arrived takes precedence
+// over timeouts that have passed.
 void Loop::wait() {
-  constexpr int most_events = 256;
-  std::array<epoll_event, most_events> events;
-  // A wait that a signal ends early has found nothing, and the next one waits for what is left by then.
-  const int at_most_ms = wait_ms();
+  constexpr int max_events = 256;
+  std::array<epoll_event, max_events> events;
+  // A poll that a signal interrupts finds nothing; the next one waits for the remaining time.
+  const int timeout_ms = wait_ms();
   const TimePoint begun = now();
-  const int found = ::epoll_wait(poll_descriptor_, events.data(), most_events, at_most_ms);
-  note_wait(begun, std::chrono::milliseconds(at_most_ms), found >= 0);
+  const int found = ::epoll_wait(poll_descriptor_, events.data(), max_events, timeout_ms);
+  note_wait(begun, std::chrono::milliseconds(timeout_ms), found >= 0);
   note_backlog(found);
-  unread_left_ = found < 0 || found == most_events, accepted_ = false;
+  has_unread_data_ = found < 0 || found == max_events, accepted_ = false;
   for (int i = 0; i < found && !stopped_; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
     const auto found_watch = watches_.find(event.data.u64);
-    if (found_watch == watches_.end()) continue;  // an event before it has ended this one
+    if (found_watch == watches_.end()) continue;  // unwatched by an earlier event of this poll
     const Watch watch = found_watch->second;
     const Readiness ready = readiness_in(event, watch.interest);
     if (ready == Readiness{}) continue;
-    run_contained([&] { watch.watcher->socket_ready(ready); });
+    run_contained([&] { watch.observer->on_socket_ready(ready); });
     settle();
   }
-  note_look(begun);
+  on_poll_end(begun);
 }
 
-// A look finds all that had come to watched sockets by when it began. What came on connections that it
-// accepted is found by the next one.
-void Loop::note_look(TimePoint begun) {
-  if (unread_left_ || unwatched_ > 0) {
-    last_whole_look_.reset();
+// A poll finds all data that had arrived at watched sockets by its begin. Data on connections that it
+// accepted is found by the next poll.
+void Loop::on_poll_end(TimePoint begun) {
+  if (has_unread_data_ || unwatched_ > 0) {
+    last_complete_poll_.reset();
   } else {
     if (!accepted_) read_up_to_ = begun;
-    else if (last_whole_look_) read_up_to_ = *last_whole_look_;
-    last_whole_look_ = begun;
+    else if (last_complete_poll_) read_up_to_ = *last_complete_poll_;
+    last_complete_poll_ = begun;
   }
-  if (!look_listener_ || !look_listener_->needs()) return;
-  run_contained(look_listener_->what);
+  if (!poll_listener_ || !poll_listener_->needs()) return;
+  run_contained(poll_listener_->callback);
   settle();
 }
 
-void Loop::after_each_look(std::function<bool()> needs, std::function<void()> what) {
-  look_listener_ = LookListener{std::move(needs), std::move(what)};
+void Loop::after_each_poll(std::function<bool()> needs, std::function<void()> callback) {
+  poll_listener_ = PollListener{std::move(needs), std::move(callback)};
 }
 
 TimePoint Loop::now() const {
   return TimePoint(std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - start_));
 }
 
-void Loop::at(TimePoint when, std::function<void()> what) {
-  timers_.push_back({when, next_order_++, std::move(what)});
+void Loop::at(TimePoint when, std::function<void()> callback) {
+  timers_.push_back({when, next_order_++, std::move(callback)});
   std::push_heap(timers_.begin(), timers_.end());
 }
 
 int Loop::wait_ms() const {
-  // To the next timer, a tenth of a second at most. Rounded up to whole milliseconds, which is what the wait
-  // counts in: rounded down, it would spin through the last one.
+  // The time until the next timer, 100 ms at most, rounded up to the resolution of the poll. Rounded down,
+  // the loop would spin during the last millisecond.
   if (has_input_backlog()) return 0;
   Duration wait = std::chrono::milliseconds(100);
-  // While something can't be read yet, looking at once would find the same again.
-  constexpr Duration between_looks = std::chrono::milliseconds(2);
-  if (look_listener_ && look_listener_->needs())
-    wait = unread_left_ || unwatched_ > 0 ? between_looks : Duration(0);
+  // While some data can't be read yet, polling again at once would find the same.
+  constexpr Duration poll_interval = std::chrono::milliseconds(2);
+  if (poll_listener_ && poll_listener_->needs())
+    wait = has_unread_data_ || unwatched_ > 0 ? poll_interval : Duration(0);
   if (!timers_.empty()) wait = std::clamp(timers_.front().when - now(), Duration(0), wait);
   return static_cast<int>(std::chrono::ceil<std::chrono::milliseconds>(wait).count());
 }
 
-void Loop::post(std::function<void()> what) { posted_.push_back(std::move(what)); }
+void Loop::post(std::function<void()> callback) { posted_.push_back(std::move(callback)); }
 
 void Loop::retire(std::unique_ptr<Connection> connection) {
   if (!connection) return;
@@ -251,14 +253,15 @@
   finishing_.push_back({std::move(connection), now(), now(), written});
 }
 
-// Guards against peers that neither read nor end, or read so slowly that it comes to the same. One that reads
-// on gets all that it was sent.
+// Guards against peers that neither read nor close, or that read very slowly: a finishing connection is
+// closed 1 s after its last progress, and after 10 s in any case.
 void Loop::close_stalled() {
-  constexpr std::chrono::seconds stands_still_after(1), at_most(10);
+  constexpr std::chrono::seconds stall_timeout(1), max_duration(10);
   const TimePoint at = now();
   for (Finishing& one : finishing_) {
-    if (one.connection->written() != one.written) one.written = one.connection->written(), one.moved_at = at;
-    if (at - one.moved_at >= stands_still_after || at - one.since >= at_most) one.connection->close();
+    if (one.connection->written() != one.written)
+      one.written = one.connection->written(), one.last_write_at = at;
+    if (at - one.last_write_at >= stall_timeout || at - one.since >= max_duration) one.connection->close();
   }
   std::erase_if(finishing_, [](const Finishing& one) { return one.connection->closed(); });
 }
@@ -267,7 +270,7 @@
   return std::ranges::all_of(finishing_, [](const Finishing& one) { return one.connection->waiting() == 0; });
 }
 
-void Loop::cut_finishing() {
+void Loop::close_oldest_finishing() {
   if (finishing_.empty()) return;
   retire(std::move(finishing_.front().connection));
   finishing_.pop_front();
@@ -277,9 +280,9 @@
   if (settling_) return;
   settling_ = true;
   while (!posted_.empty()) {
-    const std::function<void()> what = std::move(posted_.front());
+    const std::function<void()> callback = std::move(posted_.front());
     posted_.pop_front();
-    run_contained(what);  // else nothing that is put off would ever come up again
+    run_contained(callback);  // an exception would leave settling_ set and block all posted callbacks
   }
   retired_.clear();
   close_stalled();
@@ -288,14 +291,14 @@
 
 void Loop::run_timers() {
   if (!timers_.empty() && now() - timers_.front().when > std::chrono::milliseconds(40)) {
-    PEARCHUTE_LOG(spdlog::level::warn, "held up: a timer comes {} ms late",
+    PEARCHUTE_LOG(spdlog::level::warn, "event loop stalled: timer {} ms late",
                   (now() - timers_.front().when).count() / 1000);
   }
   while (!timers_.empty() && timers_.front().when <= now()) {
     std::pop_heap(timers_.begin(), timers_.end());
-    const std::function<void()> what = std::move(timers_.back().what);
+    const std::function<void()> callback = std::move(timers_.back().callback);
     timers_.pop_back();
-    run_contained(what);
+    run_contained(callback);
     settle();
   }
   settle();
--- a/src/net/owner_door.cpp
+++ b/src/net/owner_door.cpp
@@ -11,36 +11,36 @@
 
 namespace {
 
-void remove_left_over(const std::string& path, const Poco::Net::SocketAddress& address) {
-  struct stat what {};
-  if (::lstat(path.c_str(), &what) != 0) return;
-  if (!S_ISSOCK(what.st_mode))
-    throw ListeningError("is there and no socket", path,
-                         "look at what it is; move it away or name another place");
-  if (is_listened_at(address)) throw ListeningError("the socket is in use", path);
+void remove_stale_socket(const std::string& path, const Poco::Net::SocketAddress& address) {
+  struct stat status {};
+  if (::lstat(path.c_str(), &status) != 0) return;
+  if (!S_ISSOCK(status.st_mode))
+    throw ListeningError("the path exists and is not a socket", path,
+                         "check the file; move it away or configure another path");
+  if (is_listened_at(address)) throw ListeningError("a process already listens at the socket", path);
   ::unlink(path.c_str());
 }
 
-// The socket is never there with other rights than its owner's.
-class OwnerOnly {
+// Restricts the umask while the socket is created, so that it never exists with permissions for others.
+class OwnerOnlyUmask {
  public:
-  OwnerOnly() : before_(::umask(0177)) {}
-  ~OwnerOnly() { ::umask(before_); }
-  OwnerOnly(const OwnerOnly&) = delete;
-  OwnerOnly& operator=(const OwnerOnly&) = delete;
+  OwnerOnlyUmask() : previous_(::umask(0177)) {}
+  ~OwnerOnlyUmask() { ::umask(previous_); }
+  OwnerOnlyUmask(const OwnerOnlyUmask&) = delete;
+  OwnerOnlyUmask& operator=(const OwnerOnlyUmask&) = delete;
 
  private:
-  const mode_t before_;
+  const mode_t previous_;
 };
 
 }  // namespace
 
-std::unique_ptr<ListeningSocket> open_owner_socket(Loop& loop, const std::string& path,
-                                                   std::function<void(const Poco::Net::StreamSocket&)> came) {
+std::unique_ptr<ListeningSocket> open_owner_socket(
+    Loop& loop, const std::string& path, std::function<void(const Poco::Net::StreamSocket&)> on_accepted) {
   const Poco::Net::SocketAddress address(Poco::Net::SocketAddress::UNIX_LOCAL, path);
-  remove_left_over(path, address);
-  const OwnerOnly rights;
-  return std::make_unique<ListeningSocket>(loop, address, std::move(came));
+  remove_stale_socket(path, address);
+  const OwnerOnlyUmask restricted_umask;
+  return std::make_unique<ListeningSocket>(loop, address, std::move(on_accepted));
 }
 
 }  // namespace pearchute::net
--- a/src/net/owner_door.h
+++ b/src/net/owner_door.h
@@ -1,5 +1,5 @@
-// A listening Unix socket that nobody but its owner can open. What a killed process has left at its path is
-// removed; a socket that somebody listens at stays.
+// A listening Unix socket that only its owner can connect to. A stale socket, which a killed process has left
+// at the path, is removed; one at which a process listens is not.
 #pragma once
 
 #include <functional>
@@ -10,9 +10,9 @@
 
 namespace pearchute::net {
 
-// Throws ListeningError where somebody listens there or the path is something else, ResourceShortage where
-// that can't be told now, and as Door does.
-std::unique_ptr<ListeningSocket> open_owner_socket(Loop& loop, const std::string& path,
-                                                   std::function<void(const Poco::Net::StreamSocket&)> came);
+// Throws ListeningError where a process listens at the path or the path isn't a socket, ResourceShortage
+// where a transient failure prevents this check, and the errors of ListeningSocket.
+std::unique_ptr<ListeningSocket> open_owner_socket(
+    Loop& loop, const std::string& path, std::function<void(const Poco::Net::StreamSocket&)> on_accepted);
 
 }  // namespace pearchute::net
--- a/src/net/reasons.h
+++ b/src/net/reasons.h
@@ -1,5 +1,5 @@
-// Why connections are closed and requests refused, each with the word that logs and counters use for it. A
-// reason names what this side did; it decides nothing.
+// The reasons for closing connections and for rejecting requests before admission, with their names in log
+// lines and counters.
 #pragma once
 
 #include <array>
@@ -10,19 +10,19 @@
 
 namespace pearchute::net {
 
-// Of a client's connection.
+// Why a client's connection was closed.
 enum class ClientCloseReason : std::size_t {
   client_left,
-  last_answer,      // it asked for no more, or the manager ends or drains
-  idle,             // nothing open for longer than clients keep a connection
-  call_incomplete,  // a call that is not whole in time
-  call_unreadable,
-  answer_unread,  // its answer lies there, and it reads nothing
-  table_full,     // it had the least use for its place
-  no_place,       // a newcomer, all places have a call open
-  too_much_unread,
-  came_again,  // the same client asks for its answer on another connection
-  manager_ends,
+  last_answer,  // answered without keep-alive: by the client's choice, or the manager shuts down or drains
+  idle,         // no open request for longer than clients keep a connection
+  call_incomplete,  // the HTTP request was not complete in time
+  call_unreadable,  // the HTTP request was malformed or too large
+  answer_unread,    // the client doesn't read its answer
+  table_full,       // closed to make room for a new connection
+  no_place,         // a new connection, rejected since all others have an open request
+  too_much_unread,  // incomplete requests use too much memory, and this one is the largest
+  came_again,       // the client fetches its answer on another connection
+  manager_ends,     // idle while the manager shuts down
   count
 };
 inline constexpr std::array<std::string_view, static_cast<std::size_t>(ClientCloseReason::count)>
@@ -30,19 +30,19 @@
                           "call_unreadable", "answer_unread", "table_full",  "no_place",
                           "too_much_unread", "came_again",    "manager_ends"};
 
-// Of a connection to an engine.
+// Why a connection to an engine was closed.
 enum class EngineCloseReason : std::size_t {
-  engine_ended,    // closed or reset by it, or refused
-  not_up_in_time,  // it did not come up
-  short_of_resources,
+  engine_ended,        // closed, reset or refused by the engine
+  not_up_in_time,      // connect timeout
+  short_of_resources,  // on this machine
   idle,
-  room_needed,    // for a connection to another engine
-  silent,         // it gave no sign when asked for one
-  answer_broken,  // bytes that are no answer
-  answer_stops,   // an answer that stops short
-  in_doubt,       // something on it was given up and not confirmed
-  takes_nothing,  // the same, and what was sent has not left this machine
-  engine_gone,    // from the list
+  room_needed,    // closed to make room for a connection to another engine
+  silent,         // no answer to a liveness probe
+  answer_broken,  // malformed answer
+  answer_stops,   // incomplete answer without progress
+  in_doubt,       // after an unconfirmed cancellation or a removal, once its attempts have ended
+  takes_nothing,  // unconfirmed cancellation, and bytes for the engine have not left this machine
+  engine_gone,    // removed from the endpoint list, or its address has changed
   count
 };
 inline constexpr std::array<std::string_view, static_cast<std::size_t>(EngineCloseReason::count)>
@@ -50,20 +50,20 @@
                           "room_needed",  "silent",         "answer_broken",      "answer_stops",
                           "in_doubt",     "takes_nothing",  "engine_gone"};
 
-// Of a request that the module never sees.
+// Why a request was rejected before it was passed to the WorkloadManager.
 enum class RefusalReason : std::size_t {
-  ending,
-  draining,
-  too_many_open,
-  too_much_unread,
-  id_in_use,
-  unusable,
+  ending,           // the manager shuts down
+  draining,         // the manager drains
+  too_many_open,    // open requests
+  too_much_unread,  // statements use too much memory
+  id_in_use,        // a request with this id is open
+  unusable,         // invalid fields or statement
   count
 };
 inline constexpr std::array<std::string_view, static_cast<std::size_t>(RefusalReason::count)> refusal_names =
     {"ending", "draining", "too_many_open", "too_much_unread", "id_in_use", "unusable"};
 
-// How often each reason of an enum with `count` was given.
+// Counts by reason; `Reason` is an enum whose last enumerator is `count`.
 template <class Reason>
 class ReasonCounts {
  public:
@@ -75,7 +75,7 @@
   std::array<std::uint64_t, size> counts_{};
 };
 
-// One JSON object of counts by name; those that are zero are left out.
+// Returns a JSON object of counts by name, without those that are zero.
 template <class Reason>
 std::string as_json_object(const ReasonCounts<Reason>& counts,
                            const std::array<std::string_view, ReasonCounts<Reason>::size>& names) {
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -33,18 +33,20 @@
   return {descriptor, 0};
 }
 
-// An established connection goes on after these; any other error has ended it.
-bool goes_on_after(int error) {
+// Whether an established connection continues after the error; all others break it.
+bool is_transient(int error) {
   return error == EAGAIN || error == EINTR || error == ENOBUFS || error == ENOMEM;
 }
 
-// All other errors of accept are shortages, or are those of the connection that waited, and the next one may
-// be sound: accept(2) passes on whatever the network has for it, and names more than its list holds.
+// Whether an error of accept makes the listening socket unusable. All others are shortages, or errors of the
+// pending connection: accept(2) passes on network errors, among them some that its manual doesn't list, and
+// the next connection may be accepted.
 bool listening_is_broken(int error) {
   return error == EBADF || error == EFAULT || error == EINVAL || error == ENOTSOCK;
 }
 
-// Network errors that accept passes on are those of one connection, though they are shortages elsewhere.
+// Whether an error of accept is a shortage on this machine. Network errors, which are transient failures
+// elsewhere, concern only one pending connection here.
 bool is_shortage_of_accept(int error) {
   return error == EINTR || error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
@@ -55,11 +57,11 @@
   return error_number == EADDRNOTAVAIL ? Failure::never : failure_of(error_number);
 }
 
-Transfer receive_some(int descriptor, char* bytes, std::size_t most) {
-  const auto got = uninterrupted([&] { return ::recv(descriptor, bytes, most, MSG_DONTWAIT); });
+Transfer receive_some(int descriptor, char* bytes, std::size_t max_bytes) {
+  const auto got = uninterrupted([&] { return ::recv(descriptor, bytes, max_bytes, MSG_DONTWAIT); });
   if (got > 0) return {TransferStatus::done, static_cast<std::size_t>(got), 0};
   if (got == 0) return {TransferStatus::ended, 0, 0};
-  if (goes_on_after(errno)) return {TransferStatus::not_now, 0, 0};
+  if (is_transient(errno)) return {TransferStatus::not_now, 0, 0};
   return {TransferStatus::broken, 0, errno};
 }
 
@@ -67,21 +69,21 @@
   const auto sent =
       uninterrupted([&] { return ::send(descriptor, bytes, length, MSG_NOSIGNAL | MSG_DONTWAIT); });
   if (sent >= 0) return {TransferStatus::done, static_cast<std::size_t>(sent), 0};
-  if (goes_on_after(errno)) return {TransferStatus::not_now, 0, 0};
+  if (is_transient(errno)) return {TransferStatus::not_now, 0, 0};
   return {TransferStatus::broken, 0, errno};
 }
 
 Accepted accept_one(int listening) {
-  // Each round takes a connection that has broken off while it waited from the queue, so this ends.
-  constexpr int most_broken = 64;
-  for (int i = 0; i < most_broken; ++i) {
+  // Each further round removes a connection that broke in the queue.
+  constexpr int max_broken = 64;
+  for (int i = 0; i < max_broken; ++i) {
     const int descriptor = uninterrupted([&] { return ::accept(listening, nullptr, nullptr); });
     if (descriptor >= 0) {
       if (set_non_blocking(descriptor)) return {AcceptStatus::accepted, descriptor};
       ::close(descriptor);
       continue;
     }
-    if (errno == EAGAIN) return {AcceptStatus::none_waits, -1};
+    if (errno == EAGAIN) return {AcceptStatus::none_pending, -1};
     if (listening_is_broken(errno)) return {AcceptStatus::broken, -1};
     if (is_shortage_of_accept(errno)) return {AcceptStatus::shortage, -1};
   }
@@ -91,7 +93,7 @@
 Opened begin_connect(const Poco::Net::SocketAddress& to) {
   const Opened socket = open_socket(to);
   if (!socket.is_open()) return socket;
-  // An interrupted connect may have begun or not; made again, it tells that it is under way.
+  // An interrupted connect may have started or not; the repeated call reports that it is in progress.
   if (uninterrupted([&] { return ::connect(socket.descriptor, to.addr(), to.length()); }) == 0) return socket;
   const bool is_under_way = errno == EINPROGRESS || errno == EALREADY || errno == EISCONN;
   return is_under_way ? socket : failed(socket.descriptor, errno);
@@ -110,10 +112,10 @@
 bool is_listened_at(const Poco::Net::SocketAddress& at) {
   Opened probe = begin_connect(at);
   if (probe.is_open()) ::close(probe.descriptor);
-  // EAGAIN: the queue of those who wait there is full.
+  // EAGAIN: the queue of pending connections is full.
   if (probe.is_open() || probe.error == EAGAIN) return true;
   if (probe.error == ECONNREFUSED || probe.error == ENOENT) return false;
-  const std::string wrong = "it can't be told whether somebody listens: " + text_of_error(probe.error);
+  const std::string wrong = "can't check whether a process listens: " + text_of_error(probe.error);
   if (failure_of(probe.error) == Failure::not_now) throw ResourceShortage(wrong, at.toString());
   throw SystemError(wrong, at.toString());
 }
@@ -137,7 +139,7 @@
   ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
 
-bool say_end(int descriptor) { return ::shutdown(descriptor, SHUT_WR) == 0; }
+bool shut_down_sending(int descriptor) { return ::shutdown(descriptor, SHUT_WR) == 0; }
 
 bool peer_has_ended(int descriptor) {
   pollfd one{descriptor, POLLRDHUP, 0};
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -1,4 +1,4 @@
-// Wire of the driver: one TCP connection, from connecting to its end.
+// Connection: one TCP connection, from connecting to closing.
 #include <algorithm>
 #include <array>
 #include <cstring>
@@ -11,7 +11,7 @@
     : loop_(loop), socket_(accepted), listener_(&listener), opened_(true) {
   ++loop_.descriptors_;
   set_no_delay(descriptor());
-  start();
+  start_watching();
 }
 
 Connection::Connection(Loop& loop, const Poco::Net::SocketAddress& to, Listener& listener)
@@ -24,33 +24,34 @@
   ++connects_;
   const Opened opened = begin_connect(*to_);
   error_ = opened.error;
-  if (!opened.is_open()) return connect_again();
+  if (!opened.is_open()) return retry_connect();
   socket_ = socket_of(opened.descriptor);
-  start();
+  start_watching();
 }
 
-// Guards against shortages of this machine's that are taken for the peer's absence: a few are sat out.
-void Connection::connect_again() {
-  constexpr int most_connects = 20;
-  constexpr std::chrono::milliseconds between(10);
-  const bool passes = failure_of(error_) == Failure::not_now && connects_ < most_connects;
-  // Told after the event at hand, as any other ending is.
-  const auto next = [this, alive = alive_, passes] {
+// Retries a failed connect or reports the end. Guards against taking a shortage on this machine for the
+// absence of the peer: connects that fail for a transient cause are made up to 20 times.
+void Connection::retry_connect() {
+  constexpr int max_connects = 20;
+  constexpr std::chrono::milliseconds retry_interval(10);
+  const bool is_transient = failure_of(error_) == Failure::not_now && connects_ < max_connects;
+  // The listener is called after the current event, as for any other end.
+  const auto next = [this, alive = alive_, is_transient] {
     if (!*alive || closed_) return;
-    passes ? connect() : ended();
+    is_transient ? connect() : close_and_notify();
   };
-  if (passes) loop_.at(loop_.now() + between, next);
+  if (is_transient) loop_.at(loop_.now() + retry_interval, next);
   else loop_.post(next);
 }
 
-// Nothing waits for a socket that can't ever be watched: it is as good as broken.
-void Connection::start() {
+// A socket that can't be watched is treated as broken, since its events would never arrive.
+void Connection::start_watching() {
   has_socket_ = true;
   interest_ = {!paused_, !opened_ || writable_wanted_, false};
   watch_ = loop_.watch(descriptor(), interest_, *this);
   if (watch_) return;
   loop_.post([this, alive = alive_] {
-    if (*alive) ended();
+    if (*alive) close_and_notify();
   });
 }
 
@@ -59,7 +60,7 @@
   *alive_ = false;
 }
 
-void Connection::leave_socket() {
+void Connection::close_socket() {
   if (!has_socket_) return;
   has_socket_ = false;
   if (watch_) loop_.unwatch(*watch_);
@@ -72,15 +73,15 @@
   closed_ = true;
   listener_ = nullptr;
   --loop_.descriptors_;
-  if (has_socket_ && writing_shut_down_) discard();
-  leave_socket();
-  for (auto& buffer : out_) loop_.buffers_.give_back(std::move(buffer));
-  out_.clear();
+  if (has_socket_ && writing_shut_down_) discard_input();
+  close_socket();
+  for (auto& buffer : unsent_buffers_) loop_.buffers_.give_back(std::move(buffer));
+  unsent_buffers_.clear();
   waiting_ = 0;
 }
 
-// Guards against bytes that lie with the system while the peer takes nothing, and would come to it long after
-// they have lost their meaning.
+// Guards against bytes that the system holds while the peer doesn't read, and that would reach it long after
+// they are outdated.
 void Connection::abort() {
   if (!closed_ && has_socket_) reset_at_close(descriptor());
   close();
@@ -103,19 +104,21 @@
   if (waiting_ == 0) shut_down_writing();
 }
 
-// Guards against a last answer that is lost because its reader is still sending: closed at once, the system
-// would answer what comes with a reset. So the end is said, and what comes is thrown away, within bounds.
+// Guards against the loss of the last answer while its reader still sends: after a close, the system would
+// answer further data with a reset. So only the sending direction is shut down, and received data is
+// discarded, up to a limit.
 void Connection::shut_down_writing() {
   if (closed_ || writing_shut_down_) return;
   writing_shut_down_ = true;
-  if (!has_socket_ || !say_end(descriptor())) close();
+  if (!has_socket_ || !shut_down_sending(descriptor())) close();
 }
 
-// Guards against the reset that a close over unread bytes would be: it would take the last answer along.
-void Connection::discard() {
+// Reads and discards input before a close. Guards against the reset that the system sends on a close with
+// unread bytes, which would destroy the last answer.
+void Connection::discard_input() {
   std::array<char, 4096> bytes;
-  constexpr int most = 64;  // a flood goes on all the same
-  for (int i = 0; i < most; ++i) {
+  constexpr int max_reads = 64;  // a peer that floods the connection is reset
+  for (int i = 0; i < max_reads; ++i) {
     if (receive_some(descriptor(), bytes.data(), bytes.size()).status != TransferStatus::done) return;
   }
 }
@@ -138,19 +141,20 @@
   if (closed_ || closing_) return;
   waiting_ += bytes.size();
   while (!bytes.empty()) {
-    if (out_.empty() || out_.back()->end == BufferPool::buffer_size) out_.push_back(loop_.buffers_.take());
-    BufferPool::Buffer& buffer = *out_.back();
+    if (unsent_buffers_.empty() || unsent_buffers_.back()->end == BufferPool::buffer_size)
+      unsent_buffers_.push_back(loop_.buffers_.take());
+    BufferPool::Buffer& buffer = *unsent_buffers_.back();
     const std::size_t part = std::min(bytes.size(), BufferPool::buffer_size - buffer.end);
     std::memcpy(buffer.bytes.data() + buffer.end, bytes.data(), part);
     buffer.end += part;
     bytes.remove_prefix(part);
   }
-  offer();
+  request_write();
 }
 
-void Connection::offer() {
+void Connection::request_write() {
   if (closed_ || closing_ || !opened_ || flush_due_ || flushing_ || writable_wanted_) return;
-  flush_due_ = true;  // what one event makes for a peer goes out together
+  flush_due_ = true;  // the data of one event is written together
   loop_.post([this, alive = alive_] {
     if (!*alive) return;
     flush_due_ = false;
@@ -158,26 +162,26 @@
   });
 }
 
-void Connection::skip(std::size_t bytes) {
-  while (bytes > 0 && !out_.empty()) {
-    BufferPool::Buffer& buffer = *out_.front();
+void Connection::discard_front(std::size_t bytes) {
+  while (bytes > 0 && !unsent_buffers_.empty()) {
+    BufferPool::Buffer& buffer = *unsent_buffers_.front();
     const std::size_t part = std::min(bytes, buffer.end - buffer.begin);
     buffer.begin += part, bytes -= part, waiting_ -= part, written_ += part;
     if (buffer.begin < buffer.end) return;
-    loop_.buffers_.give_back(std::move(out_.front()));
-    out_.pop_front();
+    loop_.buffers_.give_back(std::move(unsent_buffers_.front()));
+    unsent_buffers_.pop_front();
   }
 }
 
 void Connection::flush() {
   while (!closed_) {
-    if (out_.empty() && listener_) {
+    if (unsent_buffers_.empty() && listener_) {
       flushing_ = true;
       listener_->on_writable();
       flushing_ = false;
     }
-    if (closed_ || out_.empty()) break;
-    BufferPool::Buffer& buffer = *out_.front();
+    if (closed_ || unsent_buffers_.empty()) break;
+    BufferPool::Buffer& buffer = *unsent_buffers_.front();
     const Transfer sent =
         send_some(descriptor(), buffer.bytes.data() + buffer.begin, buffer.end - buffer.begin);
     if (sent.status == TransferStatus::not_now) {
@@ -186,12 +190,12 @@
     }
     if (sent.status != TransferStatus::done) {
       error_ = sent.error;
-      return ended();
+      return close_and_notify();
     }
     buffer.begin += sent.bytes, written_ += sent.bytes, waiting_ -= sent.bytes;
     if (buffer.begin == buffer.end) {
-      loop_.buffers_.give_back(std::move(out_.front()));
-      out_.pop_front();
+      loop_.buffers_.give_back(std::move(unsent_buffers_.front()));
+      unsent_buffers_.pop_front();
     }
   }
   if (closed_) return;
@@ -200,7 +204,7 @@
   if (closing_) shut_down_writing();
 }
 
-void Connection::ended() {
+void Connection::close_and_notify() {
   if (closed_) return;
   Listener* listener = listener_;
   close();
@@ -210,9 +214,9 @@
 void Connection::check_opened() {
   error_ = pending_error(descriptor());
   if (error_ != 0) {
-    if (failure_of(error_) == Failure::never) return ended();
-    leave_socket();
-    return connect_again();
+    if (failure_of(error_) == Failure::never) return close_and_notify();
+    close_socket();
+    return retry_connect();
   }
   opened_ = true;
   to_.reset();
@@ -221,44 +225,46 @@
   if (listener_) listener_->on_opened();
 }
 
-void Connection::socket_ready(Readiness what) {
+void Connection::on_socket_ready(Readiness ready) {
   if (!opened_) check_opened();
   if (!opened_ || closed_) return;
   const bool was_paused = paused_;
-  if (what.readable && !was_paused) read();
-  if (what.writable && !closed_) flush();
+  if (ready.readable && !was_paused) read();
+  if (ready.writable && !closed_) flush();
   if (closed_) return;
-  // Where nothing is read, only an end of both directions makes it readable.
-  if (!what.broken && !(was_paused && what.readable)) return;
+  // A paused socket becomes readable only when both directions are closed.
+  if (!ready.broken && !(was_paused && ready.readable)) return;
   error_ = pending_error(descriptor());
-  ended();
+  close_and_notify();
 }
 
 void Connection::read() {
   auto buffer = loop_.buffers_.take();
-  // A few rounds at most: others wait for their turn, and what is left is told again.
-  constexpr int most_rounds = 4;
-  // Of one that is only read to be thrown away nothing can matter any more, however much it still sends.
-  const auto note_unread_left = [this] {
-    if (listener_) loop_.note_unread_left();
+  // Limits the rounds so that other sockets get their turn; the next poll reports the remaining data.
+  constexpr int max_rounds = 4;
+  // Unread data doesn't matter on a connection whose input is discarded.
+  const auto note_unread_data = [this] {
+    if (listener_) loop_.note_unread_data();
   };
-  for (int round = 0; round < most_rounds && !closed_ && !paused_; ++round) {
+  for (int round = 0; round < max_rounds && !closed_ && !paused_; ++round) {
     const Transfer got = receive_some(descriptor(), buffer->bytes.data(), BufferPool::buffer_size);
     if (got.status == TransferStatus::not_now) {
-      if (round == 0) note_unread_left();  // the system has said that there is something
+      if (round == 0) note_unread_data();  // the poll reported data
       break;
     }
-    if (round + 1 == most_rounds) note_unread_left();
+    if (round + 1 == max_rounds) note_unread_data();
     if (got.status != TransferStatus::done) {
       error_ = got.error;
-      ended();
+      close_and_notify();
       break;
     }
-    constexpr std::size_t most_discarded = 1 << 20;  // more is a flood that no reader of the answer sends
-    if (closing_ && (discarded_ += got.bytes) > most_discarded) close();
+    constexpr std::size_t max_discarded_bytes =
+        1 << 20;  // more than any client sends that still reads its answer
+    if (closing_ && (discarded_ += got.bytes) > max_discarded_bytes) close();
     if (listener_) listener_->on_data({buffer->bytes.data(), got.bytes});
     if (got.bytes == BufferPool::buffer_size) continue;
-    if (!closed_ && !paused_ && net::has_unread(descriptor())) note_unread_left();  // a read that fell short
+    if (!closed_ && !paused_ && net::has_unread(descriptor()))
+      note_unread_data();  // data arrived after the read
     break;
   }
   loop_.buffers_.give_back(std::move(buffer));
--- a/src/system/failures.h
+++ b/src/system/failures.h
@@ -1,5 +1,5 @@
-// What a system call's failure means, told from its error number in this one place: "not now" passes by
-// itself, so whoever made the call tries again; "never" does not. It knows no socket and keeps no state.
+// Classifies the failures of system calls by their error numbers as transient (not_now), after which the
+// caller tries again, or permanent (never). Stateless.
 #pragma once
 
 #include <string>
@@ -8,32 +8,33 @@
 
 namespace pearchute {
 
-// Whether a call that has failed may succeed later without any change here.
+// Whether a failed system call may succeed later without any change on this machine.
 enum class Failure { not_now, never };
 
-// Shortages of descriptors, memory and local ports pass, as does a network that is not up yet; everything
-// else is taken for final.
+// Shortages of descriptors, memory, disk space and local ports are transient, as is a network that is not up
+// yet; all other failures are permanent.
 Failure failure_of(int error_number);
 std::string text_of_error(int error_number);
-// Of the system call that this thread made last, which has failed.
+// Classifies errno, so the last system call of this thread must have failed.
 Failure last_failure();
 std::string text_of_last_error();
 
-// An attempt to start or to read something that failed for a cause that may pass by itself.
+// A transient failure: the operation may succeed if it is tried again.
 class ResourceShortage : public SystemError {
  public:
   using SystemError::SystemError;
 };
 
-// Signals come far apart; whoever is interrupted more often than this goes on with its other work first.
-inline constexpr int most_interruptions = 16;
+// Signals are rare; a call that is interrupted more often than this fails, so that the caller's other work
+// isn't delayed.
+inline constexpr int max_interruptions = 16;
 bool was_interrupted();
 
-// Makes the call again where a signal interrupted it.
+// Repeats the system call while a signal interrupts it, up to the limit.
 template <class Call>
 auto uninterrupted(Call call) {
   auto result = call();
-  for (int i = 0; i < most_interruptions && result < 0 && was_interrupted(); ++i) result = call();
+  for (int i = 0; i < max_interruptions && result < 0 && was_interrupted(); ++i) result = call();
   return result;
 }
 
--- a/src/system/file_descriptor.h
+++ b/src/system/file_descriptor.h
@@ -7,7 +7,7 @@
 
 namespace pearchute {
 
-// Closes its descriptor when it goes. Negative: it owns none.
+// Closes its descriptor on destruction. A negative value means that it owns none.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
--- a/src/system/files.cpp
+++ b/src/system/files.cpp
@@ -13,7 +13,7 @@
 [[noreturn]] void fail_to_read(const std::string& path, int error) {
   const std::string wrong = "can't be read: " + text_of_error(error);
   if (failure_of(error) == Failure::not_now) throw ResourceShortage(wrong, path);
-  throw SystemError(wrong, path, "see that it is there and that this user may read it");
+  throw SystemError(wrong, path, "check that the file exists and that this user may read it");
 }
 
 }  // namespace
@@ -45,9 +45,9 @@
 
 bool write_all(int descriptor, std::string_view text) {
   while (!text.empty()) {
-    const auto wrote = uninterrupted([&] { return ::write(descriptor, text.data(), text.size()); });
-    if (wrote <= 0) return false;
-    text.remove_prefix(static_cast<std::size_t>(wrote));
+    const auto written = uninterrupted([&] { return ::write(descriptor, text.data(), text.size()); });
+    if (written <= 0) return false;
+    text.remove_prefix(static_cast<std::size_t>(written));
   }
   return true;
 }
--- a/src/system/files.h
+++ b/src/system/files.h
@@ -1,4 +1,4 @@
-// Whole files, read and written with the difference kept between what fails now and what fails for good.
+// Reading and writing of whole files, with transient and permanent failures kept apart.
 #pragma once
 
 #include <optional>
@@ -9,12 +9,14 @@
 
 namespace pearchute {
 
-// A whole file. Throws ResourceShortage where it can't be had now, SystemError where it can't be read.
+// Returns the contents of a file. Throws ResourceShortage for a transient failure, SystemError for a
+// permanent one.
 std::string read_file(const std::string& path);
-// The same; nothing where there is no such file.
+// Like read_file, but returns nullopt where the file doesn't exist.
 std::optional<std::string> read_file_if_there(const std::string& path);
 
-// All of it, however few bytes each write takes. False where a write fails; `last_failure` tells why.
+// Writes all of `text`, with several system calls if necessary. Returns false where a write fails; see
+// last_failure.
 bool write_all(int descriptor, std::string_view text);
 
 }  // namespace pearchute
--- a/src/system/retries.h
+++ b/src/system/retries.h
@@ -1,5 +1,5 @@
-// Attempts that are made again while this machine is short of something, for a stated time. It blocks the
-// thread: for starts, not for events.
+// Retries of an operation while this machine is short of resources, for a limited time. Blocks the thread, so
+// it is for the start of a program, not for the event loop.
 #pragma once
 
 #include <chrono>
@@ -12,16 +12,17 @@
 inline constexpr std::chrono::seconds shortages_pass_within{5};
 inline constexpr std::chrono::milliseconds between_attempts{50};
 
-// What `attempt` returns. `told` hears each ResourceShortage; that of the last attempt is thrown.
-template <class Attempt, class Told>
-auto retry_while_short(Attempt attempt, Told told) {
+// Calls `operation` until it succeeds and returns its result. Calls `on_shortage` for each ResourceShortage;
+// after the time limit, the last one is thrown.
+template <class Operation, class OnShortage>
+auto retry_while_short(Operation operation, OnShortage on_shortage) {
   const auto until = std::chrono::steady_clock::now() + shortages_pass_within;
   while (true) {
     try {
-      return attempt();
+      return operation();
     } catch (const ResourceShortage& shortage) {
       if (std::chrono::steady_clock::now() >= until) throw;
-      told(shortage);
+      on_shortage(shortage);
     }
     std::this_thread::sleep_for(between_attempts);
   }
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -1,5 +1,5 @@
-// The state machines of the network code, fed each case whole, byte by byte and cut at each place, and random
-// bytes. No socket is opened.
+// Tests of the protocol parsers and sessions: each input is fed as a whole, byte by byte and split at each
+// position, and random bytes are fed as well. Opens no socket.
 #include <cassert>
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -17,21 +17,21 @@
 using namespace pearchute;
 using namespace pearchute::net;
 
-// What `run` makes of the bytes has to be the same in every cut.
-void in_every_cut(const std::string& bytes,
-                  const std::function<std::string(const std::vector<std::string_view>&)>& run,
-                  const std::string& wanted) {
+// Checks that `run` returns the expected text for every split of the bytes.
+void check_every_split(const std::string& bytes,
+                       const std::function<std::string(const std::vector<std::string_view>&)>& run,
+                       const std::string& expected) {
   const std::string_view all(bytes);
-  const std::string whole = run({all});
-  assert(whole == wanted);
+  const std::string unsplit = run({all});
+  assert(unsplit == expected);
   std::vector<std::string_view> single;
   for (std::size_t i = 0; i < all.size(); ++i) single.push_back(all.substr(i, 1));
-  assert(run(single) == wanted);
+  assert(run(single) == expected);
   for (std::size_t cut = 0; cut <= all.size(); ++cut)
-    assert(run({all.substr(0, cut), all.substr(cut)}) == wanted);
+    assert(run({all.substr(0, cut), all.substr(cut)}) == expected);
 }
 
-struct CallNotes final : HttpServerSide::Listener {
+struct RequestRecorder final : HttpServerSide::Listener {
   HttpServerSide* side = nullptr;
   std::string text;
   void called(const std::string& method, const std::string& path, Message& message) override {
@@ -41,15 +41,15 @@
   void refused_call(int status) override { text += std::to_string(status) + ";"; }
 };
 
-std::string calls_in(const std::vector<std::string_view>& parts) {
-  CallNotes notes;
-  HttpServerSide side(notes);
-  notes.side = &side;
+std::string parse_requests(const std::vector<std::string_view>& parts) {
+  RequestRecorder recorder;
+  HttpServerSide side(recorder);
+  recorder.side = &side;
   for (const std::string_view part : parts) side.feed(part);
-  return notes.text;
+  return recorder.text;
 }
 
-void http_calls() {
+void http_requests() {
   const std::pair<std::string, std::string> cases[] = {
       {"GET /check HTTP/1.1\r\nHost: a\r\n\r\n", "GET /check [] ;"},
       {"POST /do/x HTTP/1.1\r\nX-A:  b c \r\nContent-Length: 3\r\n\r\nabc", "POST /do/x [b c] abc;"},
@@ -70,19 +70,19 @@
       {"GET /a HTTP/1.1\r\nx-a: 1\r\nX-A: 1\r\n\r\n", "GET /a [1] ;"},
       {"POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc", ""},
   };
-  for (const auto& [bytes, wanted] : cases) in_every_cut(bytes, calls_in, wanted);
-  assert(calls_in({"GET /" + std::string(20000, 'a')}) == "413;");
-  assert(calls_in({"GET / HTTP/1.1\r\nx-a: " + std::string(20000, 'a') + "\r\n\r\n"}) == "413;");
+  for (const auto& [bytes, expected] : cases) check_every_split(bytes, parse_requests, expected);
+  assert(parse_requests({"GET /" + std::string(20000, 'a')}) == "413;");
+  assert(parse_requests({"GET / HTTP/1.1\r\nx-a: " + std::string(20000, 'a') + "\r\n\r\n"}) == "413;");
   std::string out;
   append_json_string(out, "a\"b\\c\n\t\x01\xc3\xa9");
   assert(out == "\"a\\\"b\\\\c\\n\\t\\u0001\xc3\xa9\"");
   assert(nlohmann::json::parse(out).get<std::string>() == "a\"b\\c\n\t\x01\xc3\xa9");
 }
 
-struct TalkNotes final : EngineSession::Listener {
+struct SessionRecorder final : EngineSession::Listener {
   std::string text;
-  void on_attempt_ended(AttemptId key, Outcome outcome, std::vector<std::string> pages) override {
-    text += std::to_string(key.request.value) + "." + std::to_string(key.index) + "=" +
+  void on_attempt_ended(AttemptId attempt, Outcome outcome, std::vector<std::string> pages) override {
+    text += std::to_string(attempt.request.value) + "." + std::to_string(attempt.index) + "=" +
             std::to_string(static_cast<int>(outcome));
     for (const std::string& page : pages) text += "|" + page;
     text += ";";
@@ -98,9 +98,9 @@
   }
 };
 
-std::string answer(std::initializer_list<std::string_view> words) {
+std::string answer(std::initializer_list<std::string_view> strings) {
   std::string out;
-  append_command(out, words);
+  append_command(out, strings);
   return out;
 }
 
@@ -110,7 +110,7 @@
   const std::string whole = answer({id, "HIT", "fetches=1", a});
   const std::pair<std::string, std::string> cases[] = {
       {whole, "10.0=0|" + a + ";"},
-      {whole + whole, "10.0=0|" + a + ";"},  // a second copy
+      {whole + whole, "10.0=0|" + a + ";"},  // a duplicate
       {answer({"ffff", "HIT", "fetches=1", a}) + whole, "10.0=0|" + a + ";"},
       {answer({id, "HIT", "fetches=1", ""}), "10.0=0|;"},
       {answer({id, "HIT", "fetches=3", a}) + answer({id, "PART", "fetch_no=2", c}) +
@@ -118,8 +118,8 @@
            answer({id, "PART", "fetch_no=1", b}),
        "10.0=0|" + a + "|" + b + "|" + c + ";"},
       {answer({id, "HIT", "fetches=2", a}) + answer({id, "FAULT", "-", "gone"}), "10.0=1;"},
-      {answer({id, "HIT", "fetches=2", a}), "owes;10.0=5;"},  // lost with the connection
-      {whole.substr(0, whole.size() - 3), "owes;10.0=5;"},
+      {answer({id, "HIT", "fetches=2", a}), "partial;10.0=5;"},  // lost with the connection
+      {whole.substr(0, whole.size() - 3), "partial;10.0=5;"},
       {answer({id, "SHED", "-", ""}) + answer({id, "SHED", "-", ""}) + whole, "10.0=2;"},
       {answer({id, "LATE", "-", ""}), "10.0=7;"},
       {answer({id, "INFO", "res=progress,figure=0.25", ""}) +
@@ -136,7 +136,7 @@
       {answer({id, "HIT", "fetches=100000000", ""}), "broken;10.0=5;"},
       {answer({id, "HIT", "fetches=2", a}) + answer({id, "PART", "fetch_no=7", b}), "broken;10.0=5;"},
       {answer({id, "HIT", "fetches=2", a}) + answer({id, "PART", "fetch_no=1", ""}), "broken;10.0=5;"},
-      // Well framed, spoilt within: cut, a column short, one too many, no text.
+      // Valid framing and corrupt pages: truncated, a column missing, one too many, invalid UTF-8, a NUL.
       {answer({id, "HIT", "fetches=1", "a\tb\tc"}), "broken;10.0=5;"},
       {answer({id, "HIT", "fetches=1", "a\tb\n"}), "broken;10.0=5;"},
       {answer({id, "HIT", "fetches=1", "a\tb\tc\td\n"}), "broken;10.0=5;"},
@@ -150,23 +150,23 @@
       {"*4\r\n$1\r\nabc", "broken;10.0=5;"},
   };
   const auto run = [&](const std::vector<std::string_view>& parts) {
-    TalkNotes notes;
-    EngineSession talk(notes);
+    SessionRecorder recorder;
+    EngineSession session(recorder);
     std::string out;
-    const EngineRequest want{.id = id, .kind = "x", .token = "", .statement = "s"};
-    talk.submit({RequestId{10}, 0}, want, out);
+    const EngineRequest request{.id = id, .kind = "x", .token = "", .statement = "s"};
+    session.submit({RequestId{10}, 0}, request, out);
     const std::size_t sent = out.size();
     for (const std::string_view part : parts) {
-      if (talk.feed(part, out)) continue;
-      notes.text += "broken;";
+      if (session.feed(part, out)) continue;
+      recorder.text += "broken;";
       break;
     }
-    if (talk.has_partial_answer() && !notes.text.ends_with("broken;")) notes.text += "owes;";
-    assert(talk.knows(id) && !talk.knows("ffff"));  // ended or not, the same id may not come here again
-    talk.on_connection_lost(sent);
-    return notes.text;
+    if (session.has_partial_answer() && !recorder.text.ends_with("broken;")) recorder.text += "partial;";
+    assert(session.may_still_answer(id) && !session.may_still_answer("ffff"));  // also after its end
+    session.on_connection_lost(sent);
+    return recorder.text;
   };
-  for (const auto& [bytes, wanted] : cases) in_every_cut(bytes, run, wanted);
+  for (const auto& [bytes, expected] : cases) check_every_split(bytes, run, expected);
   const std::string all = "\x7f \xc3\xa9 \xe2\x82\xac \xf0\x9f\x9a\x97 \xed\x9f\xbf";
   assert(is_utf8(all) && !is_utf8(all.substr(0, all.size() - 1)));
   for (const char* bad :
@@ -174,12 +174,13 @@
     assert(!is_utf8(bad));
 }
 
-// A dispatch given up ends once: by the echo, by what had crossed, without a word, or with its connection.
-void given_up() {
+// A cancelled attempt ends once: by the engine's echo, by a result that crossed the cancellation, by abandon,
+// or with its connection.
+void cancelled_attempts() {
   const std::string id = "000000000000000a";
   struct Case {
-    std::string bytes, wanted;
-    bool patience_lost;
+    std::string bytes, expected;
+    bool is_abandoned;
   };
   const std::string row = "a\tb\tc\n";
   const Case cases[] = {
@@ -188,39 +189,39 @@
       {answer({id, "HIT", "fetches=2", row}) + answer({"0", "PONG", "-", ""}), "10.0=6;", false},
       {answer({"9", "PONG", "-", ""}), "10.0=6;", true}};
   for (const Case& c : cases) {
-    TalkNotes notes;
-    EngineSession talk(notes);
+    SessionRecorder recorder;
+    EngineSession session(recorder);
     std::string out;
-    const AttemptId key{RequestId{10}, 0};
-    talk.submit(key, {.id = id, .kind = "x", .token = "", .statement = "s", .grant_mb = 7, .priority = 2},
-                out);
+    const AttemptId attempt{RequestId{10}, 0};
+    session.submit(attempt,
+                   {.id = id, .kind = "x", .token = "", .statement = "s", .grant_mb = 7, .priority = 2}, out);
     assert(out.find("kind=x,ms=0,workmem=7,weight=2") != std::string::npos);
-    talk.cancel(key, out);
-    assert(notes.text.empty() && talk.knows(id));
-    assert(talk.feed(c.bytes, out));
-    if (c.patience_lost) talk.abandon(key);
-    assert(notes.text == c.wanted && talk.knows(id) && talk.open() == 0);
-    talk.abandon(key), talk.on_connection_lost(0);
-    assert(notes.text == c.wanted);
+    session.cancel(attempt, out);
+    assert(recorder.text.empty() && session.may_still_answer(id));
+    assert(session.feed(c.bytes, out));
+    if (c.is_abandoned) session.abandon(attempt);
+    assert(recorder.text == c.expected && session.may_still_answer(id) && session.open() == 0);
+    session.abandon(attempt), session.on_connection_lost(0);
+    assert(recorder.text == c.expected);
   }
-  TalkNotes notes;  // what never left can't have run
-  EngineSession talk(notes);
+  SessionRecorder recorder;  // a request that was not sent completely ends as unreachable
+  EngineSession session(recorder);
   std::string out;
-  talk.submit({RequestId{1}, 0}, {.id = "1", .kind = "x", .token = "", .statement = "s"}, out);
+  session.submit({RequestId{1}, 0}, {.id = "1", .kind = "x", .token = "", .statement = "s"}, out);
   const std::size_t first = out.size();
-  talk.submit({RequestId{2}, 0}, {.id = "2", .kind = "x", .token = "", .statement = "s"}, out);
-  talk.on_connection_lost(first);
-  assert(notes.text == "1.0=5;2.0=4;");
+  session.submit({RequestId{2}, 0}, {.id = "2", .kind = "x", .token = "", .statement = "s"}, out);
+  session.on_connection_lost(first);
+  assert(recorder.text == "1.0=5;2.0=4;");
 }
 
-struct EventNotes final : EventStreamReader::Listener {
+struct EventRecorder final : EventStreamReader::Listener {
   std::string text;
   void on_event(std::string_view id, std::string_view data) override {
     text += std::string(id) + "=" + std::string(data) + ";";
   }
 };
 
-void events() {
+void event_stream() {
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
   const std::pair<std::string, std::string> cases[] = {
       {head + "\r\nid: 1\ndata: {}\n\n: comment\n\nid:2\r\ndata:a\r\ndata: b\r\n\r\n", "1={};2=a\nb;"},
@@ -230,19 +231,19 @@
       {"rubbish\r\n\r\n", "broken;"},
   };
   const auto run = [](const std::vector<std::string_view>& parts) {
-    EventNotes notes;
-    EventStreamReader feed(notes);
+    EventRecorder recorder;
+    EventStreamReader feed(recorder);
     for (const std::string_view part : parts) {
       if (feed.feed(part)) continue;
-      notes.text += "broken;";
+      recorder.text += "broken;";
       break;
     }
-    return notes.text;
+    return recorder.text;
   };
-  for (const auto& [bytes, wanted] : cases) in_every_cut(bytes, run, wanted);
+  for (const auto& [bytes, expected] : cases) check_every_split(bytes, run, expected);
 }
 
-void list_of_engines() {
+void endpoint_list() {
   service::Deployment deployment;
   deployment.zones = {"east"}, deployment.kinds = {"std"};
   EndpointList list(deployment, std::chrono::milliseconds(1000));
@@ -253,11 +254,12 @@
   const char* one = R"({"id":"s-1","host_port":"127.0.0.1:1","locality":"east","flavor":"std","cell":2,)"
                     R"("phase":"active","up_since_ms":3000})";
   const char* left = R"({"id":"s-1","phase":"left"})";
-  const auto known =
+  const auto cached =
       list.known(nlohmann::json::parse(R"({"cursor":2,"cmds":[)" + event(1, "true", one) + "]}"));
-  assert(known.update == EndpointUpdate::cached && known.endpoints.size() == 1 && list.resume_version() == 2);
-  assert(known.endpoints[0].engine.started_at == TimePoint(Duration(2'000'000)) &&
-         known.endpoints[0].engine.zone.value == 0);
+  assert(cached.update == EndpointUpdate::cached && cached.endpoints.size() == 1 &&
+         list.resume_version() == 2);
+  assert(cached.endpoints[0].engine.started_at == TimePoint(Duration(2'000'000)) &&
+         cached.endpoints[0].engine.zone.value == 0);
   struct Case {
     const char* id;
     std::string data;
@@ -276,18 +278,19 @@
                         {"9", event(9, "true", one), false, EventResult::applied}};
   for (const Case& c : cases) assert(list.event(c.id, c.data, c.gap_allowed).result == c.result);
   assert(list.resume_version() == 9);
-  // Engines that are replaced all day leave nothing behind.
+  // The names of replaced engines are forgotten.
   for (int number = 10; number < 1000; number += 2) {
     const std::string name = R"({"id":"t-)" + std::to_string(number);
     const std::string up = name + R"(","host_port":"127.0.0.1:1","phase":"active"})";
     assert(list.event("", event(number, "false", up.c_str()), false).result == EventResult::applied);
-    assert(list.names() == 2);
+    assert(list.name_count() == 2);
     assert(
         list.event("", event(number + 1, "false", (name + R"(","phase":"left"})").c_str()), false).result ==
         EventResult::applied);
   }
-  assert(list.names() == 1);
-  assert(list.event("", event(2000, "true", ""), false).result == EventResult::applied && list.names() == 0);
+  assert(list.name_count() == 1);
+  assert(list.event("", event(2000, "true", ""), false).result == EventResult::applied &&
+         list.name_count() == 0);
 }
 
 void table_groups() {
@@ -320,9 +323,9 @@
   assert(!values.text("z"));
 }
 
-// Nothing that comes may do more harm than an ended connection.
+// Random input must not crash the parsers.
 void random_bytes() {
-  std::mt19937 chance(11);
+  std::mt19937 rng(11);
   const std::string pieces[] = {"*4\r\n",      "$1\r\n", "a\r\n",
                                 "HIT",         "\r\n",   "GET / HTTP/1.1\r\n",
                                 "0",           "9",      "Content-Length: ",
@@ -332,44 +335,44 @@
   for (int round = 0; round < 3000; ++round) {
     std::string bytes;
     for (int i = 0; i < 30; ++i) {
-      if (chance() % 3) bytes += pieces[chance() % std::size(pieces)];
-      else bytes.push_back(static_cast<char>(chance()));
+      if (rng() % 3) bytes += pieces[rng() % std::size(pieces)];
+      else bytes.push_back(static_cast<char>(rng()));
     }
-    calls_in({bytes});
-    TalkNotes notes;
-    EngineSession talk(notes);
+    parse_requests({bytes});
+    SessionRecorder recorder;
+    EngineSession session(recorder);
     std::string out;
-    talk.submit({RequestId{1}, 0}, {.id = "a", .kind = "x", .token = "", .statement = "s"}, out);
-    talk.feed(bytes, out), talk.on_connection_lost(0);
-    EventNotes event_notes;
-    EventStreamReader feed(event_notes);
+    session.submit({RequestId{1}, 0}, {.id = "a", .kind = "x", .token = "", .statement = "s"}, out);
+    session.feed(bytes, out), session.on_connection_lost(0);
+    EventRecorder event_recorder;
+    EventStreamReader feed(event_recorder);
     feed.feed("HTTP/1.1 200 OK\r\n\r\n" + bytes);
     table_group(bytes);
   }
 }
 
-// An error within one event is counted, and everything else that waits comes up all the same.
-void errors_within_events() {
+// An exception in one callback is counted, and all other callbacks are run.
+void exceptions_in_callbacks() {
   Loop loop;
-  int came = 0;
-  loop.post([] { throw pearchute::SystemError("one of what is put off"); });
-  loop.post([&] { ++came; });
+  int executed = 0;
+  loop.post([] { throw pearchute::SystemError("a posted callback"); });
+  loop.post([&] { ++executed; });
   loop.at(pearchute::TimePoint(pearchute::Duration(0)), [] { throw pearchute::SystemError("a timer"); });
   loop.at(pearchute::TimePoint(pearchute::Duration(1)), [&] {
-    ++came;
-    loop.post([&] { ++came, loop.stop(); });
+    ++executed;
+    loop.post([&] { ++executed, loop.stop(); });
   });
   loop.run();
-  assert(came == 3 && loop.failed_events() == 2);
+  assert(executed == 3 && loop.failed_events() == 2);
 }
 
 int main() {
-  errors_within_events();
-  http_calls();
+  exceptions_in_callbacks();
+  http_requests();
   engine_answers();
-  given_up();
-  events();
-  list_of_engines();
+  cancelled_attempts();
+  event_stream();
+  endpoint_list();
   table_groups();
   flat_settings();
   random_bytes();
