--- a/tests/scripted_discovery.h
+++ b/tests/scripted_discovery.h
@@ -1,4 +1,4 @@
-// A server in discovery's place that says to each connection what a test wants it to say.
+// A stand-in for discovery whose responses are scripted by a test.
 #pragma once
 
 #include <atomic>
@@ -12,33 +12,34 @@
 
 namespace pearchute::test {
 
-// A plain server in discovery's place that answers each connection in its own way.
+// Calls `answer` with the descriptor of each connection, on a thread of its own. `answer` owns the
+// descriptor.
 class ScriptedDiscovery {
  public:
   explicit ScriptedDiscovery(std::function<void(int)> answer)
-      : door_(listen_on(port_)), thread_([this, answer = std::move(answer)] {
-          while (!over_) {
-            pollfd one{door_, POLLIN, 0};
+      : listener_(listen_on(port_)), thread_([this, answer = std::move(answer)] {
+          while (!stopped_) {
+            pollfd one{listener_, POLLIN, 0};
             if (poll(&one, 1, 20) <= 0) continue;
-            const int peer = accept(door_, nullptr, nullptr);
+            const int peer = accept(listener_, nullptr, nullptr);
             ++connections_;
-            peers_.emplace_back([peer, answer] { answer(peer); });
+            answer_threads_.emplace_back([peer, answer] { answer(peer); });
           }
         }) {}
   ~ScriptedDiscovery() {
-    over_ = true;
+    stopped_ = true;
     thread_.join();
-    for (std::thread& one : peers_) one.join();
-    close(door_);
+    for (std::thread& one : answer_threads_) one.join();
+    close(listener_);
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   int connections() const { return connections_; }
 
  private:
-  int port_ = 0, door_;
-  std::atomic<bool> over_ = false;
+  int port_ = 0, listener_;
+  std::atomic<bool> stopped_ = false;
   std::atomic<int> connections_ = 0;
-  std::vector<std::thread> peers_;
+  std::vector<std::thread> answer_threads_;
   std::thread thread_;
 };
 
--- a/tests/scripted_engine.h
+++ b/tests/scripted_engine.h
@@ -1,5 +1,6 @@
-// An engine whose every word is scripted by a test: one thread for each connection, which reads requests and
-// give-ups and says what the test wants, in any order. It notes when each request came and was given up.
+// An engine whose answers are scripted by a test. One thread for each connection reads requests and
+// cancellations and calls the script, which may send answers in any order. The engine records when it read
+// each request and its cancellation.
 #pragma once
 
 #include <atomic>
@@ -18,31 +19,33 @@
 class ScriptedEngine {
  public:
   struct Seen {
-    Clock::time_point came{};
-    std::optional<Clock::time_point> given_up;
+    Clock::time_point received_at{};
+    std::optional<Clock::time_point> cancelled_at;
   };
-  // Says `words` on the connection at hand.
-  using Say = std::function<void(std::initializer_list<std::string_view> words)>;
+  // Sends an answer on the connection that calls the script.
+  using Say = std::function<void(std::initializer_list<std::string_view> strings)>;
   struct Script {
-    // A request has come; a usual engine answers some time later.
-    std::function<void(const std::string& id, const Say& say)> wanted = [](const std::string&, const Say&) {};
-    // It is given up; `tag` is that of the question behind, which a usual engine answers with PONG.
-    std::function<void(const std::string& id, const std::string& tag, const Say& say)> given_up =
+    // Called when a request is received. Sends no answer by default.
+    std::function<void(const std::string& id, const Say& say)> on_request = [](const std::string&,
+                                                                               const Say&) {};
+    // Called when a cancellation and the probe after it are received. The default answers the probe with PONG
+    // and its `tag`, as a usual engine does.
+    std::function<void(const std::string& id, const std::string& tag, const Say& say)> on_cancel =
         [](const std::string&, const std::string& tag, const Say& say) {
           say({tag, "PONG", "-", ""});
         };
   };
 
-  explicit ScriptedEngine(Script script) : script_(std::move(script)), door_(listen_on(port_)) {
-    doorkeeper_ = std::thread([this] { accept_all(); });
+  explicit ScriptedEngine(Script script) : script_(std::move(script)), listener_(listen_on(port_)) {
+    accept_thread_ = std::thread([this] { accept_all(); });
   }
   ~ScriptedEngine() {
-    over_ = true;
-    shutdown(door_, SHUT_RDWR), close(door_);
-    doorkeeper_.join();
-    for (const int peer : peers_) shutdown(peer, SHUT_RDWR);
-    for (std::thread& one : readers_) one.join();
-    for (const int peer : peers_) close(peer);
+    stopped_ = true;
+    shutdown(listener_, SHUT_RDWR), close(listener_);
+    accept_thread_.join();
+    for (const int peer : connections_) shutdown(peer, SHUT_RDWR);
+    for (std::thread& one : read_threads_) one.join();
+    for (const int peer : connections_) close(peer);
   }
   ScriptedEngine(const ScriptedEngine&) = delete;
   ScriptedEngine& operator=(const ScriptedEngine&) = delete;
@@ -56,55 +59,55 @@
 
  private:
   void accept_all() {
-    while (!over_) {
-      const int peer = accept(door_, nullptr, nullptr);
+    while (!stopped_) {
+      const int peer = accept(listener_, nullptr, nullptr);
       if (peer < 0) return;
-      peers_.push_back(peer);
-      readers_.emplace_back([this, peer] { read_all(peer); });
+      connections_.push_back(peer);
+      read_threads_.emplace_back([this, peer] { read_all(peer); });
     }
   }
   void read_all(int peer) {
-    const Say say_words = [peer](std::initializer_list<std::string_view> words) {
+    const Say send_answer = [peer](std::initializer_list<std::string_view> strings) {
       std::string out;
-      pearchute::net::append_command(out, words);
+      pearchute::net::append_command(out, strings);
       say(peer, out);
     };
     pearchute::net::RespReader reader;
-    std::string given_up;
+    std::string cancelled_id;
     char buffer[4096];
     while (true) {
       const auto got = recv(peer, buffer, sizeof buffer, 0);
       if (got <= 0) return;
-      reader.feed({buffer, static_cast<std::size_t>(got)}, [&](std::vector<std::string>& words) {
-        if (words[0] == "want") {
-          note(words[1]);
-          script_.wanted(words[1], say_words);
-        } else if (words[0] == "never_mind") {
-          given_up = words[1];
+      reader.feed({buffer, static_cast<std::size_t>(got)}, [&](std::vector<std::string>& strings) {
+        if (strings[0] == "want") {
+          record_request(strings[1]);
+          script_.on_request(strings[1], send_answer);
+        } else if (strings[0] == "never_mind") {
+          cancelled_id = strings[1];
           const std::lock_guard lock(mutex_);
-          seen_[words[1]].given_up = Clock::now();
-        } else if (words[0] == "there" && !given_up.empty()) {
-          script_.given_up(std::exchange(given_up, ""), words[1], say_words);
-        } else if (words[0] == "there") {
-          say_words({words[1], "PONG", "-", ""});
+          seen_[strings[1]].cancelled_at = Clock::now();
+        } else if (strings[0] == "there" && !cancelled_id.empty()) {
+          script_.on_cancel(std::exchange(cancelled_id, ""), strings[1], send_answer);
+        } else if (strings[0] == "there") {
+          send_answer({strings[1], "PONG", "-", ""});
         }
       });
     }
   }
-  void note(const std::string& id) {
+  void record_request(const std::string& id) {
     const std::lock_guard lock(mutex_);
-    seen_[id].came = Clock::now();
+    seen_[id].received_at = Clock::now();
   }
 
   Script script_;
   int port_ = 0;
-  int door_ = -1;
-  std::atomic<bool> over_ = false;
+  int listener_ = -1;
+  std::atomic<bool> stopped_ = false;
   mutable std::mutex mutex_;
   std::map<std::string, Seen> seen_;
-  std::vector<int> peers_;
-  std::vector<std::thread> readers_;
-  std::thread doorkeeper_;
+  std::vector<int> connections_;
+  std::vector<std::thread> read_threads_;
+  std::thread accept_thread_;
 };
 
 }  // namespace pearchute::test
--- a/tests/sockets.h
+++ b/tests/sockets.h
@@ -1,5 +1,5 @@
-// What tests of the daemon as a process share: plain blocking sockets on loopback, HTTP calls by hand, and
-// the process itself, started and waited for by id. Never decides what is right.
+// Helpers for tests of the daemon as a process: blocking loopback sockets, HTTP requests as text, and
+// starting the process and waiting for its end.
 #pragma once
 
 #include <arpa/inet.h>
@@ -43,7 +43,7 @@
   return -1;
 }
 
-// A place where connections are begun and do not come up before `opens`: its backlog is full.
+// A listening socket with a full backlog, so that connects don't complete before `opens` is called.
 struct LateDoor {
   int port = 0, fd = listen_on(port);
   int filling[2];
@@ -56,22 +56,23 @@
     close(fd);
   }
   void opens() { assert(listen(fd, 16) == 0); }
-  // All that comes on connections that come up from now on, up to `text` or for so long.
+  // Accepts connections and returns the data that arrives on them, until it contains `text` or the time is
+  // over.
   std::string hears(const std::string& text, std::chrono::milliseconds within) {
-    std::string came;
+    std::string received;
     const auto end = std::chrono::steady_clock::now() + within;
-    while (came.find(text) == std::string::npos && std::chrono::steady_clock::now() < end) {
+    while (received.find(text) == std::string::npos && std::chrono::steady_clock::now() < end) {
       pollfd one{fd, POLLIN, 0};
       if (poll(&one, 1, 50) <= 0) continue;
       const int peer = accept(fd, nullptr, nullptr);
-      const timeval patience{0, 300'000};
-      setsockopt(peer, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+      const timeval timeout{0, 300'000};
+      setsockopt(peer, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
       char buffer[4096];
       const auto got = recv(peer, buffer, sizeof buffer, 0);
-      if (got > 0) came.append(buffer, static_cast<std::size_t>(got));
+      if (got > 0) received.append(buffer, static_cast<std::size_t>(got));
       peers.push_back(peer);
     }
-    return came;
+    return received;
   }
   std::vector<int> peers;
 };
@@ -80,27 +81,27 @@
   [[maybe_unused]] const auto sent = send(fd, text.data(), text.size(), MSG_NOSIGNAL);
 }
 
-// One whole answer, which carries its length, and nothing of what comes behind it; what comes before an end
-// counts, too. `broken`: the end was a reset.
+// Reads one HTTP response with a Content-Length, and none of the data after it. Where the connection ends
+// before that, returns what was received; `broken` is set where it was reset.
 inline std::string hear(int fd, bool* broken = nullptr) {
   std::string text;
   char buffer[4096];
-  std::size_t wanted = 1;  // until the head is whole its length is not known
-  while (wanted > 0) {
-    const auto got = recv(fd, buffer, std::min(wanted, sizeof buffer), 0);
+  std::size_t remaining = 1;  // byte by byte until the head is complete and the length is known
+  while (remaining > 0) {
+    const auto got = recv(fd, buffer, std::min(remaining, sizeof buffer), 0);
     if (broken) *broken = got < 0;
     if (got <= 0) return text;
     text.append(buffer, static_cast<std::size_t>(got));
     const std::size_t head = text.find("\r\n\r\n");
     const std::size_t at = text.find("Content-Length: ");
     if (head == std::string::npos) continue;
-    wanted =
+    remaining =
         at == std::string::npos ? sizeof buffer : head + 4 + std::stoul(text.substr(at + 16)) - text.size();
   }
   return text;
 }
 
-// A call on a connection of its own.
+// Sends a request on a new connection and returns the response; empty where the connect fails.
 inline std::string call(int port, const std::string& bytes) {
   const int fd = connect_to(port);
   if (fd < 0) return "";
@@ -120,7 +121,7 @@
   int number;
   std::string statement;
   int patience_ms;
-  std::string type = "quick", more = "";  // headers
+  std::string type = "quick", more = "";  // `more`: further header lines
   int cost_ms = 5;
   std::string bytes() const {
     return "POST /do/" + type + " HTTP/1.1\r\nhost: a\r\nx-request-id: " + id_of(number) +
@@ -130,6 +131,7 @@
   }
 };
 
+// Waits until the condition is true, with up to `tries` pauses of 10 ms. Returns the condition's last value.
 template <class Condition>
 bool soon(Condition condition, int tries = 500) {
   for (int i = 0; i < tries && !condition(); ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -139,12 +141,13 @@
 using Environment = std::vector<std::pair<std::string, std::string>>;
 
 inline pid_t start(const std::string& configuration, const Environment& environment = {}) {
-  Environment whole = {{"PROXY_CONFIG", configuration}};
-  whole.insert(whole.end(), environment.begin(), environment.end());
+  Environment variables = {{"PROXY_CONFIG", configuration}};
+  variables.insert(variables.end(), environment.begin(), environment.end());
   return pearchute::lab::start_child(
-      {.program = PEARCHUTED, .arguments = {}, .environment = whole, .log = {}, .inherits = true});
+      {.program = PEARCHUTED, .arguments = {}, .environment = variables, .log = {}, .inherits = true});
 }
 
+// Waits for the end of the process. Returns its exit status, -1 where a signal ended it.
 inline int end_of(pid_t child) {
   int status = 0;
   waitpid(child, &status, 0);
--- a/tests/test_shortages.cpp
+++ b/tests/test_shortages.cpp
@@ -1,5 +1,5 @@
-// System calls that fail for a moment at an awkward one, from outside: the daemon as a process whose calls
-// are made to fail. Each scenario is a test of its own, named on the command line.
+// Tests of the daemon and the command line as processes whose system calls are made to fail temporarily. Each
+// scenario is a test of its own, named on the command line.
 #include <sys/stat.h>
 
 #include <cstring>
@@ -17,8 +17,9 @@
 
 namespace {
 
-// The system has no memory to watch a socket with, now and then: what came on it is answered all the same.
-void sockets_unwatched() {
+// Registering a socket with the event loop fails at times for lack of memory. All requests have to be
+// answered.
+void watch_registration_fails() {
   FaultyDaemon fixture;
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}}));
   fixture.faults.set(FaultKind::watch_fails, 0.3);
@@ -34,16 +35,16 @@
   assert(answered == 100);
 }
 
-// Connections wait to be accepted when the manager stops listening, and accept tells of errors that concern
-// one connection each: those behind it are taken all the same.
-void odd_accept_errors_at_the_end() { answers_all_that_wait_at_the_end(FaultKind::accept_odd); }
+// Connections wait to be accepted when the manager stops listening, and accept returns errors that concern
+// one connection each. The connections behind them have to be accepted.
+void accept_errors_at_shutdown() { answers_all_that_wait_at_the_end(FaultKind::accept_odd); }
 
-// A connect that a signal interrupts before it has begun is no connection that has broken.
+// A connect that a signal interrupts before it starts must not be taken for an unreachable engine.
 void interrupted_connects() {
   FaultyDaemon fixture;
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}}));
   fixture.faults.set(FaultKind::connect_interrupted, 0.5);
-  // A connection to the engine for each: all are out together.
+  // All requests are open at the same time, so each needs a connection to the engine.
   std::vector<int> clients;
   for (int i = 0; i < 12; ++i) clients.push_back(fixture.open(job("work=100", 3000)));
   int answered = 0;
@@ -52,7 +53,7 @@
     close(fd);
   }
   const std::uint64_t unreachable = fixture.counter("unreachable");
-  std::fprintf(stderr, "%d of 12 were answered, %llu attempts found nobody\n", answered,
+  std::fprintf(stderr, "%d of 12 were answered, %llu attempts were unreachable\n", answered,
                static_cast<unsigned long long>(unreachable));
   assert(fixture.faults.struck(FaultKind::connect_interrupted) > 2);
   assert(answered == 12 && unreachable == 0);
@@ -62,22 +63,22 @@
   return StandInChannel::event(1, members, true).dump();
 }
 
-// Discovery can't be reached, and a new configuration tells what has happened since the start: that an engine
-// drains counts as told.
-void drain_is_heeded_by_reload(const std::string& behind_the_drain) {
+// Discovery is unreachable, and a reloaded configuration contains newer events. The drain of an engine among
+// them has to take effect.
+void reload_applies_drain(const std::string& later_events) {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a"), b = fixture.engine("b");
-  int nobody = 0;
-  close(listen_on(nobody));
-  const std::string channel = "127.0.0.1:" + std::to_string(nobody);
+  int unused_port = 0;
+  close(listen_on(unused_port));
+  const std::string channel = "127.0.0.1:" + std::to_string(unused_port);
   const std::string start = list_of({{"a", a, "east", "std", "active"}, {"b", b, "east", "std", "active"}});
   const std::string drain = StandInChannel::event(2, {{"a", a, "east", "std", "leaving"}}, false).dump();
   fixture.configure(usual_settings, R"({"cursor":1,"cmds":[)" + start + "]}", channel);
   fixture.go();
-  fixture.configure(usual_settings, R"({"cursor":2,"cmds":[)" + start + "," + drain + behind_the_drain + "]}",
+  fixture.configure(usual_settings, R"({"cursor":2,"cmds":[)" + start + "," + drain + later_events + "]}",
                     channel);
   kill(fixture.daemon, SIGHUP);
-  // Many at once, so that an engine which takes work gets some of it.
+  // Sends many requests at once, so that an engine that accepts requests gets some of them.
   const auto begun_at_a = [&] {
     std::vector<JobCall> calls;
     std::vector<int> clients;
@@ -97,14 +98,14 @@
   assert(begun_at_a() == 0);
 }
 
-void reload_tells_what_discovery_could_not() { drain_is_heeded_by_reload(""); }
+void reload_applies_newer_events() { reload_applies_drain(""); }
 
-// What is sound counts, though an event behind it can't be read.
-void reload_with_a_broken_event() { drain_is_heeded_by_reload(R"(,{"cursor":"three"})"); }
+// The events before a malformed one take effect.
+void reload_with_a_malformed_event() { reload_applies_drain(R"(,{"cursor":"three"})"); }
 
-// The list tells an engine by a name, and names can't be resolved at the moment: jobs for the sound engine
-// don't wait for that.
-void engine_told_by_a_name() {
+// The endpoint list contains an engine with a host name instead of a numeric address, and resolving is slow.
+// Requests for the other engine must not wait for that.
+void engine_with_a_host_name() {
   FaultyDaemon fixture;
   fixture.faults.set(FaultKind::resolve_slow, 1);
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}, {"b", "engine-b.example:6565"}}));
@@ -114,11 +115,11 @@
     assert(hear(fd).starts_with("HTTP/1.1 200"));
     close(fd);
   }
-  std::fprintf(stderr, "20 jobs took %lld ms\n", static_cast<long long>(elapsed_ms(begun)));
+  std::fprintf(stderr, "20 requests took %lld ms\n", static_cast<long long>(elapsed_ms(begun)));
   assert(elapsed_ms(begun) < 1000);
 }
 
-// A fleet's whole list may come as one chunk of hundreds of kilobytes.
+// The snapshot of a large fleet may arrive as one HTTP chunk of hundreds of kilobytes.
 void list_in_one_chunk() {
   DaemonFixture fixture;
   const std::string engine = fixture.engine("a");
@@ -128,23 +129,23 @@
   const std::string event = "id: 1\ndata: " + list_of(members) + "\n\n";
   char size[32];
   std::snprintf(size, sizeof size, "%zx\r\n", event.size());
-  std::atomic<bool> over = false;
+  std::atomic<bool> stopped = false;
   ScriptedDiscovery discovery([&](int peer) {
     hear_request(peer);
     say(peer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + std::string(size) + event + "\r\n");
-    while (!over) pass(milliseconds(10));
+    while (!stopped) pass(milliseconds(10));
     close(peer);
   });
   fixture.configure(usual_settings, R"({"cursor":0,"cmds":[]})", discovery.address());
   fixture.daemon = ::start(fixture.configuration, fixture.environment);
   const bool ready = soon([&] { return fixture.ready(); }, 500);
-  over = true;
+  stopped = true;
   assert(ready);
 }
 
-// A second manager is started by mistake with the first one's admin channel, and has no socket at first to
-// look whether somebody listens there: the first one's socket stays.
-void admin_socket_of_another() {
+// A second manager is started by mistake with the first one's admin channel, and can't get a socket at first
+// to check whether a process listens there. It must not remove the first one's socket.
+void admin_socket_in_use() {
   DaemonFixture fixture;
   fixture.configure(usual_settings, known({{"a", fixture.engine("a")}}));
   const std::string admin = fixture.folder + "/admin.ini", socket = fixture.folder + "/admin.sock";
@@ -156,13 +157,13 @@
     return start_child(
         {.program = PEARCHUTED, .arguments = {"--admin", admin}, .environment = environment, .log = {}});
   };
-  const auto number_of_socket = [&] {
-    struct stat what {};
-    return stat(socket.c_str(), &what) == 0 ? what.st_ino : 0;
+  const auto socket_inode = [&] {
+    struct stat status {};
+    return stat(socket.c_str(), &status) == 0 ? status.st_ino : 0;
   };
   fixture.daemon = start_manager({});
   assert(soon([&] { return fixture.ready(); }));
-  const auto before = number_of_socket();
+  const auto before = socket_inode();
   assert(before != 0);
   std::uint64_t struck = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -170,18 +171,18 @@
     faults.set(FaultKind::socket_fails, 0.5);
     assert(end_of(start_manager(faults.environment())) == 1);
     struck += faults.struck(FaultKind::socket_fails);
-    assert(number_of_socket() == before);
+    assert(socket_inode() == before);
   }
   assert(struck > 0);
   unlink(admin.c_str());
 }
 
-// An operator restarts a manager, and no process can be had for it at first: by then it has ended, so it is
-// tried again.
-void restart_without_a_process() {
-  ClusterSpec site;
-  site.managers = 1, site.engines = 1, site.pearchuted = PEARCHUTED;
-  TestCluster cluster(site);
+// An operator restarts a manager, and creating the new process fails at first. The old one has ended by then,
+// so the start has to be retried.
+void restart_while_fork_fails() {
+  ClusterSpec spec;
+  spec.managers = 1, spec.engines = 1, spec.pearchuted = PEARCHUTED;
+  TestCluster cluster(spec);
   cluster.must_serve(1);
   const std::string fleet = cluster.write_fleet();
   std::uint64_t struck = 0;
@@ -199,11 +200,11 @@
   assert(struck > 0);
 }
 
-// What an operator asks is answered while the command line's own calls fail now and then.
-void command_line_while_calls_fail() {
-  ClusterSpec site;
-  site.managers = 3, site.engines = 1, site.pearchuted = PEARCHUTED;
-  TestCluster cluster(site);
+// The command line's status command succeeds while its own system calls fail at times.
+void command_line_while_system_calls_fail() {
+  ClusterSpec spec;
+  spec.managers = 3, spec.engines = 1, spec.pearchuted = PEARCHUTED;
+  TestCluster cluster(spec);
   cluster.must_serve(1);
   const std::string fleet = cluster.write_fleet();
   constexpr FaultKind kinds[] = {FaultKind::receive_interrupted, FaultKind::receive_short,
@@ -217,16 +218,16 @@
     const Ran ran =
         run_program(PEARCHUTECTL, {"--fleet", fleet, "--output", "json", "status"}, faults.environment());
     for (const FaultKind kind : kinds) struck += faults.struck(kind);
-    const auto told = nlohmann::json::parse(ran.out, nullptr, false);
+    const auto status = nlohmann::json::parse(ran.out, nullptr, false);
     if (ran.status != 0)
       std::fprintf(stderr, "seed %llu: %s\n", static_cast<unsigned long long>(seed), ran.out.c_str());
-    assert(ran.status == 0 && !told.is_discarded());
+    assert(ran.status == 0 && !status.is_discarded());
     for (const char* name : {"n1", "n2", "n3"}) assert(ran.out.find(name) != std::string::npos);
   }
   assert(struck > 20);
 }
 
-// Waits are interrupted now and then, also the log's: no line is lost by that.
+// Signals interrupt waits at times, also those of the log sink. No log line may be lost by that.
 void log_lines_while_waits_are_interrupted() {
   FaultyDaemon fixture;
   fixture.configure(usual_settings, known({{"a", fixture.engine("a")}}));
@@ -237,35 +238,35 @@
   fixture.daemon = start_child(
       {.program = PEARCHUTED, .arguments = {}, .environment = environment, .log = log, .inherits = false});
   assert(soon([&] { return fixture.ready(); }));
-  constexpr int jobs = 30;
-  for (int i = 0; i < jobs; ++i) {
+  constexpr int request_count = 30;
+  for (int i = 0; i < request_count; ++i) {
     assert(call(fixture.port, job("work=1", 3000).bytes()).starts_with("HTTP/1.1 200"));
-    pass(milliseconds(30));  // lines are written out some at a time
+    pass(milliseconds(30));  // the time of several log flushes
   }
   kill(fixture.daemon, SIGTERM);
   assert(fixture.ended() == 0);
   std::ifstream file(log);
-  int leaves = 0;
+  int sent_lines = 0;
   for (std::string line; std::getline(file, line);)
-    leaves += line.find(" sent: endpoint=a ") != std::string::npos;
-  std::fprintf(stderr, "%d of %d lines were written\n", leaves, jobs);
+    sent_lines += line.find(" sent: endpoint=a ") != std::string::npos;
+  std::fprintf(stderr, "%d of %d lines were written\n", sent_lines, request_count);
   unlink(log.c_str());
-  assert(leaves == jobs && fixture.faults.struck(FaultKind::wait_interrupted) > 0);
+  assert(sent_lines == request_count && fixture.faults.struck(FaultKind::wait_interrupted) > 0);
 }
 
 constexpr Scenario scenarios[] = {
     {"log_lines_while_waits_are_interrupted", log_lines_while_waits_are_interrupted},
 
-    {"sockets_unwatched", sockets_unwatched},
-    {"odd_accept_errors_at_the_end", odd_accept_errors_at_the_end},
+    {"watch_registration_fails", watch_registration_fails},
+    {"accept_errors_at_shutdown", accept_errors_at_shutdown},
     {"interrupted_connects", interrupted_connects},
-    {"reload_tells_what_discovery_could_not", reload_tells_what_discovery_could_not},
-    {"reload_with_a_broken_event", reload_with_a_broken_event},
-    {"engine_told_by_a_name", engine_told_by_a_name},
-    {"restart_without_a_process", restart_without_a_process},
-    {"command_line_while_calls_fail", command_line_while_calls_fail},
+    {"reload_applies_newer_events", reload_applies_newer_events},
+    {"reload_with_a_malformed_event", reload_with_a_malformed_event},
+    {"engine_with_a_host_name", engine_with_a_host_name},
+    {"restart_while_fork_fails", restart_while_fork_fails},
+    {"command_line_while_system_calls_fail", command_line_while_system_calls_fail},
     {"list_in_one_chunk", list_in_one_chunk},
-    {"admin_socket_of_another", admin_socket_of_another}};
+    {"admin_socket_in_use", admin_socket_in_use}};
 
 }  // namespace
 
--- a/tests/test_stalls.cpp
+++ b/tests/test_stalls.cpp
@@ -1,6 +1,6 @@
-// A process that has no turn for a while, and what its clients did meanwhile: whatever it comes to first when
-// it goes on, nothing that came is dropped, and nothing begins that was called off. Each scenario is a test
-// of its own, named on the command line.
+// Tests of the daemon process after a stall: requests that arrived during the stall are answered, and
+// requests that were cancelled during it are not sent. Each scenario is a test of its own, named on the
+// command line.
 #include <cstring>
 
 #include "daemon_fixture.h"
@@ -11,143 +11,142 @@
 
 namespace {
 
-// Over the 50 ms within which a request that crosses a close may be sent again, and over the 100 ms within
-// which an attempt may begin after its client has cancelled.
+// Longer than the 50 ms within which a request that crosses a close may be sent again, and than the 100 ms
+// within which an attempt may begin after its client has cancelled.
 constexpr milliseconds stall(400);
 
-// The table of clients is full, and more come while the process has no turn. Then a client that rests between
-// calls makes one: it has to be answered, although its connection is the least useful one when the newcomers
-// are seen.
-void call_behind_a_full_table() {
+// The table of clients is full, and more clients connect during a stall. Then idle clients send requests,
+// which have to be answered, although their connections are the least useful ones when the new ones are
+// accepted.
+void request_with_full_client_table() {
   DaemonFixture fixture;
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}}));
-  constexpr int most_clients = 256 / 2 - 8, resting = most_clients - 2, newcomers = 40;
-  std::vector<int> clients, late;
-  for (int i = 0; i < resting; ++i) {
+  constexpr int max_clients = 256 / 2 - 8, idle_count = max_clients - 2, new_connection_count = 40;
+  std::vector<int> clients, new_connections;
+  for (int i = 0; i < idle_count; ++i) {
     clients.push_back(fixture.open(job("work=1", 3000)));
     assert(hear(clients.back()).starts_with("HTTP/1.1 200"));
   }
   {
     const Stalled process(fixture.daemon);
-    for (int i = 0; i < newcomers; ++i) late.push_back(connect_to(fixture.port));
+    for (int i = 0; i < new_connection_count; ++i) new_connections.push_back(connect_to(fixture.port));
     for (int i = 0; i < 10; ++i) say(clients[static_cast<std::size_t>(i)], job("work=1", 3000).bytes());
     pass(stall);
   }
   int unanswered = 0;
   for (int i = 0; i < 10; ++i)
     unanswered += !hear(clients[static_cast<std::size_t>(i)]).starts_with("HTTP/1.1 ");
-  std::fprintf(stderr, "%d of 10 calls had no answer\n", unanswered);
+  std::fprintf(stderr, "%d of 10 requests were not answered\n", unanswered);
   assert(unanswered == 0);
   for (const int fd : clients) close(fd);
-  for (const int fd : late) close(fd);
+  for (const int fd : new_connections) close(fd);
 }
 
-// Jobs of a weight that leaves some of them waiting for the one engine, each by a client with a path.
+// Settings under which some of the expensive requests have to wait for the only engine.
 constexpr const char* narrow_settings = R"({"classes":[
     {"name":"quick","repeat":"pure","slo":8500000,"giveUp":9000000,"worth":1}],
     "hostTypes":["std"],"failureDomains":["east"],"zone":"east","nInstances":1,
     "familyInfo":{"coresByKind":[1],"sizeMb":[100]},
     "limits":{"attemptsCap":1,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":1}})";
 
-// Clients cancel by DELETE on new connections while the process has no turn, and the engine becomes free
-// meanwhile: what they cancelled does not begin.
+// During a stall, clients cancel their requests by DELETE on new connections, and the engine becomes free.
+// The cancelled requests must not be sent to it.
 void cancelled_while_stalled() {
   DaemonFixture fixture;
   fixture.go(narrow_settings, known({{"a", fixture.engine("a", 1)}}));
-  constexpr int jobs = 8;
-  std::vector<JobCall> calls;
+  constexpr int request_count = 8;
+  std::vector<JobCall> requests;
   std::vector<int> clients, cancelling;
-  for (int i = 0; i < jobs; ++i) {
-    calls.push_back(job("work=1200", 8000));
-    calls.back().cost_ms = 1200;
-    clients.push_back(fixture.open(calls.back()));
+  for (int i = 0; i < request_count; ++i) {
+    requests.push_back(job("work=1200", 8000));
+    requests.back().cost_ms = 1200;
+    clients.push_back(fixture.open(requests.back()));
   }
-  for (int i = 0; i < jobs; ++i) {
+  for (int i = 0; i < request_count; ++i) {
     const std::string first = hear(clients[static_cast<std::size_t>(i)]);
     if (first.find("{\"link\":") != std::string::npos)
-      say(clients[static_cast<std::size_t>(i)], fetch_of(calls[static_cast<std::size_t>(i)]));
+      say(clients[static_cast<std::size_t>(i)], fetch_of(requests[static_cast<std::size_t>(i)]));
   }
   pass(milliseconds(100));
   std::vector<std::size_t> waiting;
   {
     const Stalled process(fixture.daemon);
-    for (std::size_t i = 0; i < calls.size(); ++i) {
-      if (fixture.begun("a", calls[i]) == 0) waiting.push_back(i);
+    for (std::size_t i = 0; i < requests.size(); ++i) {
+      if (fixture.begun("a", requests[i]) == 0) waiting.push_back(i);
     }
     for (const std::size_t i : waiting) {
       cancelling.push_back(connect_to(fixture.port));
-      say(cancelling.back(), "DELETE /job/" + id_of(calls[i].number) + " HTTP/1.1\r\n\r\n");
+      say(cancelling.back(), "DELETE /job/" + id_of(requests[i].number) + " HTTP/1.1\r\n\r\n");
     }
-    pass(milliseconds(2600));  // what the engine is at ends meanwhile
+    pass(milliseconds(2600));  // the request that the engine executes ends meanwhile
   }
   for (const int fd : cancelling) assert(hear(fd).starts_with("HTTP/1.1 200"));
   int begun = 0;
-  for (const std::size_t i : waiting) begun += fixture.begun("a", calls[i]);
-  std::fprintf(stderr, "%d of %zu that were cancelled began\n", begun, waiting.size());
+  for (const std::size_t i : waiting) begun += fixture.begun("a", requests[i]);
+  std::fprintf(stderr, "%d of %zu cancelled requests were sent to the engine\n", begun, waiting.size());
   assert(!waiting.empty() && begun == 0);
   for (const int fd : clients) close(fd);
   for (const int fd : cancelling) close(fd);
 }
 
-// The last answer on a connection goes to a client that reads it slowly, and without a pause: all of it
-// comes.
+// A client that reads the last answer on a connection slowly, but steadily, receives all of it.
 void last_answer_read_slowly() {
-  struct Nobody final : pearchute::net::Connection::Listener {
+  struct IgnoreEvents final : pearchute::net::Connection::Listener {
     void on_data(std::string_view) override {}
     void on_closed() override {}
-  } nobody;
+  } listener;
   int port = 0;
-  const int door = listen_on(port);
+  const int listening = listen_on(port);
   const std::string text(24 << 20, 'x');
-  std::size_t got = 0;
+  std::size_t received_bytes = 0;
   std::thread reader([&] {
-    const int peer = accept(door, nullptr, nullptr);
+    const int peer = accept(listening, nullptr, nullptr);
     std::string buffer(1 << 18, ' ');
     while (true) {
       const auto part = recv(peer, buffer.data(), buffer.size(), MSG_WAITALL);
       if (part <= 0) break;
-      got += static_cast<std::size_t>(part);
+      received_bytes += static_cast<std::size_t>(part);
       pass(milliseconds(20));
     }
     close(peer);
   });
   pearchute::net::Loop loop;
-  auto wire = std::make_unique<pearchute::net::Connection>(
-      loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<std::uint16_t>(port)), nobody);
-  wire->send(text);
-  loop.finish(std::move(wire));
-  const std::function<void()> look = [&] {
+  auto connection = std::make_unique<pearchute::net::Connection>(
+      loop, Poco::Net::SocketAddress("127.0.0.1", static_cast<std::uint16_t>(port)), listener);
+  connection->send(text);
+  loop.finish(std::move(connection));
+  const std::function<void()> stop_when_finished = [&] {
     if (loop.finishing() == 0) return loop.stop();
-    loop.at(loop.now() + milliseconds(10), look);
+    loop.at(loop.now() + milliseconds(10), stop_when_finished);
   };
-  look();
+  stop_when_finished();
   loop.run();
   reader.join();
-  std::fprintf(stderr, "%zu of %zu bytes came\n", got, text.size());
-  assert(got == text.size());
-  close(door);
+  std::fprintf(stderr, "%zu of %zu bytes received\n", received_bytes, text.size());
+  assert(received_bytes == text.size());
+  close(listening);
 }
 
-// The process has no turn while it is at work on an event: what it decides after that waits until it has
-// looked for what has come meanwhile, as what it decides after a wait without a turn does.
-void held_up_within_an_event() {
+// After a stall within an event, as after a stall during a poll, the loop has to report an input backlog, so
+// that requests are sent only after the input that has arrived meanwhile is read.
+void stall_within_an_event() {
   pearchute::net::Loop loop;
-  bool was_behind = false, was_before = false;
+  bool backlog_after = false, backlog_before = false;
   loop.at(loop.now() + milliseconds(20), [&] {
-    was_before = loop.has_input_backlog();
+    backlog_before = loop.has_input_backlog();
     pass(milliseconds(100));
-    was_behind = loop.has_input_backlog();
+    backlog_after = loop.has_input_backlog();
     loop.run_when_input_drained([&] { loop.stop(); });
   });
   loop.run();
-  std::fprintf(stderr, "behind before: %d, after: %d\n", was_before, was_behind);
-  assert(!was_before && was_behind);
+  std::fprintf(stderr, "input backlog before: %d, after: %d\n", backlog_before, backlog_after);
+  assert(!backlog_before && backlog_after);
 }
 
-constexpr Scenario scenarios[] = {{"call_behind_a_full_table", call_behind_a_full_table},
+constexpr Scenario scenarios[] = {{"request_with_full_client_table", request_with_full_client_table},
                                   {"cancelled_while_stalled", cancelled_while_stalled},
                                   {"last_answer_read_slowly", last_answer_read_slowly},
-                                  {"held_up_within_an_event", held_up_within_an_event}};
+                                  {"stall_within_an_event", stall_within_an_event}};
 
 }  // namespace
 
