--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,5 +1,5 @@
-// The state of one engine of the endpoint list. Each member after `is_up` is the state of one decision; only
-// that decision modifies it, and the others read it through its interface.
+// The state of one engine of the endpoint list. `ledger`, `latency`, `health` and `slow_start` each belong to
+// one decision; other code reads and changes them only through its interface.
 #pragma once
 
 #include <map>
--- a/src/core/latency_model.cpp
+++ b/src/core/latency_model.cpp
@@ -26,8 +26,9 @@
 // not determine it.
 constexpr double max_sample_multiple = 2;
 
-// The concurrency factor falls while the latency ratio is above overload_ratio and the model is overloaded,
-// and rises while slots are used otherwise.
+// The concurrency factor falls while the latency ratio is above overload_ratio and the 95th percentile of
+// some type is above overload_p95_ratio. Otherwise it rises while used_share_to_increase of the slots are
+// used.
 constexpr double overload_ratio = 1.5;
 constexpr double overload_p95_ratio = 2;
 constexpr double decrease_share = 0.15;
--- a/src/core/outlier_detector.h
+++ b/src/core/outlier_detector.h
@@ -21,7 +21,7 @@
 // Why an engine was last ejected.
 enum class EjectionReason {
   none,
-  errors,       // its error rate is too high
+  errors,       // its error rate is too high, or a trial request ended with an error
   unreachable,  // it could not be connected to
   unanswered,   // an attempt timed out, and the engine has not responded to any attempt since it was sent
   silent        // attempts are overdue, and the engine has not responded to any attempt since they were sent
