--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Time-outs are checked and pending calls of busy connections resumed at this interval.
+// The interval at which timeouts are checked and pending calls of busy connections are resumed.
 constexpr milliseconds sweep_interval(50);
 constexpr seconds call_timeout(5);   // from the first byte of a call to its last
 constexpr seconds read_timeout(10);  // within which a client has to read some of the bytes sent to it
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -110,10 +110,10 @@
   add(app_, "status", "each manager's state", [](Commands& managers) { return managers.status(); });
   add(app_, "engines", "what each manager believes of its engines",
       [](Commands& managers) { return managers.engines(); });
-  CLI::App* jobs = add(app_, "jobs", "the oldest open jobs", [this](Commands& managers) {
-    return managers.jobs(static_cast<std::uint32_t>(max_jobs_));
+  CLI::App* requests = add(app_, "jobs", "the oldest open jobs", [this](Commands& managers) {
+    return managers.requests(static_cast<std::uint32_t>(max_requests_));
   });
-  jobs->add_option("--most", max_jobs_, "of each manager")->check(CLI::Range(1, 200));
+  requests->add_option("--most", max_requests_, "of each manager")->check(CLI::Range(1, 200));
   CLI::App* top = add(app_, "top", "status again and again, with rates", [this](Commands& managers) {
     return managers.top(milliseconds(top_interval_ms_), top_rounds_);
   });
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -95,7 +95,7 @@
   int max_concurrent_restarts_ = 1;
   std::vector<std::string> engines_;
   std::string log_level_;
-  int max_jobs_ = 50;
+  int max_requests_ = 50;
   int top_interval_ms_ = 2000;
   int top_rounds_ = 0;
   int watch_ms_ = 0;
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -39,7 +39,8 @@
 
   int status();
   int engines();
-  int jobs(std::uint32_t limit);
+  // Prints the oldest open requests, at most `limit` of each manager.
+  int requests(std::uint32_t limit);
   // Prints the status every `interval`, `rounds` times; 0: until interrupted.
   int top(std::chrono::milliseconds interval, int rounds);
   // Prints events for `time`; 0: until interrupted.
--- a/src/ctl/queries.cpp
+++ b/src/ctl/queries.cpp
@@ -74,17 +74,17 @@
   return row;
 }
 
-json job_row(const Instance& instance, const admin::v1::Job& job) {
+json request_row(const Instance& instance, const admin::v1::Job& request) {
   std::string engines;
-  for (const std::string& engine : job.out()) engines += (engines.empty() ? "" : ",") + engine;
+  for (const std::string& engine : request.out()) engines += (engines.empty() ? "" : ",") + engine;
   json row = instance_row(instance);
-  row["job"] = job.id();
-  row["type"] = job.type();
-  row["age"] = age_text(job.age_ms());
-  row["left_ms"] = job.left_ms();
-  row["dispatches"] = job.dispatches();
+  row["job"] = request.id();
+  row["type"] = request.type();
+  row["age"] = age_text(request.age_ms());
+  row["left_ms"] = request.left_ms();
+  row["dispatches"] = request.dispatches();
   row["out"] = engines;
-  row["waits_for"] = job.waits_for();
+  row["waits_for"] = request.waits_for();
   return row;
 }
 
@@ -222,11 +222,11 @@
                      add_rows);
 }
 
-int Commands::jobs(std::uint32_t limit) {
+int Commands::requests(std::uint32_t limit) {
   Call call;
   call.mutable_jobs()->set_most(limit);
   const auto add_rows = [](const Instance& instance, const admin::v1::Reply& reply, Rows& rows) {
-    for (const admin::v1::Job& job : reply.jobs().jobs()) rows.push_back(job_row(instance, job));
+    for (const admin::v1::Job& request : reply.jobs().jobs()) rows.push_back(request_row(instance, request));
   };
   return print_query(executor_.call_pages(chosen_, [&](const auto&) { return call; }),
                      {"instance", "job", "type", "age", "left_ms", "dispatches", "out", "waits_for"},
--- a/src/simulator_adapter/fields.h
+++ b/src/simulator_adapter/fields.h
@@ -25,8 +25,8 @@
   const service::NamedValues& values() const { return values_; }
   std::optional<std::string_view> text(std::string_view name) const { return values_.text(name); }
   std::string_view required_text(std::string_view name) const { return values_.required_text(name); }
-  std::optional<std::int64_t> whole(std::string_view name) const { return values_.whole(name); }
-  std::int64_t required_whole(std::string_view name) const { return values_.required_whole(name); }
+  std::optional<std::int64_t> integer(std::string_view name) const { return values_.whole(name); }
+  std::int64_t required_integer(std::string_view name) const { return values_.required_whole(name); }
   std::optional<double> number(std::string_view name) const { return values_.number(name); }
   bool flag(std::string_view name) const { return values_.flag(name); }
 
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -57,7 +57,7 @@
         start_(session.clock_),
         deployment_(service::decode(fields.values())) {
     manager_ = std::make_unique<WorkloadManager>(
-        deployment_.service, static_cast<std::uint64_t>(fields.required_whole("nonce64")), *this);
+        deployment_.service, static_cast<std::uint64_t>(fields.required_integer("nonce64")), *this);
   }
 
   WorkloadManager& manager() { return *manager_; }
@@ -146,7 +146,7 @@
       fields_.read(line_);
       if (fields_.message() == "MARK") {
         if (in_batch) throw Malformed("MARK before the END of the last batch");
-        const Duration clock(fields_.required_whole("simTime"));
+        const Duration clock(fields_.required_integer("simTime"));
         if (clock < clock_)
           throw Malformed("simTime goes back from " + std::to_string(clock_.count()) + " to " +
                           std::to_string(clock.count()));
@@ -176,7 +176,7 @@
 void Session::process_line() {
   const std::string_view message = fields_.message();
   if (message == "AT") {
-    addressed_manager_ = fields_.required_whole("manager");
+    addressed_manager_ = fields_.required_integer("manager");
   } else if (message == "POOL") {
     read_endpoint_list();
   } else if (!addressed_manager_) {
@@ -202,8 +202,8 @@
 }
 
 void Session::read_endpoint_list() {
-  const std::int64_t bank = fields_.required_whole("bank");
-  const std::int64_t rows = fields_.required_whole("rows");
+  const std::int64_t bank = fields_.required_integer("bank");
+  const std::int64_t rows = fields_.required_integer("rows");
   std::vector<ListedEngine> engines;
   for (std::int64_t i = 0; i < rows; ++i) {
     if (!next_line()) throw Malformed("the input ended within a POOL");
@@ -211,14 +211,14 @@
     if (fields_.message() != "ENTRY")
       throw Malformed("expected ENTRY, got '" + std::string(fields_.message()) + "'");
     ListedEngine& listed = engines.emplace_back();
-    listed.engine.id = EngineId{static_cast<std::uint32_t>(fields_.required_whole("engine"))};
+    listed.engine.id = EngineId{static_cast<std::uint32_t>(fields_.required_integer("engine"))};
     listed.engine.state = one_of<EngineState>(
         "mode", fields_.text("mode").value_or("up"),
         {{"up", EngineState::up}, {"draining", EngineState::draining}, {"removed", EngineState::removed}});
-    listed.engine.cell = CellId{fields_.whole("unitGroup").value_or(0)};
+    listed.engine.cell = CellId{fields_.integer("unitGroup").value_or(0)};
     listed.zone = fields_.text("failureDomain").value_or("");
     listed.kind = fields_.text("familyType").value_or("");
-    listed.started_at = fields_.whole("onlineSince");
+    listed.started_at = fields_.integer("onlineSince");
   }
   endpoint_lists_[bank] = std::move(engines);
 }
@@ -228,24 +228,24 @@
   WorkloadManager& manager = instance.manager();
   const TimePoint now = instance.now();
   const auto request = [&] {
-    return RequestId{static_cast<std::uint64_t>(fields_.required_whole("handle"))};
+    return RequestId{static_cast<std::uint64_t>(fields_.required_integer("handle"))};
   };
   const auto attempt_index = [&] {
-    const std::int64_t number = fields_.required_whole("copy");
+    const std::int64_t number = fields_.required_integer("copy");
     if (number < 0 || number > 1'000'000)
       throw Malformed("'copy' must be from 0 to 1000000, got " + std::to_string(number));
     return static_cast<int>(number);
   };
-  const auto elapsed = [&] { return Duration(fields_.whole("elapsed").value_or(0)); };
+  const auto elapsed = [&] { return Duration(fields_.integer("elapsed").value_or(0)); };
 
   if (message == "REQ") {
     Request received;
     received.id = request();
     received.type = instance.type(fields_.required_text("type"));
     received.tenant = instance.deployment().tenant(fields_.text("party").value_or(""));
-    if (const auto key = fields_.whole("target")) received.key = OrderKey{static_cast<std::uint64_t>(*key)};
-    received.time_left = Duration(fields_.required_whole("expiresIn"));
-    const std::int64_t flags = fields_.whole("flags").value_or(0);
+    if (const auto key = fields_.integer("target")) received.key = OrderKey{static_cast<std::uint64_t>(*key)};
+    received.time_left = Duration(fields_.required_integer("expiresIn"));
+    const std::int64_t flags = fields_.integer("flags").value_or(0);
     if (const auto work = fields_.number("guess"); work && *work > 0 && (flags & 1))
       received.work_ms = *work / 1000;
     if (const auto need = fields_.number("needMb"); need && *need > 0) received.memory_mb = *need;
@@ -253,7 +253,7 @@
     manager.on_request(now, received);
   } else if (message == "ANSWER") {
     std::optional<double> work, memory;
-    if (const std::int64_t bill = fields_.whole("bill").value_or(0); bill > 0) {
+    if (const std::int64_t bill = fields_.integer("bill").value_or(0); bill > 0) {
       // One integer holds the work in ms and, in the low 12 bits, the memory in units of 4 MB.
       // NOLINTNEXTLINE(bugprone-integer-division)
       work = static_cast<double>(bill / 4096);
@@ -262,9 +262,9 @@
     manager.on_attempt_ended(now, request(), attempt_index(), outcome_of(fields_.required_text("stateCode")),
                              elapsed(), fields_.flag("finished"), work, memory, report_of(fields_));
   } else if (message == "WAKE") {
-    manager.on_wakeup(now, static_cast<std::uint64_t>(fields_.required_whole("mark")));
+    manager.on_wakeup(now, static_cast<std::uint64_t>(fields_.required_integer("mark")));
   } else if (message == "NOTE") {
-    const std::int64_t kind = fields_.required_whole("kind");
+    const std::int64_t kind = fields_.required_integer("kind");
     const double amount = fields_.number("amount").value_or(0);
     if (kind == 1) manager.on_progress(now, request(), attempt_index(), amount);
     else if (kind == 2) manager.on_spill(now, request(), attempt_index(), amount);
@@ -279,7 +279,7 @@
                                                {{"changes", EndpointUpdate::delta},
                                                 {"all", EndpointUpdate::snapshot},
                                                 {"remembered", EndpointUpdate::cached}});
-    const std::int64_t bank = fields_.required_whole("bank");
+    const std::int64_t bank = fields_.required_integer("bank");
     const auto list = endpoint_lists_.find(bank);
     if (list == endpoint_lists_.end())
       throw Malformed("no POOL with bank " + std::to_string(bank) + " has been received");
@@ -293,7 +293,7 @@
     }
     manager.on_endpoint_update(now, update, engines);
   } else if (message == "PING_RESULT") {
-    manager.on_probe_ended(now, EngineId{static_cast<std::uint32_t>(fields_.required_whole("engine"))},
+    manager.on_probe_ended(now, EngineId{static_cast<std::uint32_t>(fields_.required_integer("engine"))},
                            outcome_of(fields_.required_text("stateCode")), elapsed(), report_of(fields_));
   } else if (message == "STREAMING") {
     manager.on_stream_started(now, request(), attempt_index());
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -150,10 +150,10 @@
 
 // ---- Managers
 
-admin::v1::Engine engine_at(TestCluster& world, std::size_t manager, const std::string& name) {
+admin::v1::Engine engine_at(TestCluster& cluster, std::size_t manager, const std::string& name) {
   admin::v1::Call call;
   call.mutable_engines();
-  const admin::v1::Reply reply = world.call(manager, call);
+  const admin::v1::Reply reply = cluster.call(manager, call);
   for (const auto& engine : reply.engines().engines()) {
     if (engine.name() == name) return engine;
   }
@@ -161,11 +161,11 @@
 }
 
 // Waits until the manager has the engine in that state.
-bool reaches_state(TestCluster& world, std::size_t manager, const std::string& engine,
+bool reaches_state(TestCluster& cluster, std::size_t manager, const std::string& engine,
                    const std::string& state) {
   for (int i = 0; i < 400; ++i) {
-    if (engine_at(world, manager, engine).state() == state) return true;
-    world.rest(milliseconds(10));
+    if (engine_at(cluster, manager, engine).state() == state) return true;
+    cluster.rest(milliseconds(10));
   }
   return false;
 }
@@ -177,81 +177,81 @@
                               {"load", "INSERT work=10 INTO a_5.t", milliseconds(2500), 4, 10, 16}};
 
 // Ends the load, waits for all responses, and requires a clean verdict.
-void finish_scene(TestCluster& world, const char* scene) {
-  world.on([&] { world.crowd().offer(0, {}); });
-  assert(world.quiet());
-  const HistoryChecker::Verdict verdict = world.verdict();
+void finish_scene(TestCluster& cluster, const char* scene) {
+  cluster.on([&] { cluster.crowd().offer(0, {}); });
+  assert(cluster.quiet());
+  const HistoryChecker::Verdict verdict = cluster.verdict();
   for (const std::string& fault : verdict.faults) std::fprintf(stderr, "%s: %s\n", scene, fault.c_str());
   assert(verdict.clean());
 }
 
 // Only the owner can connect to the admin channel.
-void socket_permissions(TestCluster& world) {
+void socket_permissions(TestCluster& cluster) {
   struct stat status {};
-  assert(::stat(world.managers()[0].admin.c_str(), &status) == 0 && (status.st_mode & 0777) == 0600);
+  assert(::stat(cluster.managers()[0].admin.c_str(), &status) == 0 && (status.st_mode & 0777) == 0600);
 }
 
 // Discovery updates during an operator's drain don't end it.
-void drain_during_discovery_updates(TestCluster& world) {
-  world.on([&] { world.crowd().offer(200, mix); });
-  const auto ordered = world.order(0, "e1", true, 1);
+void drain_during_discovery_updates(TestCluster& cluster) {
+  cluster.on([&] { cluster.crowd().offer(200, mix); });
+  const auto ordered = cluster.order(0, "e1", true, 1);
   assert(ordered.ordered().verdict() == "done" && ordered.ordered().standing() == "draining");
-  world.on([&] { world.record().drain_came("e1", 0, Time(ordered.ordered().came_monotonic_us())); });
-  const std::string first = world.on([&] { return world.channel().address(); });
-  const auto tell = [&](std::vector<StandInChannel::Member> members, bool complete) {
-    world.on([&] { world.channel().tell(members, complete); });
+  cluster.on([&] { cluster.record().drain_came("e1", 0, Time(ordered.ordered().came_monotonic_us())); });
+  const std::string first = cluster.on([&] { return cluster.channel().address(); });
+  const auto send_update = [&](std::vector<StandInChannel::Member> members, bool complete) {
+    cluster.on([&] { cluster.channel().tell(members, complete); });
   };
-  const auto all = world.on([&] {
+  const auto all = cluster.on([&] {
     std::vector<StandInChannel::Member> members;
-    for (std::size_t i = 0; i < world.engines().size(); ++i) members.push_back(world.member(i));
+    for (std::size_t i = 0; i < cluster.engines().size(); ++i) members.push_back(cluster.member(i));
     return members;
   });
-  tell({world.on([&] { return world.member(0, "left"); })}, false);
-  for (int i = 0; engine_at(world, 0, "e1").state() != "" && i < 400; ++i) world.rest(milliseconds(5));
-  assert(engine_at(world, 0, "e1").name().empty());
-  tell({all[0]}, false);  // listed again under the same name
-  assert(reaches_state(world, 0, "e1", "draining") && reaches_state(world, 1, "e1", "up"));
-  tell(all, true);
-  world.on([&] { world.channel().cut_streams(); });
-  world.rest(milliseconds(50));
-  assert(reaches_state(world, 0, "e1", "draining"));
+  send_update({cluster.on([&] { return cluster.member(0, "left"); })}, false);
+  for (int i = 0; engine_at(cluster, 0, "e1").state() != "" && i < 400; ++i) cluster.rest(milliseconds(5));
+  assert(engine_at(cluster, 0, "e1").name().empty());
+  send_update({all[0]}, false);  // listed again under the same name
+  assert(reaches_state(cluster, 0, "e1", "draining") && reaches_state(cluster, 1, "e1", "up"));
+  send_update(all, true);
+  cluster.on([&] { cluster.channel().cut_streams(); });
+  cluster.rest(milliseconds(50));
+  assert(reaches_state(cluster, 0, "e1", "draining"));
   // After SIGHUP, another channel sends the complete list again.
   std::unique_ptr<StandInChannel> other;
-  world.on([&] {
-    other = std::make_unique<StandInChannel>(world.loop());
+  cluster.on([&] {
+    other = std::make_unique<StandInChannel>(cluster.loop());
     for (int i = 0; i < 9; ++i) other->tell(all, true);
   });
-  world.move_channel(0, world.on([&] { return other->address(); }));
-  world.signal(0, SIGHUP);
-  assert(world.until([&] { return other->streams() == 1; }));
-  assert(reaches_state(world, 0, "e1", "draining"));
+  cluster.move_channel(0, cluster.on([&] { return other->address(); }));
+  cluster.signal(0, SIGHUP);
+  assert(cluster.until([&] { return other->streams() == 1; }));
+  assert(reaches_state(cluster, 0, "e1", "draining"));
   // A new name at the same address is another engine, which an order drains only by its address.
   StandInChannel::Member renamed = all[0];
   renamed.name = "e1b";
-  StandInChannel::Member gone = all[0];
-  gone.phase = "left";
-  assert(world.order(0, "@" + renamed.address, true, 2, "lab", "by-address").ordered().verdict() == "done");
-  world.on([&] { other->tell({gone, renamed}, false); });
-  assert(reaches_state(world, 0, "e1b", "draining"));
-  gone.name = "e1b";
-  world.on([&] { other->tell({gone, all[0]}, false); });
-  assert(reaches_state(world, 0, "e1", "draining"));
-  world.on([&] { world.record().drain_over("e1", 0); });
-  assert(world.order(0, "@" + renamed.address, false, 3).ordered().verdict() == "done");
-  assert(world.order(0, "e1", false, 3).ordered().standing() == "up");
-  finish_scene(world, "discovery updates");
-  assert(world.verdict().drain_delays.size() == 1);
+  StandInChannel::Member removed = all[0];
+  removed.phase = "left";
+  assert(cluster.order(0, "@" + renamed.address, true, 2, "lab", "by-address").ordered().verdict() == "done");
+  cluster.on([&] { other->tell({removed, renamed}, false); });
+  assert(reaches_state(cluster, 0, "e1b", "draining"));
+  removed.name = "e1b";
+  cluster.on([&] { other->tell({removed, all[0]}, false); });
+  assert(reaches_state(cluster, 0, "e1", "draining"));
+  cluster.on([&] { cluster.record().drain_over("e1", 0); });
+  assert(cluster.order(0, "@" + renamed.address, false, 3).ordered().verdict() == "done");
+  assert(cluster.order(0, "e1", false, 3).ordered().standing() == "up");
+  finish_scene(cluster, "discovery updates");
+  assert(cluster.verdict().drain_delays.size() == 1);
   // Returns to the first channel. Event numbers continue, so it must be ahead of the other channel's.
-  for (int i = 0; i < 12; ++i) tell(all, true);
-  world.move_channel(0, first);
-  world.signal(0, SIGHUP);
-  assert(world.until([&] { return world.channel().streams() == world.managers().size(); }));
-  world.on([&] { other.reset(); });
+  for (int i = 0; i < 12; ++i) send_update(all, true);
+  cluster.move_channel(0, first);
+  cluster.signal(0, SIGHUP);
+  assert(cluster.until([&] { return cluster.channel().streams() == cluster.managers().size(); }));
+  cluster.on([&] { other.reset(); });
 }
 
 // Orders of two operators with interleaved generations, and a lease that expires while no client is
 // connected.
-void conflicting_orders(TestCluster& world) {
+void conflicting_orders(TestCluster& cluster) {
   struct Step {
     const char* holder;
     bool drains;
@@ -266,8 +266,8 @@
                         {"bob", false, 13, "done", "up"}};
   for (const Step& step : steps) {
     const auto ordered =
-        world.order(1, "e2", step.drains, step.generation, step.holder,
-                    std::string(step.holder) + std::to_string(step.generation) + (step.drains ? "d" : "r"));
+        cluster.order(1, "e2", step.drains, step.generation, step.holder,
+                      std::string(step.holder) + std::to_string(step.generation) + (step.drains ? "d" : "r"));
     assert(ordered.ordered().verdict() == step.verdict && ordered.ordered().standing() == step.standing);
   }
   // More orders than a frame holds are listed page by page, and each restore ends its own order.
@@ -276,136 +276,138 @@
     return std::string(124, 'e') + std::to_string(1000 + number);
   };
   for (int number = 0; number < 200; ++number)
-    assert(world.order(1, unlisted_engine(number), true, 15, holder, "d" + std::to_string(number))
+    assert(cluster.order(1, unlisted_engine(number), true, 15, holder, "d" + std::to_string(number))
                .ordered()
                .verdict() == "done");
   const Ran listed =
-      run_program(PEARCHUTECTL, {"--fleet", world.write_fleet(), "--output", "json", "orders"});
+      run_program(PEARCHUTECTL, {"--fleet", cluster.write_fleet(), "--output", "json", "orders"});
   assert(listed.status == 0 && nlohmann::json::parse(listed.out).size() == 200);
   for (int number = 0; number < 200; ++number)
-    assert(world.order(1, unlisted_engine(number), false, 16, holder, "r" + std::to_string(number))
+    assert(cluster.order(1, unlisted_engine(number), false, 16, holder, "r" + std::to_string(number))
                .ordered()
                .in_force_size() == 0);
-  assert(world.order(1, "e2", true, 20, "ann", "", milliseconds(300)).ordered().standing() == "draining");
-  world.on([&] { world.managers()[1].caller.reset(); });
-  world.rest(milliseconds(320));
-  world.on([&] {
-    auto& manager = world.managers()[1];
+  assert(cluster.order(1, "e2", true, 20, "ann", "", milliseconds(300)).ordered().standing() == "draining");
+  cluster.on([&] { cluster.managers()[1].caller.reset(); });
+  cluster.rest(milliseconds(320));
+  cluster.on([&] {
+    auto& manager = cluster.managers()[1];
     manager.caller =
-        std::make_unique<admin::Caller>(world.loop(), admin::parse_endpoint("unix:" + manager.admin));
+        std::make_unique<admin::Caller>(cluster.loop(), admin::parse_endpoint("unix:" + manager.admin));
   });
-  assert(reaches_state(world, 1, "e2", "up"));
+  assert(reaches_state(cluster, 1, "e2", "up"));
 }
 
 // All engines of a zone are drained, then all engines: each request gets a timely rejection, and requests
 // succeed again after the restore.
-void all_engines_drained(TestCluster& world) {
-  const std::size_t managers = world.managers().size();
-  world.on([&] { world.crowd().offer(100, mix); });
+void all_engines_drained(TestCluster& cluster) {
+  const std::size_t managers = cluster.managers().size();
+  cluster.on([&] { cluster.crowd().offer(100, mix); });
   for (std::size_t m = 0; m < managers; ++m) {
-    assert(world.order(m, "e1", true, 30).ordered().verdict() == "done");
-    assert(world.order(m, "e3", true, 30).ordered().verdict() == "done");
+    assert(cluster.order(m, "e1", true, 30).ordered().verdict() == "done");
+    assert(cluster.order(m, "e3", true, 30).ordered().verdict() == "done");
   }
-  world.rest(milliseconds(300));
-  const std::uint64_t refused = world.verdict().refused;
+  cluster.rest(milliseconds(300));
+  const std::uint64_t refused = cluster.verdict().refused;
   for (std::size_t m = 0; m < managers; ++m) {
-    assert(world.order(m, "e2", true, 31).ordered().verdict() == "done");
-    assert(world.order(m, "e4", true, 31).ordered().verdict() == "done");
+    assert(cluster.order(m, "e2", true, 31).ordered().verdict() == "done");
+    assert(cluster.order(m, "e4", true, 31).ordered().verdict() == "done");
   }
-  assert(world.until([&] { return world.record().verdict().refused > refused + 10; }));
+  assert(cluster.until([&] { return cluster.record().verdict().refused > refused + 10; }));
   std::optional<Answer> answer;
   bool is_answered = false;
   const Time asked_at = steady_now();
-  world.on([&] {
-    world.crowd().ask(0, {"quick", "SELECT work=5 FROM a_1.t", milliseconds(3000), 0, 5, 8},
-                      [&](std::optional<Answer> received) { answer = received, is_answered = true; });
+  cluster.on([&] {
+    cluster.crowd().ask(0, {"quick", "SELECT work=5 FROM a_1.t", milliseconds(3000), 0, 5, 8},
+                        [&](std::optional<Answer> received) { answer = received, is_answered = true; });
   });
-  assert(world.until([&] { return is_answered; }) && answer == Answer::refused);
+  assert(cluster.until([&] { return is_answered; }) && answer == Answer::refused);
   // The rejection comes as soon as the SLA time can't be met, not at the timeout.
   assert(steady_now() - asked_at < milliseconds(1500));
-  assert(world.on([&] { return world.crowd().retry_advised(); }) > 0);
+  assert(cluster.on([&] { return cluster.crowd().retry_advised(); }) > 0);
   for (std::size_t m = 0; m < managers; ++m) {
     for (const char* engine : {"e1", "e2", "e3", "e4"})
-      assert(world.order(m, engine, false, 40).ordered().standing() == "up");
+      assert(cluster.order(m, engine, false, 40).ordered().standing() == "up");
   }
-  const std::uint64_t done = world.verdict().done;
-  assert(world.until([&] { return world.record().verdict().done > done + 20; }));
-  finish_scene(world, "all engines drained");
+  const std::uint64_t done = cluster.verdict().done;
+  assert(cluster.until([&] { return cluster.record().verdict().done > done + 20; }));
+  finish_scene(cluster, "all engines drained");
 }
 
 // A manager is drained under load with keyed requests open, resumed before the drain is complete, drained
 // again and resumed, then shut down by SIGTERM. Another one is shut down by an operator.
-void manager_drained(TestCluster& world) {
-  world.on([&] { world.crowd().offer(300, mix); });
-  world.rest(milliseconds(300));
-  assert(world.order(0, "", true, 50).ordered().verdict() == "done");
-  assert(world.status(0).identity().rest() != "serving");
+void manager_drained(TestCluster& cluster) {
+  cluster.on([&] { cluster.crowd().offer(300, mix); });
+  cluster.rest(milliseconds(300));
+  assert(cluster.order(0, "", true, 50).ordered().verdict() == "done");
+  assert(cluster.status(0).identity().rest() != "serving");
   bool is_answered = false;
   std::optional<Answer> answer;
-  world.on([&] {
-    world.crowd().ask(0, {}, [&](std::optional<Answer> received) { answer = received, is_answered = true; });
+  cluster.on([&] {
+    cluster.crowd().ask(0, {},
+                        [&](std::optional<Answer> received) { answer = received, is_answered = true; });
   });
-  assert(world.until([&] { return is_answered; }) && answer == Answer::refused);
-  assert(world.order(0, "", false, 51).ordered().verdict() == "done");
-  assert(world.status(0).identity().rest() == "serving");
-  assert(world.order(0, "", true, 52).ordered().verdict() == "done");
-  for (int i = 0; world.status(0).identity().rest() != "drained" && i < 500; ++i)
-    world.rest(milliseconds(10));
-  assert(world.status(0).identity().rest() == "drained" && world.status(0).open_jobs() == 0);
-  assert(world.order(0, "", false, 53).ordered().verdict() == "done");
-  const std::uint64_t sent = world.verdict().sent;
-  assert(world.until([&] { return world.record().verdict().sent > sent + 100; }));
-  world.signal(0, SIGTERM);
-  assert(world.until([&] { return world.ended(0) == 0; }));
-  world.start(0);
-  assert(world.all_serving(world.engines().size()));
+  assert(cluster.until([&] { return is_answered; }) && answer == Answer::refused);
+  assert(cluster.order(0, "", false, 51).ordered().verdict() == "done");
+  assert(cluster.status(0).identity().rest() == "serving");
+  assert(cluster.order(0, "", true, 52).ordered().verdict() == "done");
+  for (int i = 0; cluster.status(0).identity().rest() != "drained" && i < 500; ++i)
+    cluster.rest(milliseconds(10));
+  assert(cluster.status(0).identity().rest() == "drained" && cluster.status(0).open_jobs() == 0);
+  assert(cluster.order(0, "", false, 53).ordered().verdict() == "done");
+  const std::uint64_t sent = cluster.verdict().sent;
+  assert(cluster.until([&] { return cluster.record().verdict().sent > sent + 100; }));
+  cluster.signal(0, SIGTERM);
+  assert(cluster.until([&] { return cluster.ended(0) == 0; }));
+  cluster.start(0);
+  assert(cluster.all_serving(cluster.engines().size()));
   // By an operator: the shutdown waits until load balancers have seen the drain and each request has its
   // response.
   admin::v1::Call end;
   end.mutable_end()->set_within_ms(5000);
-  assert(world.call(1, end).outcome() == admin::v1::ok);
-  assert(world.status(1).ending());
-  assert(world.until([&] { return world.ended(1) == 0; }));
-  world.start(1);
-  assert(world.all_serving(world.engines().size()));
-  finish_scene(world, "a manager drained");
+  assert(cluster.call(1, end).outcome() == admin::v1::ok);
+  assert(cluster.status(1).ending());
+  assert(cluster.until([&] { return cluster.ended(1) == 0; }));
+  cluster.start(1);
+  assert(cluster.all_serving(cluster.engines().size()));
+  finish_scene(cluster, "a manager drained");
 }
 
 // After a kill and a restart the orders are in force at once. A damaged orders file is reported.
-void orders_survive_kill(TestCluster& world) {
-  assert(world.order(1, "e2", true, 60).ordered().verdict() == "done");
-  assert(world.order(1, "", true, 61).ordered().verdict() == "done");
-  world.signal(1, SIGKILL);
-  assert(world.until([&] { return world.ended(1) == -2; }));
-  world.start(1);
-  world.until([&] { return false; }, milliseconds(50));
-  for (int i = 0; world.status(1).engines_draining() != 1 && i < 500; ++i) world.rest(milliseconds(10));
-  const admin::v1::Status status = world.status(1);
+void orders_survive_kill(TestCluster& cluster) {
+  assert(cluster.order(1, "e2", true, 60).ordered().verdict() == "done");
+  assert(cluster.order(1, "", true, 61).ordered().verdict() == "done");
+  cluster.signal(1, SIGKILL);
+  assert(cluster.until([&] { return cluster.ended(1) == -2; }));
+  cluster.start(1);
+  cluster.until([&] { return false; }, milliseconds(50));
+  for (int i = 0; cluster.status(1).engines_draining() != 1 && i < 500; ++i) cluster.rest(milliseconds(10));
+  const admin::v1::Status status = cluster.status(1);
   assert(status.engines_draining() == 1 && status.identity().rest() == "drained" && status.orders() == 2);
-  assert(world.order(1, "e2", false, 59).ordered().verdict() == "stale");
-  const std::string file = world.folder() + "/n2.orders";
-  world.signal(1, SIGKILL);
-  assert(world.until([&] { return world.ended(1) == -2; }));
+  assert(cluster.order(1, "e2", false, 59).ordered().verdict() == "stale");
+  const std::string file = cluster.folder() + "/n2.orders";
+  cluster.signal(1, SIGKILL);
+  assert(cluster.until([&] { return cluster.ended(1) == -2; }));
   std::ofstream(file, std::ios::app) << "x";
-  world.start(1);
-  for (int i = 0; world.status(1).identity().phase() != "serving" && i < 500; ++i)
-    world.rest(milliseconds(10));
-  assert(world.status(1).trouble().find("are lost") != std::string::npos && world.status(1).orders() == 0);
+  cluster.start(1);
+  for (int i = 0; cluster.status(1).identity().phase() != "serving" && i < 500; ++i)
+    cluster.rest(milliseconds(10));
+  assert(cluster.status(1).trouble().find("are lost") != std::string::npos &&
+         cluster.status(1).orders() == 0);
   assert(::access((file + ".damaged").c_str(), F_OK) == 0);
-  assert(world.all_serving(world.engines().size()));
+  assert(cluster.all_serving(cluster.engines().size()));
 }
 
 // Admin clients that send invalid bytes, half a frame or a huge length, never read, or open hundreds of
 // connections.
-void hostile_admin_clients(TestCluster& world) {
+void hostile_admin_clients(TestCluster& cluster) {
   const auto connect = [&] {
     const int fd = ::socket(AF_UNIX, SOCK_STREAM, 0);
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
-    std::strncpy(at.sun_path, world.managers()[0].admin.c_str(), sizeof at.sun_path - 1);
+    std::strncpy(at.sun_path, cluster.managers()[0].admin.c_str(), sizeof at.sun_path - 1);
     return ::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 ? fd : (::close(fd), -1);
   };
-  const auto say = [](int fd, const std::string& text) {
+  const auto send_bytes = [](int fd, const std::string& text) {
     return ::send(fd, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   };
   const auto closed = [](int fd) {
@@ -415,20 +417,20 @@
     const auto received = ::recv(fd, &byte, 1, 0);
     return received == 0 || (received < 0 && errno != EAGAIN);
   };
-  world.on([&] { world.crowd().offer(300, mix); });
-  const auto before = world.status(0);
+  cluster.on([&] { cluster.crowd().offer(300, mix); });
+  const auto before = cluster.status(0);
   std::vector<int> fds;
   const int invalid = connect(), huge = connect(), half = connect(), unread = connect();
-  say(invalid, "GET / HTTP/1.1\r\n\r\n");
-  say(huge, "\xff\xff\xff\xff");
-  say(half, std::string("\0\0\0\x09half", 8));
+  send_bytes(invalid, "GET / HTTP/1.1\r\n\r\n");
+  send_bytes(huge, "\xff\xff\xff\xff");
+  send_bytes(half, std::string("\0\0\0\x09half", 8));
   // Calls for the list of engines again and again, and never reads.
   admin::v1::Call call;
   call.mutable_engines();
   std::string message, frame;
   call.SerializeToString(&message);
   admin::append_frame(frame, message);
-  for (int i = 0; i < 20000 && say(unread, frame) > 0; ++i) continue;
+  for (int i = 0; i < 20000 && send_bytes(unread, frame) > 0; ++i) continue;
   for (int i = 0; i < 300; ++i) {
     if (const int fd = connect(); fd >= 0) fds.push_back(fd);
   }
@@ -436,26 +438,26 @@
   for (const int fd : fds) ::close(fd);
   fds.clear();
   assert(closed(half));
-  const auto after = world.status(0);
+  const auto after = cluster.status(0);
   assert(after.identity().phase() == "serving" && after.memory_kb() < before.memory_kb() + 8 * 1024);
   assert(after.descriptors() < before.descriptors() + 100);
   for (const int fd : {invalid, huge, half, unread}) ::close(fd);
-  finish_scene(world, "hostile admin clients");
+  finish_scene(cluster, "hostile admin clients");
   // A manager does not start while another one listens on its admin socket.
-  const std::string program = world.on([&] { return world.managers()[0].configuration; });
-  const Ran second = run_program(
-      PEARCHUTED, {"--config", world.managers()[1].configuration, "--admin", world.managers()[0].admin_file});
+  const std::string program = cluster.on([&] { return cluster.managers()[0].configuration; });
+  const Ran second = run_program(PEARCHUTED, {"--config", cluster.managers()[1].configuration, "--admin",
+                                              cluster.managers()[0].admin_file});
   assert(second.status == 1);
 }
 
 // The command line with five managers, of which one is down, one hangs and one is older.
-void command_line(TestCluster& world) {
-  const std::string silent = world.folder() + "/n4.sock", old = world.folder() + "/n5.sock";
+void command_line(TestCluster& cluster) {
+  const std::string silent = cluster.folder() + "/n4.sock", old = cluster.folder() + "/n5.sock";
   std::unique_ptr<StandInManager> older;
-  world.on([&] { older = std::make_unique<StandInManager>(world.loop(), old, "n5", true); });
+  cluster.on([&] { older = std::make_unique<StandInManager>(cluster.loop(), old, "n5", true); });
   auto hanging = std::make_unique<SilentPlace>(silent);
-  const std::string both = world.write_fleet(), five = world.folder() + "/five.ini";
-  std::ofstream(five) << std::ifstream(both).rdbuf() << "\n[instance n3]\nadmin = unix:" << world.folder()
+  const std::string both = cluster.write_fleet(), five = cluster.folder() + "/five.ini";
+  std::ofstream(five) << std::ifstream(both).rdbuf() << "\n[instance n3]\nadmin = unix:" << cluster.folder()
                       << "/n3.sock\nzone = west\n[instance n4]\nadmin = unix:" << silent
                       << "\nzone = west\n[instance n5]\nadmin = unix:" << old << "\nzone = north\n";
   const auto ctl = [&](const std::string& fleet, std::vector<std::string> words) {
@@ -482,32 +484,32 @@
   ran = ctl(five, {"engine", "drain", "e1", "--as", "ann", "--yes"});
   seen = column(ran, "result");
   assert(ran.status == 7 && seen["n1"] == "done" && seen["n2"] == "done" && seen["n3"] == "unreachable");
-  assert(reaches_state(world, 0, "e1", "draining") && reaches_state(world, 1, "e1", "draining"));
+  assert(reaches_state(cluster, 0, "e1", "draining") && reaches_state(cluster, 1, "e1", "draining"));
   // A restore by another operator leaves it drained and lists the holder; with --everyone the drain ends.
   ran = ctl(both, {"engine", "restore", "e1", "--as", "bob"});
   assert(ran.status == 5 && column(ran, "also_held_by")["n1"].starts_with("ann for "));
   assert(ctl(both, {"engine", "restore", "e1", "--as", "bob", "--dry-run", "--everyone"}).status == 0);
-  assert(reaches_state(world, 0, "e1", "draining"));
+  assert(reaches_state(cluster, 0, "e1", "draining"));
   assert(ctl(both, {"engine", "restore", "e1", "--as", "bob", "--everyone"}).status == 0);
-  assert(reaches_state(world, 0, "e1", "up") && reaches_state(world, 1, "e1", "up"));
+  assert(reaches_state(cluster, 0, "e1", "up") && reaches_state(cluster, 1, "e1", "up"));
   // Draining over half of a zone needs a confirmation.
   assert(ctl(both, {"engine", "drain", "e1", "e3"}).status == 8 &&
          ctl(both, {"drain", "--on", "name=n1"}).status == 8);
-  assert(reaches_state(world, 0, "e1", "up") && world.status(0).identity().rest() == "serving");
+  assert(reaches_state(cluster, 0, "e1", "up") && cluster.status(0).identity().rest() == "serving");
   ran = ctl(both, {"drain", "--on", "name = n1", "--yes", "--as", "ann"});
   assert(ran.status == 0 && column(ran, "state")["n1"] == "drained");
   assert(ctl(both, {"resume", "--as", "ann"}).status == 0);
-  assert(world.status(0).identity().rest() == "serving");
+  assert(cluster.status(0).identity().rest() == "serving");
   // A restart under load keeps the orders, and the verdict stays clean.
   assert(ctl(both, {"engine", "drain", "e2", "--as", "ann", "--yes"}).status == 0);
-  world.on([&] { world.crowd().offer(200, mix); });
-  const auto before = world.status(0).identity();
+  cluster.on([&] { cluster.crowd().offer(200, mix); });
+  const auto before = cluster.status(0).identity();
   ran = ctl(both, {"restart", "--on", "name = n1"});
   assert(ran.status == 0 && column(ran, "result")["n1"] == "serves again");
-  assert(world.ended(0) == 0);
-  const auto after = world.status(0);
+  assert(cluster.ended(0) == 0);
+  const auto after = cluster.status(0);
   assert(after.identity().pid() != before.pid() && after.engines_draining() == 1 && after.orders() == 1);
-  finish_scene(world, "a restart from the command line");
+  finish_scene(cluster, "a restart from the command line");
   // After one failed restart no further one begins; the others are listed as not begun.
   ran = ctl(five, {"restart", "--on", "name in {n3, n2}", "--yes"});
   seen = column(ran, "result");
@@ -520,7 +522,7 @@
   assert(ctl(both, {"check"}).status == 0 &&
          ctl(both, {"top", "--rounds", "2", "--every", "100"}).status == 0);
   hanging.reset();
-  world.on([&] { older.reset(); });
+  cluster.on([&] { older.reset(); });
 }
 
 int main() {
@@ -529,11 +531,11 @@
   unsent_attempts_of_draining_engine();
   ClusterSpec spec;
   spec.managers = 2, spec.engines = 4, spec.pearchuted = PEARCHUTED;
-  TestCluster world(spec);
-  assert(world.all_serving(4));
+  TestCluster cluster(spec);
+  assert(cluster.all_serving(4));
   const auto started_at = steady_now();
   const auto scene = [&](const char* name, void (*run)(TestCluster&)) {
-    run(world);
+    run(cluster);
     std::printf("%-20s at %5.1f s\n", name, static_cast<double>((steady_now() - started_at).count()) / 1e6);
     std::fflush(stdout);
   };
