--- a/src/agent/agent_config.cpp
+++ b/src/agent/agent_config.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr std::size_t max_instances = 1024;  // as many as a large fleet has in all
+constexpr std::size_t max_instances = 1024;  // the size of a large fleet
 constexpr std::size_t max_name_length = 128;
 constexpr std::int64_t max_command_version = 1'000'000;
 constexpr std::string_view command_prefix = "command.";
 
-// The NAME of a section `[kind NAME]`; nothing where it is another kind, or NAME is empty or has a blank.
+// The NAME of a section `[kind NAME]`; nullopt if the section is of another kind, or NAME is empty or
+// contains a space.
 std::optional<std::string> name_in_section(const std::string& section, std::string_view kind) {
   if (!section.starts_with(kind) || section.size() <= kind.size() || section[kind.size()] != ' ')
     return std::nullopt;
@@ -25,15 +26,16 @@
 }
 
 const std::string& absolute_path(const std::string& name, const std::string& text) {
-  if (!text.starts_with("/")) throw ini::Error("'" + name + "' is no absolute path");
+  if (!text.starts_with("/"))
+    throw ini::Error("expected an absolute path for '" + name + "', got '" + text + "'");
   return text;
 }
 
 [[noreturn]] void throw_unknown(const std::string& name, const std::string& section) {
-  throw ini::Error("'" + name + "' is not known in [" + section + "]");
+  throw ini::Error("unknown setting '" + name + "' in [" + section + "]");
 }
 
-// Takes the file's lines one by one, and checks the whole at the end.
+// Reads the file's settings one by one, and validates the result in finish().
 class Parser {
  public:
   void take_line(const std::string& section, const std::string& name, const std::string& text) {
@@ -45,14 +47,15 @@
     if (const auto peer = name_in_section(section, "peer")) return take_peer_line(*peer, name, text);
     if (const auto instance = name_in_section(section, "instance"))
       return take_instance_line(*instance, name, text);
-    throw ini::Error("[" + section + "] is not known; [agent], [tls], [peer NAME] and [instance NAME] are");
+    throw ini::Error("unknown section [" + section +
+                     "]; expected [agent], [tls], [peer NAME] or [instance NAME]");
   }
 
-  // Throws ini::Error where something is missing or contradicts something else.
+  // Throws ini::Error if a required setting is missing or two settings contradict each other.
   AgentConfig finish(const std::string& file) const {
     check_agent(file);
     check_peers(file);
-    if (config_.instances.empty()) throw ini::Error("no instance is named", file);
+    if (config_.instances.empty()) throw ini::Error("expected at least one section [instance NAME]", file);
     for (const auto& [name, instance] : config_.instances) check_instance(name, instance, file);
     return config_;
   }
@@ -67,8 +70,10 @@
     else if (name == "configuration") config_.spreads_config = ini::yes(name, text);
     else if (name == "zone") config_.zone = text;
     else throw_unknown(name, "agent");
-    if (name == "control" && config_.control.tls) throw ini::Error("'control' is a Unix socket");
-    if (name == "listen" && !config_.listen.tls) throw ini::Error("'listen' is tls:host:port");
+    if (name == "control" && config_.control.tls)
+      throw ini::Error("expected unix:/path for 'control', got '" + text + "'");
+    if (name == "listen" && !config_.listen.tls)
+      throw ini::Error("expected tls:host:port for 'listen', got '" + text + "'");
   }
 
   void take_peer_line(const std::string& peer, const std::string& name, const std::string& text) {
@@ -78,12 +83,13 @@
   }
 
   void take_instance_line(const std::string& instance, const std::string& name, const std::string& text) {
-    // The agents' gossip takes no longer ones.
+    // Peers reject status reports with longer names.
     if (instance.size() > max_name_length || (name == "zone" && text.size() > max_name_length))
-      throw ini::Error("a name or zone is longer than " + std::to_string(max_name_length) + " characters");
+      throw ini::Error("an instance's name and zone may have at most " + std::to_string(max_name_length) +
+                       " characters");
     OwnedInstance& owned = config_.instances[instance];
     if (config_.instances.size() > max_instances)
-      throw ini::Error("more than " + std::to_string(max_instances) + " instances");
+      throw ini::Error("at most " + std::to_string(max_instances) + " instances are allowed");
     if (name == "command") owned.commands[1] = text;
     else if (name.starts_with(command_prefix)) owned.commands[version_in(name)] = text;
     else if (name == "admin") owned.admin = unique_admin_address(text);
@@ -97,16 +103,16 @@
     else throw_unknown(name, "instance NAME");
   }
 
-  // Of a name `command.VERSION`; version 1 is named `command`.
+  // The version in a setting's name `command.VERSION`. Version 1 is set by `command` alone.
   static int version_in(const std::string& name) {
     return static_cast<int>(ini::whole(name, name.substr(command_prefix.size()), 2, max_command_version));
   }
 
   admin::Endpoint unique_admin_address(const std::string& text) {
-    admin::Endpoint place = admin::parse_endpoint(text);
+    admin::Endpoint endpoint = admin::parse_endpoint(text);
     if (!admin_addresses_.insert(text).second)
-      throw ini::Error("another instance has the admin address " + text);
-    return place;
+      throw ini::Error("another instance already uses the admin address " + text);
+    return endpoint;
   }
 
   void check_agent(const std::string& file) const {
@@ -123,7 +129,8 @@
     for (const auto& [name, zone] : config_.peer_zones) {
       if (!config_.peers.contains(name)) throw ini::Error("peer " + name + " has no 'control'", file);
     }
-    if (config_.peers.contains(config_.name)) throw ini::Error("this agent is its own peer", file);
+    if (config_.peers.contains(config_.name))
+      throw ini::Error("agent " + config_.name + " is listed as its own peer", file);
   }
 
   static void check_instance(const std::string& name, const OwnedInstance& instance,
@@ -133,7 +140,8 @@
     if (instance.config_file.empty() != instance.config_base_file.empty())
       throw ini::Error(subject + " needs both 'configuration' and 'configuration.base'", file);
     if (!instance.config_file.empty() && instance.config_file == instance.config_base_file)
-      throw ini::Error(subject + " has one file as 'configuration' and 'configuration.base'", file);
+      throw ini::Error(subject + " needs two different files as 'configuration' and 'configuration.base'",
+                       file);
     if (!instance.commands.contains(instance.initial_version))
       throw ini::Error(subject + " has no command of version " + std::to_string(instance.initial_version),
                        file);
--- a/src/agent/agent_host.cpp
+++ b/src/agent/agent_host.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// Differs at each start, as GossipService and ConfigService require.
+// A different value at each start, as GossipService and ConfigService require.
 std::uint64_t random_seed() {
   std::random_device device;
   const std::uint64_t high = device();
   return high << 32 | device();
 }
 
-// Settings that only a start takes up.
+// Whether settings differ that take effect only when the agent starts.
 bool differs_in_fixed_settings(const AgentConfig& a, const AgentConfig& b) {
   return a.name != b.name || a.state_file != b.state_file || a.control.text != b.control.text ||
          a.listen.text != b.listen.text || a.gossips != b.gossips || a.spreads_config != b.spreads_config;
@@ -27,10 +27,10 @@
 
 AgentHost::AgentHost(const AgentConfig& config, const std::string& build)
     : config_(config), loop_thread_(retry_start([] { return std::make_unique<net::EventLoopThread>(); })) {
-  create_parts(build);
+  create_components(build);
 }
 
-void AgentHost::create_parts(const std::string& build) {
+void AgentHost::create_components(const std::string& build) {
   net::EventLoopThread& loop_thread = *loop_thread_;
   retry_start([&] {
     loop_thread.on([&] { supervisor_ = std::make_unique<ProcessSupervisor>(loop_thread.loop(), config_); });
@@ -50,7 +50,7 @@
                                              config_service_.get()};
   service_ =
       retry_start([&] { return std::make_unique<RpcService>(loop_thread, components, config_, build); });
-  server_ = retry_start([&] { return std::make_unique<CallServer>(loop_thread, config_, *service_); });
+  server_ = retry_start([&] { return std::make_unique<RpcServer>(loop_thread, config_, *service_); });
 }
 
 AgentHost::~AgentHost() {
@@ -68,11 +68,13 @@
   try {
     const AgentConfig next = retry_start([&] { return read_agent_config(file); });
     if (differs_in_fixed_settings(next, config_))
-      spdlog::warn("the agent's name, state, places and exchange take effect at its next start only");
+      spdlog::warn(
+          "name, state, control, listen, exchange or configuration in [agent] has changed; restart the agent "
+          "to apply that");
     apply(next);
-    spdlog::info("the charter is read again");
+    spdlog::info("configuration reloaded");
   } catch (const std::exception& error) {
-    spdlog::warn("the charter stays as it was: {}", error.what());
+    spdlog::warn("can't reload the configuration; the previous one stays in effect: {}", error.what());
   }
 }
 
--- a/src/agent/completion_rate.cpp
+++ b/src/agent/completion_rate.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr double decay_per_round = 0.97;
-// Fewer answered requests say nothing about service.
+// With fewer answered requests, the share is not significant.
 constexpr double min_answered = 5;
 
 }  // namespace
--- a/src/agent/completion_rate.h
+++ b/src/agent/completion_rate.h
@@ -1,5 +1,5 @@
-// The share of the fleet's requests that were done, of late, from the counters that the agents report. A
-// rollout compares it before and after a batch.
+// The share of the fleet's recently answered requests that were done, from the counters that the agents
+// report. A rollout compares the share before and after a batch.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,27 @@
 
 namespace pearchute::agent {
 
-// Of one rollout, over all instances of the fleet.
+// Belongs to one rollout, and covers all instances of the fleet.
 class CompletionRate {
  public:
-  // Counters of an instance since its process, `pid`, started. Another pid, or a counter that went back,
-  // counts as a fresh start.
+  // Adds an instance's counters, which count since its process `pid` started. If the pid has changed or
+  // `answered` has decreased, the process is new: its counters are the baseline for the next call.
   void add(const std::string& instance, std::uint64_t pid, std::uint64_t done, std::uint64_t answered);
-  // After each round of reports: older requests count less.
+  // Reduces the weight of the requests added so far. Call once after each round of reports.
   void decay();
-  // Between 0 and 1; 1 where there were hardly any requests.
+  // Between 0 and 1; 1 if there were too few requests.
   double value() const;
 
  private:
-  // As reported last.
+  // An instance's last reported counters.
   struct Counters {
     std::uint64_t pid = 0;
     std::uint64_t done = 0;
     std::uint64_t answered = 0;
   };
   std::map<std::string, Counters> last_;  // by instance
-  double done_ = 0;                       // decayed counts
-  double answered_ = 0;
+  double done_ = 0;                       // weighted count of requests
+  double answered_ = 0;                   // weighted count of requests
 };
 
 }  // namespace pearchute::agent
--- a/src/agent/config_candidate.cpp
+++ b/src/agent/config_candidate.cpp
@@ -14,14 +14,15 @@
 
 namespace {
 
-// Settings that each instance has for itself.
+// Settings that differ between instances, so that a version for the whole fleet can't set them.
 constexpr std::array instance_settings = {"name", "listen", "configuration_version"};
 constexpr mode_t candidate_mode = 0600;
 constexpr int json_indent = 1;
 
 json parse(const std::string& text) { return json::parse(text, nullptr, false); }
 
-// Durable, so that the file is complete after the machine's failure once another program has put it in place.
+// Syncs the file to disk, so that it is still complete after a crash of the machine once the manager has
+// renamed it.
 bool write_durably(const std::string& path, const std::string& text) {
   const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, candidate_mode);
   if (file < 0) return false;
@@ -36,7 +37,7 @@
   const json object = parse(content);
   if (!object.is_object()) return "the content is not a JSON object";
   for (const char* name : instance_settings) {
-    if (object.contains(name)) return "'" + std::string(name) + "' is each instance's own";
+    if (object.contains(name)) return "'" + std::string(name) + "' is specific to an instance";
   }
   return "";
 }
--- a/src/agent/config_candidate.h
+++ b/src/agent/config_candidate.h
@@ -1,5 +1,5 @@
-// The file by which a manager gets a version of the fleet's configuration: the version's content, merged into
-// the instance's own base (RFC 7396).
+// The candidate file, from which a manager reads a version of the fleet's configuration: the version's
+// content, merged into the instance's base file (RFC 7396).
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace pearchute::agent {
 
-// Why `content` can't be merged into any instance's base, for operators; empty where it can.
+// Returns why `content` can't be merged into an instance's base, for operators; empty if it can.
 std::string content_error(const std::string& content);
 
-// Writes the candidate durably beside the instance's configuration file. Returns why it can't be written, for
-// operators; empty where it was.
+// Writes the candidate `config_file`.candidate and syncs it to disk. Returns an empty string on success,
+// otherwise the reason, for operators.
 std::string write_candidate(const std::string& base_file, const std::string& config_file,
                             const fleet::ConfigDocument& document);
 
--- a/src/agent/config_wire.cpp
+++ b/src/agent/config_codec.cpp
@@ -1,4 +1,4 @@
-#include "agent/config_wire.h"
+#include "agent/config_codec.h"
 
 namespace pearchute::agent {
 
--- a/src/agent/config_wire.h
+++ b/src/agent/config_codec.h
@@ -1,4 +1,4 @@
-// Between the agents' messages on configuration versions and the decisions' terms, both ways.
+// Conversion between the agents' messages on configuration versions (agent.proto) and the types of src/fleet.
 #pragma once
 
 #include "agent.pb.h"
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "agent/config_candidate.h"
-#include "agent/config_wire.h"
+#include "agent/config_codec.h"
 #include "agent/loop_time.h"
 #include "net/log.h"
 
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr milliseconds tick_interval(100);
-// Between two calls to a manager in which the current version is in force.
+// The interval at which the service checks that a manager still has the current version in force.
 constexpr milliseconds recheck_interval(1000);
 constexpr milliseconds manager_timeout(1000);
 constexpr milliseconds min_wake_delay(1);
@@ -56,7 +56,7 @@
   return call;
 }
 
-// Why the manager has not applied the version; empty where it has.
+// Why the manager has not applied the version; empty if it has.
 std::string obstacle_in(const admin::v1::Configured& configured) {
   if (configured.state() == "next_start") return "in force at the next start: " + configured.what();
   if (configured.state() == "refused") return "refused: " + configured.what();
@@ -94,23 +94,23 @@
 
 bool ConfigService::write_config(const fleet::ConfigReplica::State& state) {
   if (supervisor_.store_is_usable() && supervisor_.store().write_config(state)) return true;
-  PEARCHUTE_LOG(spdlog::level::err, "the configuration version can't be written: {}",
+  PEARCHUTE_LOG(spdlog::level::err, "can't persist the configuration version: {}",
                 supervisor_.store().last_error());
   return false;
 }
 
 // ---- Peers
 
-// Begins the exchanges that are due, and wakes for the next ones.
+// Starts the exchanges that are due, and schedules itself for the next ones.
 void ConfigService::exchange_due() {
   net::Loop& loop = loop_thread_.loop();
   for (const std::string& peer : spread_.due(fleet_now(loop))) exchange(peer);
   const TimePoint next = std::max<TimePoint>(spread_.next(fleet_now(loop)), fleet_now(loop) + min_wake_delay);
-  if (next_wake_at_ && *next_wake_at_ <= next && *next_wake_at_ > fleet_now(loop)) return;
-  next_wake_at_ = next;
+  if (next_exchange_at_ && *next_exchange_at_ <= next && *next_exchange_at_ > fleet_now(loop)) return;
+  next_exchange_at_ = next;
   loop.at(loop_time(next), [this, alive = alive_] {
     if (!*alive) return;
-    next_wake_at_.reset();
+    next_exchange_at_.reset();
     exchange_due();
   });
 }
@@ -168,11 +168,11 @@
   });
 }
 
-// A manager in which the version is in force is only asked whether that is still so.
+// If the version is in force already, the call only checks that it still is, and no candidate is written.
 void ConfigService::apply(const std::string& name, Instance& instance, const ConfigDocument& document) {
   if (instance.in_force != document.mark) {
     instance.obstacle = write_candidate(instance.base_file, instance.config_file, document);
-    if (!instance.obstacle.empty()) return;  // tried again at the next tick
+    if (!instance.obstacle.empty()) return;  // retried at the next tick
   }
   instance.call_pending = true;
   const auto on_reply = [this, alive = alive_, name](CallEnd end, const admin::v1::Reply& reply) {
@@ -192,9 +192,9 @@
     instance.obstacle = obstacle_in(reply.configured());
   } else if (end == CallEnd::answered) {
     instance.in_force = {};
-    instance.obstacle = "its manager does not know the call";
+    instance.obstacle = "its manager doesn't support configuration versions";
   } else {
-    // What was in force stands in its file: a manager that is down starts with it.
+    // Keeps `in_force`: a manager that is down will start with the version in its configuration file.
     instance.obstacle = "its manager is " + std::string(admin::name_of(end));
   }
   report_instances();
@@ -202,7 +202,8 @@
 }
 
 void ConfigService::report_instances() {
-  // What no manager has been asked about yet is unknown, not in force.
+  // Reports nothing until each manager has been called: before that it is unknown which versions are in
+  // force.
   const bool all_known = std::ranges::all_of(
       instances_, [](const auto& entry) { return entry.second.next_call_at > TimePoint(); });
   if (!all_known) return;
--- a/src/agent/coordinator.h
+++ b/src/agent/coordinator.h
@@ -1,5 +1,5 @@
-// The rollouts that this agent was asked to coordinate: starts them, takes operators' commands, restores
-// those that were under way when the agent ended, and reports them.
+// Manages the rollouts that this agent coordinates: starts them, executes operators' commands, and reports
+// their state. Rollouts that were in progress when the agent ended are restored at its next start, paused.
 //
 // Lives on the event loop.
 #pragma once
@@ -15,37 +15,37 @@
 
 namespace pearchute::agent {
 
-// All rollouts of this agent, by their ids.
 class Coordinator {
  public:
-  // The references outlive it. `store_error` says why the store can't be used; where it is not empty, no
-  // rollout is restored or started.
+  // The references outlive the coordinator. `store_error` is empty, or the reason why the store can't be
+  // used; then no rollout is restored or started.
   Coordinator(net::EventLoopThread& loop_thread, Peers& peers, store::Store& store,
               const std::string& store_error);
   ~Coordinator();
 
-  // Returns why the rollout can't be started, for operators; empty where it is under way. Idempotent by the
-  // plan's id.
+  // Returns an empty string if the rollout is started, otherwise the reason, for operators. Idempotent: a
+  // repeat with the id of a known rollout has no effect.
   std::string start(const fleet::RolloutPlan& plan);
 
-  // Carries out an operator's command: pause, resume, abort or back. Returns why it can't be carried out;
-  // empty where it was.
+  // Executes an operator's command: pause, resume, abort or back. Returns an empty string if it is executed,
+  // otherwise the reason, for operators.
   std::string control(const std::string& id, const std::string& command);
 
-  // Adds the rollout of that id, with its targets and stages; without an id, a summary of each.
+  // Adds the rollout with this id, with its targets and stages. If `id` is empty, adds a summary of each
+  // rollout.
   void list(const std::string& id, v1::RolloutList& list) const;
 
  private:
   void restore();
   void tick();
-  bool make_room();
+  bool evict_finished();
 
   net::EventLoopThread& loop_thread_;
   Peers& peers_;
   store::Store& store_;
   const std::string store_error_;
-  std::map<std::string, std::unique_ptr<RolloutDriver>> rollouts_;  // by id; also those that ended since
-  std::vector<store::RolloutRecord> finished_before_start_;
+  std::map<std::string, std::unique_ptr<RolloutDriver>> rollouts_;  // by id; also finished ones
+  std::vector<store::RolloutRecord> finished_before_start_;         // as restored from the store
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/agent/gossip_wire.cpp
+++ b/src/agent/gossip_codec.cpp
@@ -1,4 +1,4 @@
-#include "agent/gossip_wire.h"
+#include "agent/gossip_codec.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A month: an older report is of no use, and sums of such durations can't overflow.
+// 30 days: an older report is of no use, and the bound keeps sums of such durations from overflowing.
 constexpr std::uint64_t max_age_us = 30ULL * 24 * 3600 * 1'000'000;
 
 Duration microseconds_from(std::uint64_t duration_us) {
--- a/src/agent/gossip_service.cpp
+++ b/src/agent/gossip_service.cpp
@@ -3,7 +3,7 @@
 #include <set>
 #include <vector>
 
-#include "agent/gossip_wire.h"
+#include "agent/gossip_codec.h"
 #include "agent/loop_time.h"
 #include "net/log.h"
 
@@ -81,7 +81,7 @@
   for (const v1::News& message : response.news()) {
     if (auto delta = from_wire(message)) deltas.push_back(std::move(*delta));
     else
-      PEARCHUTE_LOG(spdlog::level::warn, "agent {} sends a report of {} that can't be read", peer,
+      PEARCHUTE_LOG(spdlog::level::warn, "agent {} sent invalid reports of agent {}; they are ignored", peer,
                     message.agent());
   }
   gossip_state_.receive(now, requested_at, deltas);
--- a/src/agent/gossip_service.h
+++ b/src/agent/gossip_service.h
@@ -1,6 +1,7 @@
-// An agent's part in the gossip on instances: states how its own instances are, asks peers for their reports
-// when fleet::AntiEntropyScheduler says so, and answers theirs. What it states and believes,
-// fleet::GossipState decides. Where its store can't be used it states nothing, and still listens.
+// Exchanges status reports on instances with the agent's peers: publishes reports of the agent's own
+// instances, requests the peers' reports on the schedule of fleet::AntiEntropyScheduler, and answers the
+// peers' requests. fleet::GossipState decides which reports are published and accepted. If the agent's store
+// can't be used, the service publishes no reports but still receives them.
 //
 // Lives on the event loop.
 #pragma once
@@ -21,16 +22,16 @@
 // Connects fleet::GossipState with the peers, the supervisor and the store.
 class GossipService final : public fleet::GossipState::Host {
  public:
-  // The references outlive it. The seed has to differ at each start.
+  // The references outlive the service. `seed` must differ at each start.
   GossipService(net::EventLoopThread& loop_thread, const AgentConfig& config, ProcessSupervisor& supervisor,
                 Peers& peers, std::uint64_t seed);
   ~GossipService() override { *alive_ = false; }
 
-  // Takes over another list of peers.
+  // Applies another list of peers.
   void change(const AgentConfig& next);
   // Answers a peer's request for reports.
   void answer(const v1::Question& request, v1::Bulletin& response);
-  // Adds what is known of each peer's instances.
+  // Adds the reports known of each peer's instances, with their age.
   void show(v1::Shown& status) const;
 
  private:
--- a/src/agent/grpc_credentials.cpp
+++ b/src/agent/grpc_credentials.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Left to itself gRPC waits up to two minutes after a few refused connects, during which a network that works
-// again is not used. Callers pause between their calls themselves; a connect may take as long as a call.
+// gRPC's default backoff grows to two minutes after a few refused connects, so that an agent would stay
+// disconnected long after the network has recovered. A short one is safe, since Peers' callers pause between
+// RPCs themselves. A connect may take as long as an RPC.
 constexpr int initial_reconnect_backoff_ms = 200;
 constexpr int connect_timeout_ms = 1500;
 constexpr int max_reconnect_backoff_ms = 1000;
@@ -79,13 +80,14 @@
     try {
       read();
     } catch (const pearchute::Error& error) {
-      PEARCHUTE_LOG(spdlog::level::err, "the revocations stay as they were: {}", error.what());
+      PEARCHUTE_LOG(spdlog::level::err,
+                    "can't reload the revocation list; the previous one stays in effect: {}", error.what());
     }
   }
   return serials_.contains(serial);
 }
 
-// Nothing where there is no such file.
+// Returns nullopt if there is no such file.
 std::optional<std::int64_t> Revocations::modification_time_ns() const {
   struct stat status {};
   if (::stat(files_.revoked.c_str(), &status) != 0) return std::nullopt;
--- a/src/agent/grpc_credentials.h
+++ b/src/agent/grpc_credentials.h
@@ -1,5 +1,5 @@
-// gRPC's side of certificates: channels to agents, the credentials of an agent's own server, who makes a
-// call, and whether its certificate is revoked.
+// TLS for the agents' RPCs: channels to agents, the credentials of an agent's server, the identity of a
+// caller, and the revocation of certificates.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -17,30 +17,31 @@
 
 namespace pearchute::agent {
 
-// `name` is the agent's, which its certificate has to state. Throws KeysError where a file can't be read,
-// ResourceShortage where it can't be read now.
+// Opens a channel to the agent `name`, whose certificate must state that name. Throws KeysError if a file
+// can't be read, ResourceShortage if it temporarily can't be read.
 std::shared_ptr<grpc::Channel> channel_to(const keys::Endpoint& endpoint, const std::string& name,
                                           const keys::TlsFiles& files);
-// Requires each client to present a certificate of the authority. Throws as channel_to does.
+// Credentials that require each client to present a certificate of the authority. Throws what channel_to
+// throws.
 std::shared_ptr<grpc::ServerCredentials> server_credentials(const keys::TlsFiles& files);
 
-// Who makes a call, by its certificate. Without a role it may do nothing.
+// The identity of an RPC's caller, from its certificate. A caller without a role has no rights.
 struct CallerIdentity {
   std::string name;
   std::optional<fleet::Role> role;
-  std::string serial;  // of the certificate; empty at the Unix socket
+  std::string serial;  // of the certificate; empty for a caller at the Unix socket
 };
 
-// A caller at the Unix socket is this user itself, and may do what an agent may.
+// Only the agent's own user can open the Unix socket, so a caller there gets the role `agent`.
 CallerIdentity identity_of(const grpc::ServerContext& context);
 
-// The authority's list of revoked certificates, read again when its file changes. Thread-safe.
+// The authority's list of revoked certificates. Reloads the file when it changes. Thread-safe.
 class Revocations {
  public:
-  // Throws KeysError where the list can't be used, ResourceShortage where it can't be read now. Without a
-  // list in `files` nothing is revoked.
+  // If `files` names no revocation list, no certificate is revoked. Throws KeysError if the list can't be
+  // used, ResourceShortage if it temporarily can't be read.
   explicit Revocations(const keys::TlsFiles& files);
-  // A changed file that can't be used is logged, and leaves the revocations as they were.
+  // If the changed file can't be used, logs the error and keeps the previous list.
   bool is_revoked(const std::string& serial);
 
  private:
@@ -48,7 +49,7 @@
   std::optional<std::int64_t> modification_time_ns() const;
 
   const keys::TlsFiles files_;
-  std::mutex mutex_;  // guards what follows
+  std::mutex mutex_;  // guards the members below
   std::set<std::string> serials_;
   std::int64_t read_modification_time_ns_ = 0;
 };
--- a/src/agent/loop_time.h
+++ b/src/agent/loop_time.h
@@ -1,4 +1,5 @@
-// The event loop's clock in the fleet's terms, whose moments are lengths of time since that clock's start.
+// Conversion between the event loop's time points and those of src/fleet, which are durations since the epoch
+// of the loop's clock.
 #pragma once
 
 #include "core/types.h"
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,5 +1,6 @@
-// The agent of one host: reads its configuration, supervises its instances, and answers remote calls until it
-// is told to end. Its instances go on without it.
+// pearchute-agent: reads the agent's configuration, supervises the instances of one host, and serves RPCs
+// until it receives SIGTERM or SIGINT. SIGHUP reloads the configuration. The instances keep running when the
+// agent exits.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -41,7 +42,8 @@
   install_signal_handlers();
   {
     AgentHost host(config, PEARCHUTE_VERSION);
-    spdlog::info("agent {} at {}, {} instances", config.name, config.control.text, config.instances.size());
+    spdlog::info("agent {} listening at {}, {} instances", config.name, config.control.text,
+                 config.instances.size());
     while (!end_requested) {
       ::usleep(signal_check_interval_us);
       if (!reload_requested) continue;
@@ -49,7 +51,7 @@
       host.reload(config_file);
     }
   }
-  spdlog::info("agent {} ends; its instances go on", config.name);
+  spdlog::info("agent {} stopped; its instances keep running", config.name);
 }
 
 int run_with(const Options& options) {
--- a/src/agent/manager_client.cpp
+++ b/src/agent/manager_client.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// A sound manager answers within a millisecond, on a full machine within some tens.
+// A healthy manager answers within a millisecond, on an overloaded machine within some tens of milliseconds.
 constexpr milliseconds response_timeout(1000);
-// A drained instance stays so until somebody resumes it, a day at most.
+// A drained instance stays drained until an operator resumes it, but for a day at most.
 constexpr milliseconds drain_lease = std::chrono::hours(24);
 
-// The counters of answered requests, from the JSON text of GET /counters.
+// Reads the counters of answered requests from `text`, the JSON object that GET /counters returns too.
 void read_counters(const std::string& text, ManagerStatus& status) {
   const auto counters = nlohmann::json::parse(text, nullptr, false);
   if (!counters.is_object() || !counters.contains("answered")) return;
@@ -49,7 +49,7 @@
   status_.pid = static_cast<std::int64_t>(identity.pid());
   status_.started_unix_ms = identity.started_unix_ms();
   status_.open_requests = reply.status().open_jobs();
-  read_counters(reply.status().counters(), status_);  // kept from the last answer where there is none
+  read_counters(reply.status().counters(), status_);  // without a reply the counters keep their values
 }
 
 void ManagerClient::request_shutdown(fleet::Duration within) {
@@ -64,7 +64,7 @@
   caller_.call(call, response_timeout, {});
 }
 
-// With a generation above all that the manager knows, so that this order supersedes them.
+// Sends the order with a generation above all that the manager knows, so that it supersedes them.
 void ManagerClient::order_drain(const std::string& holder, bool drains, const fleet::Step& step) {
   admin::v1::Call known_orders;
   known_orders.mutable_orders();
--- a/src/agent/manager_client.h
+++ b/src/agent/manager_client.h
@@ -1,7 +1,6 @@
-// The agent's side of one manager's admin channel: what the manager says of itself, and the orders that it
-// gets.
+// The agent's client for the admin channel of one manager: polls the manager's status and sends orders to it.
 //
-// Lives on the event loop. Destroying it drops what is pending: no handler is called any more.
+// Lives on the event loop. Destroying it drops pending replies: no handler runs after that.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +12,37 @@
 
 namespace pearchute::agent {
 
-// As a manager answered last. Where it did not answer, the fields are empty or zero.
+// The result of the last poll of a manager. If the manager didn't answer, `done` and `answered_requests` keep
+// their last values and the other fields are empty or zero.
 struct ManagerStatus {
   bool answered = false;
-  std::string phase;        // see admin.proto, Identity
+  std::string phase;        // Identity.phase of admin.proto
   std::string drain_state;  // serving, draining, drained
   std::int64_t pid = 0;
-  std::uint64_t started_unix_ms = 0;  // by its own wall clock
+  std::uint64_t started_unix_ms = 0;  // by the manager's wall clock
   std::uint64_t open_requests = 0;
-  std::uint64_t done = 0;               // requests, since it started
-  std::uint64_t answered_requests = 0;  // the same; done, throttled and cancelled ones
+  std::uint64_t done = 0;               // requests done since the manager started
+  std::uint64_t answered_requests = 0;  // requests done, throttled or cancelled since the manager started
 };
 
-// One manager.
 class ManagerClient {
  public:
   ManagerClient(net::Loop& loop, const admin::Endpoint& place) : caller_(loop, place) {}
 
-  // Asks for the status, and calls `on_status` once status() is up to date. Nothing happens while an earlier
-  // poll is pending.
+  // Requests the status. `on_status` runs once status() is updated, also if the manager didn't answer. Does
+  // nothing while an earlier poll is pending.
   void poll(std::function<void()> on_status);
   bool has_polled() const { return has_polled_; }
   const ManagerStatus& status() const { return status_; }
 
-  // Orders. An order that is lost is not sent again: the lifecycle sees that nothing changes.
+  // Orders. A lost order is not sent again here: the instance's lifecycle notices that the manager's state
+  // doesn't change.
 
-  // The manager ends once its open requests have ended, or after `within`.
+  // The manager exits once its open requests have ended, or after `within`.
   void request_shutdown(fleet::Duration within);
   void cancel_shutdown();
-  // Drains the manager or restores it, as `holder`, on behalf of the step's operation.
+  // Drains the manager, or restores it if `drains` is false. The order names `holder` and the step's
+  // operation.
   void order_drain(const std::string& holder, bool drains, const fleet::Step& step);
 
  private:
--- a/src/agent/peers.cpp
+++ b/src/agent/peers.cpp
@@ -4,18 +4,18 @@
 
 namespace pearchute::agent {
 
-void Peers::OpenCalls::add(grpc::ClientContext* context) {
+void Peers::PendingRpcs::add(grpc::ClientContext* context) {
   const std::lock_guard lock(mutex_);
   contexts_.insert(context);
 }
 
-void Peers::OpenCalls::remove(grpc::ClientContext* context) {
+void Peers::PendingRpcs::remove(grpc::ClientContext* context) {
   const std::lock_guard lock(mutex_);
   contexts_.erase(context);
   removed_.notify_all();
 }
 
-void Peers::OpenCalls::cancel_and_wait() {
+void Peers::PendingRpcs::cancel_and_wait() {
   std::unique_lock lock(mutex_);
   for (grpc::ClientContext* context : contexts_) context->TryCancel();
   removed_.wait(lock, [this] { return contexts_.empty(); });
@@ -25,13 +25,13 @@
     : loop_thread_(loop_thread),
       config_(config),
       open_channel_(std::move(open_channel)),
-      open_calls_(std::make_shared<OpenCalls>()) {
+      pending_rpcs_(std::make_shared<PendingRpcs>()) {
   open_stub(config_.name, config_.control);
   for (const auto& [name, endpoint] : config_.peers) open_stub(name, endpoint);
 }
 
-// No result may be handed over to a loop that has gone.
-Peers::~Peers() { open_calls_->cancel_and_wait(); }
+// Waits, since no result may be posted to a loop that is destroyed.
+Peers::~Peers() { pending_rpcs_->cancel_and_wait(); }
 
 void Peers::change(const AgentConfig& next) {
   for (const auto& [name, endpoint] : next.peers) {
--- a/src/agent/peers.h
+++ b/src/agent/peers.h
@@ -1,8 +1,8 @@
-// Remote calls from this agent to the agents that its configuration names, itself among them. It retries
-// nothing and decides nothing.
+// gRPC clients for the agents that this agent's configuration names, and for the agent itself. Peers doesn't
+// retry; its callers decide what to send again.
 //
-// call() and change() are for the event loop's thread. gRPC completes calls on threads of its own, which hand
-// the results over to the loop.
+// call() and change() run on the event loop's thread. gRPC completes RPCs on threads of its own, which post
+// the results to the loop.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -25,59 +25,61 @@
 
 namespace pearchute::agent {
 
-// Opens the channel to one agent; channel_to, unless many agents of one process share their channels.
+// Opens the channel to one agent. The default is channel_to; many agents in one process may share channels.
 using ChannelFactory = std::function<std::shared_ptr<grpc::Channel>(
     const keys::Endpoint& endpoint, const std::string& name, const keys::TlsFiles& files)>;
 
-// One channel for each agent.
+// Holds one stub for each agent.
 class Peers {
  public:
-  // Called once for each call, on the loop. Where `ok` is false the response is empty.
+  // Runs once for each RPC, on the loop. `ok` is false if the RPC failed; then the response is empty.
   template <class Response>
   using OnResponse = std::function<void(bool ok, const Response& response)>;
 
-  // Throws as `open_channel` does.
+  // Throws what `open_channel` throws.
   Peers(net::EventLoopThread& loop_thread, const AgentConfig& config,
         ChannelFactory open_channel = channel_to);
-  // Cancels open calls, and waits until their results are handed over.
+  // Cancels the RPCs in progress, and blocks until the results of all are posted to the loop.
   ~Peers();
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
 
-  // Opens channels to agents that are new or have another endpoint. Agents that are not named any more stay
-  // reachable until the next start, since rollouts may hold leases there. Throws as `open_channel` does.
+  // Opens channels to agents that are new or have another endpoint. Agents that `next` no longer names stay
+  // reachable until this agent restarts, since rollouts may hold leases there. Throws what `open_channel`
+  // throws.
   void change(const AgentConfig& next);
 
   bool knows(const std::string& agent) const { return stubs_.contains(agent); }
-  std::vector<std::string> names() const;  // this agent's own, too
+  std::vector<std::string> names() const;  // of all agents, this one included
 
-  // REQUIRES: knows(agent).
+  // Starts an RPC, whose result `on_response` receives. REQUIRES: knows(agent).
   template <class Request, class Response>
   void call(const std::string& agent, const RpcMethod<Request, Response>& method,
             std::chrono::milliseconds timeout, const Request& request,
             std::type_identity_t<OnResponse<Response>> on_response) {
-    // Lives until gRPC has completed the call.
-    struct OpenCall {
+    // Kept alive until gRPC has completed the RPC.
+    struct PendingRpc {
       grpc::ClientContext context;
       Request request;
       Response response;
     };
-    const auto open = std::make_shared<OpenCall>();
-    open->request = request;
-    open->context.set_deadline(deadline_in(timeout));
-    open_calls_->add(&open->context);
-    std::function<void(grpc::Status)> on_done = [loop_thread = &loop_thread_, open, on_response,
-                                                 open_calls = open_calls_](const grpc::Status& status) {
-      loop_thread->post([open, on_response, ok = status.ok()] { on_response(ok, open->response); });
-      open_calls->remove(&open->context);
+    const auto pending = std::make_shared<PendingRpc>();
+    pending->request = request;
+    pending->context.set_deadline(deadline_in(timeout));
+    pending_rpcs_->add(&pending->context);
+    std::function<void(grpc::Status)> on_done = [loop_thread = &loop_thread_, pending, on_response,
+                                                 pending_rpcs = pending_rpcs_](const grpc::Status& status) {
+      loop_thread->post([pending, on_response, ok = status.ok()] { on_response(ok, pending->response); });
+      pending_rpcs->remove(&pending->context);
     };
-    (stubs_.at(agent)->async()->*method.start)(&open->context, &open->request, &open->response, on_done);
+    (stubs_.at(agent)->async()->*method.start)(&pending->context, &pending->request, &pending->response,
+                                               on_done);
   }
 
  private:
-  // The calls whose results are not handed over yet. Thread-safe. Shared with the calls, whose last act may
-  // be to remove themselves while Peers is destroyed.
-  class OpenCalls {
+  // The RPCs whose results are not posted to the loop yet. Thread-safe. Each RPC shares ownership, since its
+  // completion may still run remove() while Peers is destroyed.
+  class PendingRpcs {
    public:
     void add(grpc::ClientContext* context);
     void remove(grpc::ClientContext* context);
@@ -93,7 +95,7 @@
   net::EventLoopThread& loop_thread_;
   AgentConfig config_;
   const ChannelFactory open_channel_;
-  const std::shared_ptr<OpenCalls> open_calls_;
+  const std::shared_ptr<PendingRpcs> pending_rpcs_;
   std::map<std::string, std::unique_ptr<v1::Agent::Stub>> stubs_;  // by agent
 };
 
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-// A rollout sees a change within half a second; each poll costs a manager some 50 us.
+// A rollout sees a change of state within half a second. Each poll takes a manager about 50 us.
 constexpr milliseconds poll_interval(200);
 
-// Without a lease owner, by what the manager says of itself.
+// The instance's state if there is no lease owner, by its manager's status alone.
 InstanceState state_of(const ManagerStatus& status) {
   if (!status.answered) return InstanceState::unseen;
   if (status.drain_state == "drained") return InstanceState::drained;
@@ -39,7 +39,8 @@
     : loop_(loop), config_(config), store_(config.state_file) {
   const bool usable = open_store();
   if (usable) lease_owner_ = std::make_unique<fleet::LeaseOwner>(*this);
-  else spdlog::error("{}; this agent observes and takes no orders until its state is mended", store_error_);
+  else
+    spdlog::error("{}; this agent only observes; repair its state file and restart the agent", store_error_);
   const PersistedInstances persisted = usable ? store_.instances() : PersistedInstances();
   const ProcessRecords processes = usable ? store_.processes() : ProcessRecords();
   for (const auto& [name, owned] : config_.instances) supervise(name, owned, persisted, processes);
@@ -48,13 +49,14 @@
 
 ProcessSupervisor::~ProcessSupervisor() { *alive_ = false; }
 
-// A folder that fails for a moment just at the start must not leave the agent without a store for good.
+// Retries, since the agent doesn't open the store again later: a brief failure of the folder at the start
+// would leave the agent without a store until its next restart.
 bool ProcessSupervisor::open_store() {
   const auto deadline = std::chrono::steady_clock::now() + shortages_pass_within;
   store::OpenStatus status = store_.open(store_error_);
   while (status == store::OpenStatus::temporarily_unavailable &&
          std::chrono::steady_clock::now() < deadline) {
-    PEARCHUTE_LOG(spdlog::level::warn, "{}; tried again for some seconds", store_error_);
+    PEARCHUTE_LOG(spdlog::level::warn, "{}; retrying", store_error_);
     std::this_thread::sleep_for(between_attempts);
     status = store_.open(store_error_);
   }
@@ -70,7 +72,7 @@
   state.wanted = owned.starts;
   state.version = owned.initial_version;
   if (const auto at = persisted.find(name); at != persisted.end()) state = at->second;
-  // A version that is not configured any more can't be started.
+  // The persisted version may have been removed from the configuration, and then can't be started.
   if (!owned.commands.contains(state.version)) state.version = owned.initial_version;
   instance->running_version = state.version;
   if (const auto at = processes.find(name); at != processes.end()) adopt(name, at->second, *instance);
@@ -81,15 +83,14 @@
                               Instance& instance) {
   const bool runs = try_adopt(name, process);
   if (runs && process.command_version > 0) instance.running_version = process.command_version;
-  spdlog::info("instance {}: process {} {}", name, process.pid, runs ? "is adopted" : "has ended");
+  spdlog::info("instance {}: process {} {}", name, process.pid, runs ? "adopted" : "has exited");
 }
 
-// A process that can't be looked at for a moment must not be taken for one that has ended, and be started a
-// second time.
+// Retries while the process can't be inspected: an instance whose process is wrongly taken for exited would
+// be started a second time.
 bool ProcessSupervisor::try_adopt(const std::string& name, const store::ProcessRecord& process) {
   const auto log_shortage = [&](const ResourceShortage& shortage) {
-    PEARCHUTE_LOG(spdlog::level::warn, "instance {}: {}; tried again for some seconds", name,
-                  shortage.what());
+    PEARCHUTE_LOG(spdlog::level::warn, "instance {}: {}; retrying", name, shortage.what());
   };
   return retry_while_short([&] { return processes_.adopt(name, process); }, log_shortage);
 }
@@ -100,23 +101,23 @@
   config_.instances = next.instances;
   for (const auto& [name, owned] : previous.instances) {
     const auto at = next.instances.find(name);
-    // The admin address identifies an instance: with another one it is another instance.
+    // The admin address identifies an instance: one with a changed address is removed and added.
     const bool same = at != next.instances.end() && at->second.admin.text == owned.admin.text;
     if (same) continue;
     if (lease_owner_ && !lease_owner_->remove_instance(fleet_now(loop_), name)) {
       config_.instances[name] = owned;
-      changes.push_back("instance " + name + " stays as it was: it is claimed");
+      changes.push_back("instance " + name + " keeps its previous configuration: it has a lease or a step");
       continue;
     }
     processes_.release(name);
     instances_.erase(name);
     if (lease_owner_) store_.erase_instance(name);
-    changes.push_back("instance " + name + " is not looked after any more; it runs on");
+    changes.push_back("instance " + name + " is no longer supervised; its process keeps running");
   }
   for (const auto& [name, owned] : config_.instances) {
     if (instances_.contains(name)) continue;
     supervise(name, owned, {}, {});
-    changes.push_back("instance " + name + " is looked after from now on");
+    changes.push_back("instance " + name + " is now supervised");
   }
   return changes;
 }
@@ -147,7 +148,7 @@
   const auto at = config_.instances.find(name);
   const bool known = at != config_.instances.end();
   if (known && step.kind == fleet::StepKind::change && !at->second.commands.contains(step.version)) {
-    error = "no command of version " + std::to_string(step.version);
+    error = "no command is configured for version " + std::to_string(step.version);
     return false;
   }
   return lease_owner_->step(fleet_now(loop_), name, step, error);
@@ -211,7 +212,8 @@
   InstanceLifecycle::Observation observation;
   observation.ours = processes_.alive(name);
   observation.answers = status.answered;
-  // The shell that was started may have become the manager, or be its parent: both are in a session of ours.
+  // The shell that Processes started may have replaced itself with the manager or be its parent. In both
+  // cases the manager is in the session that the shell leads.
   const std::optional<store::ProcessRecord> process = processes_.process_of(name);
   observation.is_ours =
       observation.ours && process &&
@@ -223,7 +225,7 @@
   return observation;
 }
 
-// ---- What the lease owner decides
+// ---- fleet::LeaseOwner::Host
 
 void ProcessSupervisor::wake_at(TimePoint when) {
   if (wake_at_ && *wake_at_ <= when && *wake_at_ > fleet_now(loop_)) return;
@@ -237,7 +239,8 @@
 
 bool ProcessSupervisor::write(const PersistedInstances& instances, const std::string& intent) {
   if (store_.write_instances(instances)) return true;
-  PEARCHUTE_LOG(spdlog::level::err, "{}: {} is not done", store_.last_error(), intent);
+  PEARCHUTE_LOG(spdlog::level::err, "can't persist the intent '{}', which is not executed: {}", intent,
+                store_.last_error());
   return false;
 }
 
@@ -245,7 +248,7 @@
   const OwnedInstance& owned = config_.instances.at(name);
   const auto command = owned.commands.find(version);
   if (command == owned.commands.end()) {
-    PEARCHUTE_LOG(spdlog::level::err, "instance {}: no command of version {}", name, version);
+    PEARCHUTE_LOG(spdlog::level::err, "instance {}: no command is configured for version {}", name, version);
     return;
   }
   const auto persist = [&](store::ProcessRecord process) {
@@ -272,25 +275,25 @@
 }
 
 void ProcessSupervisor::terminate(const std::string& name) {
-  spdlog::warn("instance {}: SIGTERM", name);
+  spdlog::warn("instance {}: sending SIGTERM", name);
   processes_.signal(name, SIGTERM);
 }
 
 void ProcessSupervisor::kill(const std::string& name) {
-  spdlog::warn("instance {}: SIGKILL", name);
+  spdlog::warn("instance {}: sending SIGKILL", name);
   processes_.signal(name, SIGKILL);
 }
 
 void ProcessSupervisor::step_ended(const std::string& name, const fleet::Step& step, fleet::StepEnd end,
                                    const std::string& reason) {
-  spdlog::info("instance {}: step of {} under fence {}: {}, {}", name, step.operation, step.fence,
-               name_of(end), reason);
+  spdlog::info("instance {}: step of operation {} with fence {} ended: {}, {}", name, step.operation,
+               step.fence, name_of(end), reason);
 }
 
 void ProcessSupervisor::lease_ended(const std::string& name, const fleet::Lease& lease,
                                     fleet::LeaseTable::EndReason reason) {
-  constexpr std::array<std::string_view, 3> descriptions = {"has run out", "is released", "is taken over"};
-  spdlog::info("instance {}: the lease of {} for {} {}", name, lease.who, lease.operation,
+  constexpr std::array<std::string_view, 3> descriptions = {"has expired", "was released", "was taken over"};
+  spdlog::info("instance {}: lease of operator {} for operation {} {}", name, lease.who, lease.operation,
                descriptions[static_cast<std::size_t>(reason)]);
 }
 
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -1,8 +1,8 @@
-// Supervises the instances of one host: observes their managers, starts and signals their processes, and
-// persists and carries out what fleet::LeaseOwner decides. Where the store can't be used it only observes and
-// refuses what operators ask; its instances go on serving.
+// Supervises the instances of one host: polls their managers, starts and signals their processes, and
+// persists and executes the decisions of fleet::LeaseOwner. If the store can't be used, the supervisor only
+// polls, and refuses requests of operators and coordinators; the instances keep serving.
 //
-// Lives on the event loop, which it blocks for the time of a write to the store.
+// Lives on the event loop, which it blocks while it writes to the store.
 #pragma once
 
 #include <cstdint>
@@ -21,62 +21,63 @@
 
 namespace pearchute::agent {
 
-// All instances of this host; what fleet::LeaseOwner decides is carried out here.
 class ProcessSupervisor final : public fleet::LeaseOwner::Host {
  public:
-  // An instance as it is known at the moment.
+  // The last known state of an instance.
   struct InstanceStatus {
     std::string name;
     std::string zone;
     fleet::InstanceState state = fleet::InstanceState::unseen;
     int version = 0;  // of its command
-    int crashes = 0;  // unexpected ends in a row
+    int crashes = 0;  // consecutive unexpected exits
     std::int64_t pid = 0;
-    std::uint64_t process_id = 0;  // tells its processes apart: when the manager says that it started
-    std::uint64_t done = 0;        // requests, since its process started
-    std::uint64_t answered = 0;    // the same, of all outcomes
-    std::uint64_t open = 0;        // requests
+    // Differs between successive processes of the instance: the start time in ms that its manager reports.
+    std::uint64_t process_id = 0;
+    std::uint64_t done = 0;      // requests done since the process started
+    std::uint64_t answered = 0;  // requests answered since then, with any outcome
+    std::uint64_t open = 0;      // requests in progress
     std::optional<fleet::Lease> lease;
     std::optional<fleet::Step> current_step;
     std::optional<fleet::InstanceLifecycle::CompletedStep> last_step;
   };
 
-  // Opens the store, adopts the processes that an earlier run started, and begins to observe. Blocks for some
-  // seconds where the store is temporarily unavailable. Throws as Processes does.
+  // Opens the store, adopts the processes that an earlier run of the agent started, and starts to poll.
+  // Blocks for some seconds if the store is temporarily unavailable. Throws what Processes throws.
   ProcessSupervisor(net::Loop& loop, const AgentConfig& config);
   ~ProcessSupervisor() override;
 
-  // Takes over another configuration: new instances are supervised, commands change for the next start, and
-  // instances that are not named any more are left running. Those with a lease stay. Returns what was done,
-  // for the log.
+  // Applies another configuration. Supervises instances that are new; releases those that `next` no longer
+  // names, whose processes keep running; changed commands take effect when an instance next starts. An
+  // instance with a lease or a step in progress keeps its previous configuration. Returns a line for the log
+  // on each instance that is added, released or kept.
   std::vector<std::string> change(const AgentConfig& next);
 
-  // Requests of operators and coordinators. Each fails where the store can't be used.
+  // Requests of operators and coordinators. Each fails if the store can't be used.
 
   fleet::LeaseTable::Answer acquire(const fleet::LeaseRequest& request);
-  // False where any of the leases is not live any more.
+  // Returns false if any of the leases is not live any more.
   bool renew(const std::string& operation, const std::vector<std::string>& instances,
              fleet::Duration lease_duration);
   void release(const std::string& operation);
-  // False where the step is refused; `error` says why.
+  // Returns false and sets `error` if the step is refused.
   bool step(const std::string& instance, const fleet::Step& step, std::string& error);
 
   std::vector<InstanceStatus> instances() const;
-  // Each manager has answered since the start, or has failed to.
+  // Whether each manager has been polled since the start, with or without an answer.
   bool has_observed_all() const;
 
   store::Store& store() { return store_; }
   bool store_is_usable() const { return store_error_.empty(); }
-  // Why the store can't be used, for operators; empty where it can.
+  // Why the store can't be used, for operators; empty if it can.
   const std::string& store_error() const { return store_error_; }
 
  private:
-  // What is needed of an instance beside its lifecycle, which the lease owner has.
+  // The supervisor's own state of an instance; the lease owner holds the instance's lifecycle.
   struct Instance {
     Instance(net::Loop& loop, const OwnedInstance& owned)
         : manager(loop, owned.admin), running_version(owned.initial_version) {}
     ManagerClient manager;
-    int running_version;  // of the command by which its process was started
+    int running_version;  // version of the command that started its process
   };
   using PersistedInstances = std::map<std::string, fleet::LeaseOwner::PersistedInstance>;
   using ProcessRecords = std::map<std::string, store::ProcessRecord>;
@@ -111,7 +112,7 @@
   Processes processes_;
   std::string store_error_;
   std::map<std::string, std::unique_ptr<Instance>> instances_;  // by name
-  std::unique_ptr<fleet::LeaseOwner> lease_owner_;              // none where the store can't be used
+  std::unique_ptr<fleet::LeaseOwner> lease_owner_;              // null if the store can't be used
   std::optional<fleet::TimePoint> wake_at_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -15,26 +15,27 @@
 
 namespace {
 
-// Of /proc/PID/stat, counted from 1; see proc(5).
+// Positions of fields in /proc/PID/stat, counted from 1; see proc(5).
 constexpr int state_field = 3;
 constexpr int start_time_field = 22;
 
 constexpr mode_t log_file_mode = 0600;
-constexpr int command_not_run_status = 127;  // as shells have it
+constexpr int command_not_run_status = 127;  // the exit status of a shell that finds no such command
 
 std::string read_boot_id() {
   const std::string text = read_file("/proc/sys/kernel/random/boot_id");
   return text.substr(0, text.find('\n'));
 }
 
-// Not open where there is no such process. Throws ResourceShortage.
+// Returns a descriptor that is not open if there is no such process. Throws ResourceShortage.
 FileDescriptor open_pidfd(std::int64_t pid) {
   FileDescriptor pidfd(static_cast<int>(::syscall(SYS_pidfd_open, static_cast<pid_t>(pid), 0)));
   if (pidfd.is_open() || last_failure() == Failure::never) return pidfd;
-  throw ResourceShortage("process " + std::to_string(pid) + " can't be held: " + text_of_last_error());
+  throw ResourceShortage("can't open a pidfd of process " + std::to_string(pid) + ": " +
+                         text_of_last_error());
 }
 
-// Nothing where there is no such process: its file may also end while it is read.
+// Returns nullopt if there is no such process. Reading the file also fails if the process exits meanwhile.
 std::optional<std::string> read_stat(std::int64_t pid) {
   try {
     return read_file_if_there("/proc/" + std::to_string(pid) + "/stat");
@@ -45,7 +46,8 @@
   }
 }
 
-// A pipe over which a child is told to begin. Where it is closed instead, the child ends.
+// The pipe by which the agent lets a forked child run its command. If the pipe is closed without a byte, the
+// child exits.
 struct StartPipe {
   FileDescriptor read_end;
   FileDescriptor write_end;
@@ -68,8 +70,9 @@
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
 }
 
-// The child's side of the fork. Async-signal-safe calls only, since other threads of the agent may have held
-// locks. It waits until its record is persisted: an agent that dies before that closes the pipe.
+// Runs in the forked child. Makes only async-signal-safe calls, since other threads of the agent may have
+// held locks at the fork. Waits until the process's record is persisted; if the agent dies before that, the
+// pipe is closed.
 [[noreturn]] void run_child(StartPipe& pipe, const char* command, const char* output,
                             const rlimit& descriptor_limit) {
   pipe.write_end.reset();
@@ -88,7 +91,8 @@
 std::optional<std::uint64_t> start_ticks_of(std::int64_t pid) {
   const std::optional<std::string> stat = read_stat(pid);
   if (!stat) return std::nullopt;
-  // The second field, the name in brackets, may hold anything; the others follow its last bracket.
+  // The second field, the command's name in parentheses, may contain any character. The other fields follow
+  // its last closing parenthesis.
   const std::size_t name_end = stat->rfind(')');
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(stat->substr(name_end + 1));
@@ -130,13 +134,13 @@
         uninterrupted([&] { return ::write(pipe.write_end.get(), "g", 1); });
     return true;
   }
-  if (handle) error = "it can't be written down";
-  pipe.write_end.reset();  // ends the child, which is reaped
+  if (handle) error = "its process record can't be persisted";
+  pipe.write_end.reset();  // lets the child exit; waitpid reaps it
   uninterrupted([&] { return ::waitpid(child, nullptr, 0); });
   return false;
 }
 
-// Of a child that has not begun yet.
+// Opens a handle to a child that waits at its start pipe. Returns nullopt and sets `error` if that fails.
 std::optional<Processes::Handle> Processes::open_child(pid_t child, std::string& error) const {
   try {
     FileDescriptor pidfd = open_pidfd(child);
@@ -148,7 +152,7 @@
       process.boot_id = boot_id_;
       return Handle{std::move(pidfd), process};
     }
-    error = "its process can't be held";
+    error = "its process exited before it ran the command";
   } catch (const ResourceShortage& shortage) {
     error = shortage.what();
   }
@@ -157,7 +161,8 @@
 
 bool Processes::adopt(const std::string& instance, const store::ProcessRecord& process) {
   if (process.boot_id != boot_id_) return false;
-  // The pidfd comes before the check: the process that it refers to stays the same one from then on.
+  // Opens the pidfd before it checks the start time: from then on the pidfd refers to the process that is
+  // checked.
   FileDescriptor pidfd = open_pidfd(process.pid);
   if (!pidfd.is_open() || start_ticks_of(process.pid) != process.start_ticks) return false;
   handles_.insert_or_assign(instance, Handle{std::move(pidfd), process});
@@ -168,11 +173,11 @@
   const auto at = handles_.find(instance);
   if (at == handles_.end()) return false;
   const int pidfd = at->second.pidfd.get();
-  pollfd ended{pidfd, POLLIN, 0};
-  // A poll that fails, by a signal or for want of memory, does not mean that the process has ended.
-  if (uninterrupted([&] { return ::poll(&ended, 1, 0); }) != 1) return true;
+  pollfd exit_event{pidfd, POLLIN, 0};
+  // A poll that fails, because of a signal or a shortage of memory, doesn't mean that the process has exited.
+  if (uninterrupted([&] { return ::poll(&exit_event, 1, 0); }) != 1) return true;
   siginfo_t status{};
-  ::waitid(P_PIDFD, static_cast<id_t>(pidfd), &status, WEXITED | WNOHANG);  // reaps it where it is a child
+  ::waitid(P_PIDFD, static_cast<id_t>(pidfd), &status, WEXITED | WNOHANG);  // reaps a child
   release(instance);
   return false;
 }
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -1,8 +1,8 @@
-// The processes of an agent's instances. Each is started in a session of its own, so that it outlives the
-// agent; it is recognized after the agent's restart by pid, start time and boot id; and it is referred to by
-// a pidfd, so that a signal never reaches another process that has the pid by then.
+// The processes of an agent's instances. Each process runs in a session of its own, so that it outlives the
+// agent. After a restart the agent recognizes it by pid, start time and boot id. A pidfd refers to it, so
+// that a signal never reaches another process to which the pid has been reassigned.
 //
-// Not thread-safe. Blocks for the time of a fork.
+// Not thread-safe. start() blocks for the time of a fork.
 #pragma once
 
 #include <sys/resource.h>
@@ -17,35 +17,35 @@
 
 namespace pearchute::agent {
 
-// By instance. Destroying it leaves the processes running.
+// Holds at most one process for each instance. Destroying it leaves the processes running.
 class Processes {
  public:
-  // Raises this program's own limit of descriptors to its maximum: each instance costs two. Throws
-  // ResourceShortage, or SystemError where the machine's boot id can't be read.
+  // Raises this program's soft limit of file descriptors to the hard limit, since each instance uses two.
+  // Throws SystemError if the machine's boot id can't be read, ResourceShortage if it temporarily can't.
   Processes();
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
-  // Starts a shell command, whose output is appended to the file `log` (empty: dropped). The command begins
-  // only once `persist` has returned true, so that no process runs which could not be recognized later. False
-  // where it can't be started or persisted; `error` says why.
+  // Starts a shell command, whose output is appended to the file `log` (empty: discarded). The command runs
+  // only after `persist` has returned true, so that every running process can be recognized after a restart.
+  // Returns false and sets `error` if the process can't be created or persisted.
   bool start(const std::string& instance, const std::string& command, const std::string& log,
              const std::function<bool(const store::ProcessRecord&)>& persist, std::string& error);
 
-  // Takes over a process that an earlier run of the agent started. False where it has ended. Throws
-  // ResourceShortage where that can't be determined now.
+  // Adopts a process that an earlier run of the agent started. Returns false if it has exited. Throws
+  // ResourceShortage if that temporarily can't be determined.
   bool adopt(const std::string& instance, const store::ProcessRecord& process);
 
-  // Whether the instance's process runs. One that has ended is reaped and released.
+  // Whether the instance's process runs. A process that has exited is reaped and released.
   bool alive(const std::string& instance);
-  // False where there is no process that can get it.
+  // Returns false if the instance has no process or the signal can't be sent.
   bool signal(const std::string& instance, int signal);
-  // Stops referring to the process, which runs on.
+  // Forgets the instance's process, which keeps running.
   void release(const std::string& instance);
   std::optional<store::ProcessRecord> process_of(const std::string& instance) const;
 
  private:
-  // A process that can't be confused with another one.
+  // The pidfd refers to this process only, even if its pid is reassigned.
   struct Handle {
     FileDescriptor pidfd;
     store::ProcessRecord process;
@@ -53,12 +53,12 @@
   std::optional<Handle> open_child(pid_t child, std::string& error) const;
 
   const std::string boot_id_;
-  rlimit inherited_limit_{};  // of descriptors, as the agent was started; instances get the same
+  rlimit inherited_limit_{};  // of file descriptors, before it was raised; set again in each instance
   std::map<std::string, Handle> handles_;
 };
 
-// A process's start, in clock ticks since the machine's boot; nothing where there is no such process or it
-// has ended. Throws ResourceShortage where that can't be determined now.
+// The start time of a process in clock ticks since the machine's boot; nullopt if there is no such process or
+// it has exited. Throws ResourceShortage if that temporarily can't be determined.
 std::optional<std::uint64_t> start_ticks_of(std::int64_t pid);
 
 }  // namespace pearchute::agent
--- a/src/agent/protocol.h
+++ b/src/agent/protocol.h
@@ -1,6 +1,7 @@
-// The calls of the agents' service (src/proto/agent.proto) under the terms of the code. The service, its
-// methods and its fields keep the names with which they went into service; they are mapped here and in the
-// codecs (wire.h, gossip_wire.h, config_wire.h), and used nowhere behind them.
+// Typed descriptors of the RPCs that one agent sends to another. The protocol (src/proto/agent.proto) keeps
+// the names of its first release, so that agents of different builds understand each other. This file maps
+// its methods to the names that the code uses; the codecs (wire.h, gossip_codec.h, config_codec.h) map its
+// messages.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -11,7 +12,7 @@
 
 namespace pearchute::agent {
 
-// The client's side of one call, with the types of its messages.
+// An RPC method, as a client starts it, with the types of its messages.
 template <class Request, class Response>
 struct RpcMethod {
   using Start = void (v1::Agent::StubInterface::async_interface::*)(grpc::ClientContext*, const Request*,
--- a/src/agent/rollout_driver.cpp
+++ b/src/agent/rollout_driver.cpp
@@ -12,20 +12,21 @@
 
 namespace {
 
-// A sound agent responds within milliseconds.
+// A healthy agent responds within milliseconds.
 constexpr milliseconds response_timeout(1500);
 constexpr milliseconds resend_delay(500);
 
 constexpr std::uint64_t ms_per_second = 1000;
 
-// Who holds the leases that were requested, for operators; or why the request failed.
+// Why a lease request was refused, for operators: its error, and the current holders of the requested leases.
 std::string describe_conflicts(const v1::ClaimAnswer& response) {
   std::string text = response.fault();
   for (const v1::ClaimAnswer::Held& conflict : response.held()) {
     const v1::Claim& lease = conflict.claim();
-    text += (text.empty() ? "" : "; ") + conflict.instance() + " is held by " + lease.who() + " for " +
-            lease.operation() + " since " + std::to_string(lease.held_ms() / ms_per_second) + " s, for " +
-            std::to_string(lease.left_ms() / ms_per_second) + " s more";
+    text += (text.empty() ? "" : "; ") + conflict.instance() + " is leased to " + lease.who() +
+            " for operation " + lease.operation() + " (held for " +
+            std::to_string(lease.held_ms() / ms_per_second) + " s, expires in " +
+            std::to_string(lease.left_ms() / ms_per_second) + " s)";
   }
   return text;
 }
@@ -80,7 +81,7 @@
   peers_.call(agent, rpc::renew_leases, response_timeout, request, while_alive(on_response));
 }
 
-// Where the call is lost, the leases run out.
+// Not resent: if the request is lost, the leases expire.
 void RolloutDriver::release(const std::string& agent) {
   v1::Operation request;
   request.set_id(rollout_.plan().id);
@@ -93,7 +94,7 @@
   *request.mutable_step() = to_wire(step);
   const auto on_response = [this, agent, instance, step](bool ok, const v1::StepAnswer& response) {
     if (ok) return rollout_.on_step_response(now(), instance, response.accepted(), response.fault());
-    // Sent again only while the lease lasts: later it would be refused.
+    // Resends only while the lease is live; after that the agent would refuse the step.
     const std::optional<TimePoint> lease_until = rollout_.lease_until(agent);
     if (!lease_until || now() + resend_delay >= *lease_until) return;
     if (rollout_.stages().at(instance) == Rollout::Stage::requested)
--- a/src/agent/rollout_driver.h
+++ b/src/agent/rollout_driver.h
@@ -1,8 +1,8 @@
-// Drives one rollout: carries out what fleet::Rollout decides, by remote calls to the agents concerned, feeds
-// their responses back, and persists each state. A lease request and a step are sent again until they are
-// answered; each is idempotent.
+// Drives one rollout: executes the decisions of fleet::Rollout by RPCs to the agents concerned, passes the
+// responses to it, and persists each of its states. Lease requests and steps are resent until an agent
+// responds; both are idempotent.
 //
-// Lives on the event loop. Responses that arrive after its end are dropped.
+// Lives on the event loop. Responses that arrive after its destruction are ignored.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,9 @@
 
 namespace pearchute::agent {
 
-// One rollout.
 class RolloutDriver final : public fleet::Rollout::Host {
  public:
-  // The references outlive it. Begins nothing by itself: see rollout().
+  // The references outlive the driver. Starts nothing: call begin() or restore() of rollout().
   RolloutDriver(net::EventLoopThread& loop_thread, Peers& peers, store::Store& store,
                 const fleet::RolloutPlan& plan, std::int64_t started_unix_ms);
 
@@ -43,7 +42,7 @@
   void on_status(const v1::Shown& status);
   void resend_later(std::function<void()> send);
   fleet::TimePoint now() const;
-  // Wraps a handler so that it does nothing once this driver has gone.
+  // Wraps a handler so that it does nothing after this driver's destruction.
   template <class Handler>
   auto while_alive(Handler handler) const {
     return [alive = std::weak_ptr<bool>(alive_), handler](const auto&... arguments) {
--- a/src/agent/rpc_deadline.h
+++ b/src/agent/rpc_deadline.h
@@ -1,4 +1,4 @@
-// Deadlines of remote calls by the monotonic clock: a wall clock that is stepped moves none of them.
+// Deadlines of RPCs, by the monotonic clock: a step of the wall clock doesn't move them.
 #pragma once
 
 #include <grpc/support/time.h>
--- a/src/agent/call_server.cpp
+++ b/src/agent/rpc_server.cpp
@@ -1,4 +1,4 @@
-#include "agent/call_server.h"
+#include "agent/rpc_server.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -19,17 +19,18 @@
 using ExternalConnection = grpc::ServerBuilder::experimental_type::ExternalConnectionType;
 
 constexpr int max_threads = 16;
-constexpr int max_message_bytes = 1 << 20;  // the largest message is a plan of some thousand instances
+constexpr int max_message_bytes =
+    1 << 20;  // the largest message is the plan of a rollout over 5000 instances
 constexpr int max_connection_idle_ms = 60'000;
 constexpr milliseconds shutdown_timeout(500);
 
-// gRPC gets a descriptor of its own. Where none can be had the caller sees its connection end, and connects
-// again.
+// Passes a duplicate of the socket's descriptor to gRPC, which closes it. If no descriptor is available, the
+// connection is closed and its client reconnects.
 void hand_over(grpc::experimental::ExternalConnectionAcceptor& acceptor,
                const Poco::Net::StreamSocket& socket) {
   const int descriptor = ::fcntl(socket.impl()->sockfd(), F_DUPFD_CLOEXEC, 0);
   if (descriptor < 0) {
-    PEARCHUTE_LOG(spdlog::level::warn, "no descriptor for a caller's connection; it is closed");
+    PEARCHUTE_LOG(spdlog::level::warn, "no file descriptor for an accepted connection; it is closed");
     return;
   }
   grpc::experimental::ExternalConnectionAcceptor::NewConnectionParameters connection;
@@ -51,7 +52,7 @@
 
 }  // namespace
 
-CallServer::CallServer(net::EventLoopThread& loop_thread, const AgentConfig& config, grpc::Service& service)
+RpcServer::RpcServer(net::EventLoopThread& loop_thread, const AgentConfig& config, grpc::Service& service)
     : loop_thread_(loop_thread), control_path_(path_of(config.control)) {
   grpc::ServerBuilder builder;
   set_limits(builder);
@@ -62,7 +63,7 @@
                                                                          server_credentials(config.tls));
   builder.RegisterService(&service);
   server_ = builder.BuildAndStart();
-  if (!server_) throw SystemError("the server of remote calls can't be started", config.name);
+  if (!server_) throw SystemError("the gRPC server can't be started", config.name);
   try {
     loop_thread_.on([&] { listen(config); });
   } catch (...) {
@@ -71,7 +72,7 @@
   }
 }
 
-CallServer::~CallServer() {
+RpcServer::~RpcServer() {
   loop_thread_.on([this] {
     stop_listening();
     ::unlink(control_path_.c_str());
@@ -79,7 +80,7 @@
   server_->Shutdown(deadline_in(shutdown_timeout));
 }
 
-void CallServer::listen(const AgentConfig& config) {
+void RpcServer::listen(const AgentConfig& config) {
   const auto accept_control = [this](const Poco::Net::StreamSocket& socket) {
     hand_over(*control_acceptor_, socket);
   };
@@ -92,6 +93,6 @@
       loop_thread_.loop(), net::resolved_address(config.listen.target, "listen"), accept_tls));
 }
 
-void CallServer::stop_listening() { listeners_.clear(); }
+void RpcServer::stop_listening() { listeners_.clear(); }
 
 }  // namespace pearchute::agent
--- a/src/agent/rpc_service.cpp
+++ b/src/agent/rpc_service.cpp
@@ -17,10 +17,12 @@
 
 namespace {
 
-Status no_gossip() { return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no word"}; }
+Status no_gossip() {
+  return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no status reports"};
+}
 
 Status no_config() {
-  return {grpc::StatusCode::FAILED_PRECONDITION, "this agent takes no part in configuration versions"};
+  return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no configuration versions"};
 }
 
 template <class Strings>
@@ -40,16 +42,17 @@
 
 // ---- Authorization
 
-template <class Call>
+template <class Handler>
 Status RpcService::authorize_and_run(const ServerContext& context, Action action, const std::string& owner,
-                                     Call call) {
+                                     Handler handler) {
   const CallerIdentity caller = identity_of(context);
   if (const std::string reason = denial(caller, action, owner); !reason.empty()) {
-    PEARCHUTE_LOG(spdlog::level::warn, "{} at {} is refused: {}", caller.name, context.peer(), reason);
+    PEARCHUTE_LOG(spdlog::level::warn, "refused an RPC of '{}' from {}: {}", caller.name, context.peer(),
+                  reason);
     return {grpc::StatusCode::PERMISSION_DENIED, reason};
   }
   try {
-    loop_thread_.on(call);
+    loop_thread_.on(handler);
     return Status::OK;
   } catch (const MessageError& error) {
     return {grpc::StatusCode::INVALID_ARGUMENT, error.what()};
@@ -57,12 +60,12 @@
 }
 
 std::string RpcService::denial(const CallerIdentity& caller, Action action, const std::string& owner) {
-  if (!caller.role) return "a certificate without a role";
-  if (revocations_.is_revoked(caller.serial)) return "the certificate is revoked";
+  if (!caller.role) return "the caller's certificate states no role";
+  if (revocations_.is_revoked(caller.serial)) return "the caller's certificate is revoked";
   return fleet::denial_reason(*caller.role, action, caller.name, owner).value_or("");
 }
 
-// Under whose name an operation has its leases here; empty where it has none.
+// The operator who holds an operation's leases at this agent; empty if it holds none.
 std::string RpcService::owner_of(const std::string& operation) {
   return loop_thread_.on([&]() -> std::string {
     for (const ProcessSupervisor::InstanceStatus& instance : components_.supervisor.instances()) {
@@ -101,7 +104,7 @@
   return to;
 }
 
-// ---- Between agents
+// ---- RPCs between agents
 
 Status RpcService::Exchange(ServerContext* context, const v1::Question* request, v1::Bulletin* response) {
   if (!components_.gossip) return no_gossip();
@@ -113,7 +116,7 @@
                                v1::ConfigMessage* response) {
   if (!components_.config) return no_config();
   if (identity_of(*context).role != fleet::Role::agent)
-    return {grpc::StatusCode::PERMISSION_DENIED, "only agents exchange versions of the configuration"};
+    return {grpc::StatusCode::PERMISSION_DENIED, "only agents may exchange configuration versions"};
   return authorize_and_run(*context, Action::change, "",
                            [&] { components_.config->synchronize(*request, *response); });
 }
@@ -144,7 +147,7 @@
 
 Status RpcService::Renew(ServerContext* context, const v1::Renewal* request, v1::Renewed* response) {
   return authorize_and_run(*context, Action::change, owner_of(request->operation()), [&] {
-    const milliseconds lease_duration = lease_duration_from_wire(request->lease_ms());
+    const milliseconds lease_duration = lease_duration_from_ms(request->lease_ms());
     const bool live =
         components_.supervisor.renew(request->operation(), to_vector(request->instances()), lease_duration);
     response->set_live(live);
@@ -178,7 +181,7 @@
                            [&] { components_.coordinator.list(request->id(), *response); });
 }
 
-// Whoever may change anything may pause any rollout, whoever started it.
+// No owner is checked: an operator with the right to change may control the rollouts of all operators.
 Status RpcService::Say(ServerContext* context, const v1::Word* request, v1::Said* response) {
   return authorize_and_run(*context, Action::change, "", [&] {
     response->set_fault(components_.coordinator.control(request->id(), request->word()));
--- a/src/agent/rpc_service.h
+++ b/src/agent/rpc_service.h
@@ -1,7 +1,7 @@
-// The server's side of an agent's remote calls: authorizes each caller by the role in its certificate, and
-// carries the call out on the event loop.
+// The server side of an agent's RPCs: authorizes each caller by the role in its certificate, and executes the
+// RPC on the event loop.
 //
-// gRPC runs each call on a thread of its own, which waits for the loop.
+// gRPC runs each handler on a thread of its own, which blocks until the loop has executed it.
 #pragma once
 
 #include <string>
@@ -18,13 +18,13 @@
 
 namespace pearchute::agent {
 
-// Names and arguments are the protocol's. Statuses: PERMISSION_DENIED where the caller may not,
-// INVALID_ARGUMENT where a message has a value out of its bounds, FAILED_PRECONDITION where this agent does
-// not take part.
+// Implements the service of agent.proto, with the protocol's names. A method returns PERMISSION_DENIED if the
+// caller is not authorized, INVALID_ARGUMENT if a message holds a value that is unknown or out of bounds, and
+// FAILED_PRECONDITION if this agent's configuration disables the exchange that the method belongs to.
 class RpcService final : public v1::Agent::Service {
  public:
-  // What carries the calls out; all of it outlives the service. Without `gossip` or `config` this agent takes
-  // no part in them.
+  // The objects that execute the RPCs; they outlive the service. `gossip` and `config` are null if the
+  // agent's configuration disables that exchange.
   struct Components {
     ProcessSupervisor& supervisor;
     Coordinator& coordinator;
@@ -32,7 +32,7 @@
     ConfigService* config;
   };
 
-  // Throws as Revocations does.
+  // `build` is reported to operators. Throws what the constructor of Revocations throws.
   RpcService(net::EventLoopThread& loop_thread, const Components& components, const AgentConfig& config,
              std::string build);
 
@@ -57,12 +57,12 @@
   grpc::Status Say(grpc::ServerContext* context, const v1::Word* request, v1::Said* response) override;
 
  private:
-  // Runs `call` on the loop where the caller may do `action` on behalf of `owner`, the operator whose
-  // operation it is (empty: anybody's).
-  template <class Call>
+  // Runs `handler` on the loop if the caller may perform `action` on an operation of the operator `owner`. An
+  // empty `owner` stands for an action that concerns no operator's operation.
+  template <class Handler>
   grpc::Status authorize_and_run(const grpc::ServerContext& context, fleet::Action action,
-                                 const std::string& owner, Call call);
-  // Why the caller may not, for operators; empty where it may.
+                                 const std::string& owner, Handler handler);
+  // Returns why the caller is not authorized, for operators; empty if it is.
   std::string denial(const CallerIdentity& caller, fleet::Action action, const std::string& owner);
   std::string owner_of(const std::string& operation);
   v1::Instance to_wire_status(const ProcessSupervisor::InstanceStatus& status) const;
--- a/src/agent/start_retries.h
+++ b/src/agent/start_retries.h
@@ -1,5 +1,5 @@
-// Attempts to start something, or to read the configuration, which are made again for some seconds while this
-// machine is short of something.
+// Retries of startup steps, and of reading the configuration, while memory, descriptors or the like have
+// temporarily run out.
 #pragma once
 
 #include "net/log.h"
@@ -7,12 +7,12 @@
 
 namespace pearchute::agent {
 
-// Returns what `attempt` returns, and logs each shortage. Blocks. Throws ResourceShortage where the shortage
-// lasts, and whatever else `attempt` throws.
+// Runs `attempt`, repeatedly for some seconds while it throws ResourceShortage, and returns its result.
+// Blocks. Logs each shortage; throws the last one, and whatever else `attempt` throws.
 template <class Attempt>
 auto retry_start(Attempt attempt) {
   return retry_while_short(attempt, [](const ResourceShortage& shortage) {
-    PEARCHUTE_LOG(spdlog::level::warn, "not now: {}", shortage.what());
+    PEARCHUTE_LOG(spdlog::level::warn, "temporary resource shortage, retrying: {}", shortage.what());
   });
 }
 
--- a/src/agent/status_reporter.cpp
+++ b/src/agent/status_reporter.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Rounds over which rates are averaged: as long as a report is of use.
+// The number of rounds over which rates are averaged; about as long as peers use a report.
 constexpr int averaging_rounds = 10;
 
 }  // namespace
--- a/src/agent/status_reporter.h
+++ b/src/agent/status_reporter.h
@@ -1,5 +1,6 @@
-// Turns what the supervisor observes of an agent's instances into status reports: adds since when the state
-// has lasted, and how many requests are answered and done, averaged over some ten rounds.
+// Converts the supervisor's observations of an agent's instances into status reports. Adds how long an
+// instance has been in its state, and the rate of answered requests and the share of them that were done,
+// both averaged over about ten rounds.
 //
 // Lives on the event loop.
 #pragma once
@@ -14,19 +15,19 @@
 
 namespace pearchute::agent {
 
-// For all instances of one agent.
+// Keeps the averages of all instances of one agent.
 class StatusReporter {
  public:
-  // One round. Instances that have not been observed yet are left out: peers keep their last report, with its
-  // age.
+  // Returns the reports of one round. Omits instances that have not been observed since the agent's start;
+  // for those, peers keep the last report and its age.
   std::vector<fleet::StatusReport> reports(fleet::TimePoint now,
                                            const std::vector<ProcessSupervisor::InstanceStatus>& instances);
 
  private:
-  // An instance as it was at the last round.
+  // An instance's values at the previous round.
   struct Previous {
     fleet::InstanceState state{};
-    std::uint64_t process_id = 0;  // see InstanceStatus
+    std::uint64_t process_id = 0;  // as in InstanceStatus
     std::uint64_t done = 0;
     std::uint64_t answered = 0;
     fleet::TimePoint state_since{};
--- a/src/agent/wire.cpp
+++ b/src/agent/wire.cpp
@@ -18,14 +18,16 @@
 constexpr std::size_t max_rollout_id_length = 64;
 constexpr std::size_t max_operator_name_length = 128;
 constexpr int max_targets = 5000;
-// Longer than anything that is waited for.
+// One day: no lease, timeout or waiting period of a rollout may be longer.
 constexpr std::uint64_t max_duration_ms = 24 * 3600 * 1000;
 
 template <class Enum, std::size_t Size>
 Enum parse(const std::array<std::string_view, Size>& names, const std::string& name) {
   const auto at = std::ranges::find(names, name);
-  if (at == names.end()) throw MessageError("'" + name + "' is not known");
-  return static_cast<Enum>(at - names.begin());
+  if (at != names.end()) return static_cast<Enum>(at - names.begin());
+  std::string expected;
+  for (const std::string_view one : names) expected += (expected.empty() ? "" : ", ") + std::string(one);
+  throw MessageError("expected one of " + expected + ", got '" + name + "'");
 }
 
 std::string fallback_name(fleet::Fallback fallback) {
@@ -33,7 +35,9 @@
 }
 
 Duration duration_from_ms(std::uint64_t duration_ms) {
-  if (duration_ms > max_duration_ms) throw MessageError("a span of over a day");
+  if (duration_ms > max_duration_ms)
+    throw MessageError("expected a duration of at most " + std::to_string(max_duration_ms) + " ms, got " +
+                       std::to_string(duration_ms) + " ms");
   return milliseconds(duration_ms);
 }
 
@@ -41,16 +45,26 @@
   return whole_milliseconds(std::max(duration, Duration::zero()));
 }
 
+std::string ms_text(Duration duration) { return std::to_string(whole_milliseconds(duration)); }
+
 void check_bounds(const fleet::RolloutPlan& plan) {
   if (plan.id.empty() || plan.id.size() > max_rollout_id_length || plan.who.empty() ||
       plan.who.size() > max_operator_name_length)
-    throw MessageError("a rollout needs a short id and a name");
+    throw MessageError("a rollout needs an id of 1 to " + std::to_string(max_rollout_id_length) +
+                       " characters and an operator's name of 1 to " +
+                       std::to_string(max_operator_name_length) + " characters");
   if (plan.max_concurrent < 1 || plan.batch < 0 || plan.failures < 0)
-    throw MessageError("a limit out of bounds");
-  if (plan.targets.empty() || plan.targets.size() > max_targets) throw MessageError("no target, or too many");
+    throw MessageError("expected at_once of at least 1, batch and failures of at least 0, got at_once " +
+                       std::to_string(plan.max_concurrent) + ", batch " + std::to_string(plan.batch) +
+                       ", failures " + std::to_string(plan.failures));
+  if (plan.targets.empty() || plan.targets.size() > max_targets)
+    throw MessageError("a rollout needs 1 to " + std::to_string(max_targets) + " target instances, got " +
+                       std::to_string(plan.targets.size()));
   if (plan.lease_duration < fleet::LeaseTable::min_lease ||
       plan.lease_duration > fleet::LeaseTable::max_lease)
-    throw MessageError("a lease out of bounds");
+    throw MessageError("expected a lease duration of " + ms_text(fleet::LeaseTable::min_lease) + " to " +
+                       ms_text(fleet::LeaseTable::max_lease) + " ms, got " + ms_text(plan.lease_duration) +
+                       " ms");
 }
 
 }  // namespace
@@ -121,13 +135,15 @@
   to.operation = request.operation();
   to.who = request.who();
   to.instances.assign(request.instances().begin(), request.instances().end());
-  to.lease_duration = lease_duration_from_wire(request.lease_ms());
+  to.lease_duration = lease_duration_from_ms(request.lease_ms());
   to.take_over = request.take_over();
   return to;
 }
 
-milliseconds lease_duration_from_wire(std::uint64_t lease_ms) {
-  if (lease_ms > max_duration_ms) throw MessageError("a lease out of bounds");
+milliseconds lease_duration_from_ms(std::uint64_t lease_ms) {
+  if (lease_ms > max_duration_ms)
+    throw MessageError("expected a lease duration of at most " + std::to_string(max_duration_ms) +
+                       " ms, got " + std::to_string(lease_ms) + " ms");
   return milliseconds(lease_ms);
 }
 
@@ -170,7 +186,7 @@
   }
   to.set_at_once(plan.max_concurrent);
   to.set_batch(plan.batch);
-  for (const auto& [zone, least] : plan.min_serving) (*to.mutable_least_serving())[zone] = least;
+  for (const auto& [zone, count] : plan.min_serving) (*to.mutable_least_serving())[zone] = count;
   to.set_warm_ms(whole_milliseconds(plan.warm));
   to.set_gate_ms(whole_milliseconds(plan.gate));
   to.set_margin(plan.margin);
@@ -195,7 +211,7 @@
     to.targets.push_back({target.instance(), target.agent(), target.zone()});
   to.max_concurrent = plan.at_once();
   to.batch = plan.batch();
-  for (const auto& [zone, least] : plan.least_serving()) to.min_serving[zone] = least;
+  for (const auto& [zone, count] : plan.least_serving()) to.min_serving[zone] = count;
   to.warm = duration_from_ms(plan.warm_ms());
   to.gate = duration_from_ms(plan.gate_ms());
   to.margin = plan.margin();
--- a/src/agent/wire.h
+++ b/src/agent/wire.h
@@ -1,7 +1,7 @@
-// The agents' messages on leases, steps and rollouts, to and from the fleet's types. The only place, with
-// gossip_wire.h and config_wire.h, that knows the messages' fields.
+// Conversion between the agents' messages on leases, steps and rollouts (agent.proto) and the types of
+// src/fleet.
 //
-// Every from_wire throws MessageError where a value is unknown or out of its bounds.
+// Each from_wire throws MessageError if a value is unknown or out of bounds.
 #pragma once
 
 #include "agent.pb.h"
@@ -13,10 +13,10 @@
 
 std::string_view name_of(fleet::StepKind kind);
 std::string_view name_of(fleet::StepEnd end);
-// `unseen` where the name is unknown: a newer agent may have states that this one lacks.
+// Returns `unseen` for an unknown name: a newer agent may report states that this build doesn't have.
 fleet::InstanceState parse_instance_state(const std::string& name);
 
-// Rounded down. REQUIRES: not negative.
+// Rounds down. REQUIRES: `duration` is not negative.
 std::uint64_t whole_milliseconds(fleet::Duration duration);
 
 v1::Step to_wire(const fleet::Step& step);
@@ -26,8 +26,8 @@
 
 v1::ClaimAsk to_wire(const fleet::LeaseRequest& request);
 fleet::LeaseRequest from_wire(const v1::ClaimAsk& request);
-std::chrono::milliseconds lease_duration_from_wire(std::uint64_t lease_ms);
-// `now` is by the clock of the leases.
+std::chrono::milliseconds lease_duration_from_ms(std::uint64_t lease_ms);
+// `now` is read from the clock that the lease's times refer to.
 v1::Claim to_wire(const fleet::Lease& lease, fleet::TimePoint now);
 v1::ClaimAnswer to_wire(const fleet::LeaseTable::Answer& response, fleet::TimePoint now);
 
--- a/tests/test_configuration_agents.cpp
+++ b/tests/test_configuration_agents.cpp
@@ -1,5 +1,6 @@
-// A change of configuration over real agents and managers: published, in force everywhere, acknowledged;
-// refused where it can't be used; caught up with after kills and lost disks; decided by the rule after a cut.
+// Changes of the fleet's configuration over agent and manager processes: a published version comes into force
+// everywhere and is acknowledged; unusable versions are refused; agents catch up after a kill and after the
+// loss of their disk; after a network partition, the agents agree on the version with the greater digest.
 #include <signal.h>
 
 #include <algorithm>
@@ -42,9 +43,9 @@
     assert(agents[agent].stub->PublishConfig(&context, publication, &published).ok());
     return published;
   }
-  // Once the agent has heard its peers.
-  std::string publish_well(std::size_t agent, const std::string& parent, const std::string& content,
-                           bool new_epoch = false) {
+  // Publishes as soon as the agent has verified its version with its peers. Returns the new version's digest.
+  std::string publish_verified(std::size_t agent, const std::string& parent, const std::string& content,
+                               bool new_epoch = false) {
     agent::v1::ConfigPublished published;
     const bool accepted = wait_for([&] {
       published = publish(agent, parent, content, new_epoch);
@@ -61,15 +62,16 @@
     }
     return true;
   }
-  bool told_everywhere(const std::string& digest) {
+  // Whether each agent has the version and knows that it is in force at all agents.
+  bool acknowledged_everywhere(const std::string& digest) {
     for (std::size_t a = 0; a < agents.size(); ++a) {
       const auto answer = shown(a);
       if (!answer || answer->mark().digest() != digest || answer->not_in_force() != 0) return false;
     }
     return true;
   }
-  // What an agent knows of where it is not in force.
-  bool tells(std::size_t agent, const std::string& text) {
+  // Whether the agent reports an obstacle to the current version that contains `text`.
+  bool reports_obstacle(std::size_t agent, const std::string& text) {
     const auto answer = shown(agent);
     return answer && std::ranges::any_of(answer->names(), [&](const std::string& name) {
              return name.find(text) != std::string::npos;
@@ -79,14 +81,15 @@
     const auto answer = shown(agent);
     return answer ? answer->mark().digest() : "";
   }
-  void must_be_everywhere(const std::string& digest, const char* when) {
-    const Time begun = steady_now();
+  void expect_everywhere(const std::string& digest, const char* occasion) {
+    const Time started_at = steady_now();
     assert(wait_for([&] { return in_force_everywhere(digest); }));
-    const auto took = std::chrono::duration_cast<milliseconds>(steady_now() - begun);
-    assert(wait_for([&] { return told_everywhere(digest); }));
-    const auto told = std::chrono::duration_cast<milliseconds>(steady_now() - begun);
-    std::printf("%s: in force everywhere after %lld ms, told by all after %lld ms\n", when,
-                static_cast<long long>(took.count()), static_cast<long long>(told.count()));
+    const auto in_force_after = std::chrono::duration_cast<milliseconds>(steady_now() - started_at);
+    assert(wait_for([&] { return acknowledged_everywhere(digest); }));
+    const auto acknowledged_after = std::chrono::duration_cast<milliseconds>(steady_now() - started_at);
+    std::printf("%s: in force everywhere after %lld ms, acknowledged at all agents after %lld ms\n", occasion,
+                static_cast<long long>(in_force_after.count()),
+                static_cast<long long>(acknowledged_after.count()));
   }
 };
 
@@ -96,111 +99,120 @@
   return content.dump();
 }
 
-// The first version, what is refused before anything is published, and one that managers refuse.
-std::string publishing(Fleet& fleet, const std::string& channel) {
+// Publishes the first version, contents and parents that the agents refuse, and a version that the managers
+// refuse.
+std::string test_publishing(Fleet& fleet, const std::string& channel) {
   assert(fleet.publish(0, "", "[1, 2]").result() == "unusable");
   assert(fleet.publish(0, "", R"({"listen": "127.0.0.1:1"})").result() == "unusable");
   assert(wait_for([&] { return fleet.publish(1, "", "{}").result() == "unknown"; }));
-  const std::string first = fleet.publish_well(0, "", content_with(channel), true);
+  const std::string first = fleet.publish_verified(0, "", content_with(channel), true);
   const Time published = steady_now();
-  fleet.must_be_everywhere(first, "first version");
+  fleet.expect_everywhere(first, "first version");
   assert(steady_now() - published < seconds(15));
   assert(fleet.publish(1, "0123", "{}").result() == "stale parent");
 
-  const std::string broken = fleet.publish_well(1, first, R"({"channel": "nowhere"})");
-  assert(wait_for([&] { return fleet.tells(0, "a3/n6: refused") && fleet.tells(2, "a1/n1: refused"); }));
+  const std::string unusable = fleet.publish_verified(1, first, R"({"channel": "nowhere"})");
+  assert(wait_for([&] {
+    return fleet.reports_obstacle(0, "a3/n6: refused") && fleet.reports_obstacle(2, "a1/n1: refused");
+  }));
   assert(fleet.in_force_everywhere(first));
-  const std::string mended = fleet.publish_well(2, broken, content_with(channel));
-  fleet.must_be_everywhere(mended, "mended version");
-  return mended;
+  const std::string corrected = fleet.publish_verified(2, unusable, content_with(channel));
+  fleet.expect_everywhere(corrected, "corrected version");
+  return corrected;
 }
 
-// What takes a start is told as such, and is in force after it.
-std::string next_start(Fleet& fleet, const std::string& parent, const std::string& channel) {
-  const std::string next = fleet.publish_well(0, parent, content_with(channel, 400));
-  assert(wait_for([&] { return fleet.tells(1, "a1/n1: in force at the next start: limits"); }));
+// A setting that takes effect at a manager's start is reported as such, and is in force after a restart.
+std::string test_settings_of_next_start(Fleet& fleet, const std::string& parent, const std::string& channel) {
+  const std::string next = fleet.publish_verified(0, parent, content_with(channel, 400));
+  assert(wait_for([&] { return fleet.reports_obstacle(1, "a1/n1: in force at the next start: limits"); }));
   assert(fleet.in_force(0) == parent);
   const auto pid = static_cast<pid_t>(fleet.cluster.seen("n1").pid());
   assert(pid > 0 && ::kill(pid, SIGKILL) == 0);
   assert(wait_for([&] { return fleet.in_force(0) == next; }));
-  const std::string back = fleet.publish_well(1, next, content_with(channel));
-  // The first manager has started with what is taken back now.
-  assert(wait_for([&] { return fleet.tells(2, "a1/n1: in force at the next start: limits"); }));
-  const auto again = static_cast<pid_t>(fleet.cluster.seen("n1").pid());
-  assert(again > 0 && ::kill(again, SIGKILL) == 0);
-  fleet.must_be_everywhere(back, "taken back");
-  return back;
+  const std::string reverted = fleet.publish_verified(1, next, content_with(channel));
+  // The first manager has started with the setting that this version reverts, so it needs another restart.
+  assert(wait_for([&] { return fleet.reports_obstacle(2, "a1/n1: in force at the next start: limits"); }));
+  const auto restarted_pid = static_cast<pid_t>(fleet.cluster.seen("n1").pid());
+  assert(restarted_pid > 0 && ::kill(restarted_pid, SIGKILL) == 0);
+  fleet.expect_everywhere(reverted, "reverted version");
+  return reverted;
 }
 
-// An agent that was away, with its disk kept and lost.
-std::string killed_agent(Fleet& fleet, std::string parent, const std::string& channel) {
+// An agent that was down during a publication catches up, with its disk and without it.
+std::string test_killed_agent(Fleet& fleet, std::string parent, const std::string& channel) {
   for (const bool loses_disk : {false, true}) {
     fleet.agents[1].end(SIGKILL);
-    const std::string next = fleet.publish_well(0, parent, content_with(channel));
+    const std::string next = fleet.publish_verified(0, parent, content_with(channel));
     assert(wait_for([&] { return fleet.in_force(0) == next && fleet.in_force(5) == next; }));
-    assert(wait_for([&] { return fleet.tells(0, "a2: unknown") && !fleet.tells(0, "a3: unknown"); }));
+    assert(wait_for([&] {
+      return fleet.reports_obstacle(0, "a2: unknown") && !fleet.reports_obstacle(0, "a3: unknown");
+    }));
     assert(fleet.in_force(2) == parent);
     if (loses_disk) std::filesystem::remove(fleet.cluster.world.folder() + "/a2.db");
     fleet.agents[1].start();
-    fleet.must_be_everywhere(next, loses_disk ? "agent back without its disk" : "agent back");
+    fleet.expect_everywhere(next, loses_disk ? "agent restarted without its disk" : "agent restarted");
     parent = next;
   }
   return parent;
 }
 
-// Whoever brings it, a manager takes nothing older than what it has, and no file but its own.
-void older_is_refused(Fleet& fleet, const std::string& digest) {
+// A manager refuses versions older than its own and configuration files other than its own.
+void test_older_is_refused(Fleet& fleet, const std::string& digest) {
   TestCluster& world = fleet.cluster.world;
-  const admin::v1::ConfigVersion now = world.status(0).config();
-  assert(now.digest() == digest && now.number() > 1);
+  const admin::v1::ConfigVersion current = world.status(0).config();
+  assert(current.digest() == digest && current.number() > 1);
   admin::v1::Call call;
-  admin::v1::Configure& older = *call.mutable_configure();
-  older.mutable_version()->set_epoch(now.epoch()), older.mutable_version()->set_number(now.number() - 1);
-  older.mutable_version()->set_digest("ff");
-  older.set_path(world.managers()[0].configuration);
+  admin::v1::Configure& configure = *call.mutable_configure();
+  configure.mutable_version()->set_epoch(current.epoch());
+  configure.mutable_version()->set_number(current.number() - 1);
+  configure.mutable_version()->set_digest("ff");
+  configure.set_path(world.managers()[0].configuration);
   admin::v1::Reply reply = world.call(0, call);
   assert(reply.outcome() == admin::v1::refused && reply.configured().state() == "refused");
   assert(reply.configured().what().find("newer") != std::string::npos);
-  *older.mutable_version() = now;
-  older.set_path(world.managers()[1].configuration);
+  *configure.mutable_version() = current;
+  configure.set_path(world.managers()[1].configuration);
   assert(world.call(0, call).outcome() == admin::v1::refused);
-  older.set_path(world.managers()[0].configuration);
+  configure.set_path(world.managers()[0].configuration);
   assert(world.call(0, call).configured().state() == "in_force" && fleet.in_force(0) == digest);
 }
 
-// Settings that can't be meant: one line that says so, and a status other than 0.
-void bad_settings(const std::string& folder) {
-  const std::string sound = "[agent]\nname = a\nstate = /tmp/a.db\ncontrol = unix:/tmp/a.sock\n";
+// Invalid settings in an agent's configuration: --check prints the error and exits with status 1.
+void test_invalid_settings(const std::string& folder) {
+  const std::string valid = "[agent]\nname = a\nstate = /tmp/a.db\ncontrol = unix:/tmp/a.sock\n";
   const std::string instance = "[instance n]\nadmin = unix:/tmp/n.sock\ncommand = true\n";
   const std::pair<const char*, std::string> cases[] = {
-      {"maybe", sound + "configuration = maybe\n" + instance},
-      {"'configuration' is no absolute path", sound + instance + "configuration = n.json\n"},
-      {"'configuration.base' is no absolute path", sound + instance + "configuration.base = n.json\n"},
-      {"needs both", sound + instance + "configuration = /tmp/n.json\n"},
-      {"has one file as",
-       sound + instance + "configuration = /tmp/n.json\nconfiguration.base = /tmp/n.json\n"},
-      {"peer b has no 'control'", sound + "[peer b]\nzone = z\n" + instance}};
-  for (const auto& [wrong, text] : cases) {
+      {"maybe", valid + "configuration = maybe\n" + instance},
+      {"expected an absolute path for 'configuration', got 'n.json'",
+       valid + instance + "configuration = n.json\n"},
+      {"expected an absolute path for 'configuration.base', got 'n.json'",
+       valid + instance + "configuration.base = n.json\n"},
+      {"needs both", valid + instance + "configuration = /tmp/n.json\n"},
+      {"needs two different files as",
+       valid + instance + "configuration = /tmp/n.json\nconfiguration.base = /tmp/n.json\n"},
+      {"peer b has no 'control'", valid + "[peer b]\nzone = z\n" + instance}};
+  for (const auto& [error, text] : cases) {
     const std::string file = folder + "/bad.ini";
     std::ofstream(file) << text;
     const auto ran =
         run_program("/bin/sh", {"-c", std::string(PEARCHUTE_AGENT) + " --charter " + file + " --check 2>&1"});
-    if (ran.out.find(wrong) == std::string::npos) std::fprintf(stderr, "%s: %s\n", wrong, ran.out.c_str());
-    assert(ran.status == 1 && ran.out.find(wrong) != std::string::npos);
+    if (ran.out.find(error) == std::string::npos) std::fprintf(stderr, "%s: %s\n", error, ran.out.c_str());
+    assert(ran.status == 1 && ran.out.find(error) != std::string::npos);
   }
 }
 
-// Both sides of a cut publish: each goes on by itself, and afterwards the rule decides for all.
-void cut(Fleet& fleet, const std::string& parent, const std::string& channel) {
+// Both sides of a network partition publish a version, and each applies its own. After the partition all
+// agents apply the version with the greater digest and record the other as superseded.
+void test_partition(Fleet& fleet, const std::string& parent, const std::string& channel) {
   fleet.cluster.world.on([&] { fleet.cluster.relays->split({{"a1"}, {"a2", "a3"}}); });
-  const std::string left = fleet.publish_well(0, parent, content_with(channel, 512));
-  const std::string right = fleet.publish_well(1, parent, content_with(channel, 512));
+  const std::string left = fleet.publish_verified(0, parent, content_with(channel, 512));
+  const std::string right = fleet.publish_verified(1, parent, content_with(channel, 512));
   assert(left != right);
   assert(wait_for([&] { return fleet.in_force(0) == left && fleet.in_force(5) == right; }));
-  assert(fleet.tells(0, "a2: unknown") && fleet.tells(1, "a1: unknown"));
+  assert(fleet.reports_obstacle(0, "a2: unknown") && fleet.reports_obstacle(1, "a1: unknown"));
   assert(!fleet.shown(0)->confirmed());
   fleet.cluster.world.on([&] { fleet.cluster.relays->heal(); });
-  fleet.must_be_everywhere(std::max(left, right), "after the cut");
+  fleet.expect_everywhere(std::max(left, right), "after the partition");
   for (std::size_t a = 0; a < 3; ++a) {
     assert(wait_for([&] {
       const auto answer = fleet.shown(a);
@@ -220,22 +232,22 @@
   Fleet fleet(site);
   TestCluster& world = fleet.cluster.world;
   assert(wait_for([&] { return fleet.cluster.all_serve(); }) && world.all_serving(8));
-  // Another command channel, which only the versions name.
+  // A second endpoint list channel, which only the published versions configure.
   std::unique_ptr<StandInChannel> channel;
   const std::string address = world.on([&] {
     channel = std::make_unique<StandInChannel>(world.loop());
     channel->tell(world.members_now(), true);
     return channel->address();
   });
-  const std::string first = publishing(fleet, address);
+  const std::string first = test_publishing(fleet, address);
   assert(wait_for([&] { return world.on([&] { return channel->streams(); }) == 6; }));
-  const std::string second = next_start(fleet, first, address);
-  const std::string third = killed_agent(fleet, second, address);
-  older_is_refused(fleet, third);
-  cut(fleet, third, address);
-  bad_settings(world.folder());
+  const std::string second = test_settings_of_next_start(fleet, first, address);
+  const std::string third = test_killed_agent(fleet, second, address);
+  test_older_is_refused(fleet, third);
+  test_partition(fleet, third, address);
+  test_invalid_settings(world.folder());
   assert(world.all_serving(8));
-  // All at once: one after the other would be asked to end otherwise, a second each.
+  // Ends all managers at once: the test cluster ends them one after the other, which takes a second for each.
   std::vector<pid_t> processes;
   for (const auto& [name, instance] : fleet.cluster.conditions())
     processes.push_back(static_cast<pid_t>(instance.pid()));
