--- a/src/keys/authority.cpp
+++ b/src/keys/authority.cpp
@@ -13,19 +13,20 @@
 
 constexpr mode_t public_file_mode = 0644;
 constexpr mode_t private_file_mode = 0600;
-constexpr long x509_version_3 = 2;  // versions are encoded less one
+// X.509 encodes a version as its number less one.
+constexpr long x509_version_3 = 2;
 constexpr long crl_version_2 = 1;
 constexpr int serial_bits = 120;
 constexpr std::size_t max_name_length = 60;
-// Clocks of a site differ a little.
+// Validity starts in the past, since the clocks of a site differ a little.
 constexpr std::chrono::seconds backdated_by = std::chrono::hours(1);
-// The list is replaced with each revocation, so its age says nothing: it is valid for ten years.
+// Each revocation replaces the list, however old it is, so the list is made valid for ten years.
 constexpr std::chrono::seconds revocation_list_lifetime = std::chrono::hours(10 * 365 * 24);
 
-// OpenSSL returns a null pointer where it can't create an object.
+// Throws KeysError for a null pointer, which OpenSSL returns if it can't create an object.
 template <class Pointer>
 Pointer created(Pointer object, const char* description) {
-  if (!object) throw Error(std::string(description) + " can't be made");
+  if (!object) throw Error("OpenSSL can't create " + std::string(description));
   return object;
 }
 
@@ -36,7 +37,7 @@
   X509V3_set_ctx_nodb(&context);
   X509V3_set_ctx(&context, issuer, certificate, nullptr, nullptr, 0);
   const ExtensionHandle extension(X509V3_EXT_conf_nid(nullptr, &context, nid, value.c_str()));
-  if (!extension) throw Error("a certificate can't say " + value);
+  if (!extension) throw Error("can't add the extension '" + value + "' to the certificate");
   X509_add_ext(certificate, extension.get(), -1);
 }
 
@@ -46,7 +47,8 @@
   BN_to_ASN1_INTEGER(serial.get(), X509_get_serialNumber(certificate));
 }
 
-// Not signed yet. Without an issuer it is self-issued.
+// Creates a certificate that is not signed yet. If `issuer` is null, the certificate names itself as its
+// issuer.
 CertificateHandle new_certificate(const std::string& name, EVP_PKEY* key, X509* issuer,
                                   std::chrono::seconds lifetime) {
   CertificateHandle certificate(created(X509_new(), "a certificate"));
@@ -63,6 +65,11 @@
   return certificate;
 }
 
+std::string invalid_name(const std::string& kind, const std::string& name) {
+  return "invalid " + kind + " '" + name + "'; expected 1 to " + std::to_string(max_name_length) +
+         " letters, digits, '-', '_' or '.', without a leading '.', and not 'ca'";
+}
+
 bool is_valid_name(const std::string& name) {
   const auto is_valid = [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; };
   return !name.empty() && name.size() <= max_name_length && name.front() != '.' && name != "ca" &&
@@ -75,42 +82,44 @@
   X509_CRL_set1_lastUpdate(list, now.get());
   X509_CRL_set1_nextUpdate(list, next_update.get());
   X509_CRL_sort(list);
-  if (!X509_CRL_sign(list, key, EVP_sha256())) throw Error("the list of revocations can't be signed");
+  if (!X509_CRL_sign(list, key, EVP_sha256())) throw Error("can't sign the revocation list");
 }
 
 void add_revocation(X509_CRL* list, const std::string& serial_hex) {
   BIGNUM* parsed = nullptr;
-  if (!BN_hex2bn(&parsed, serial_hex.c_str())) throw Error("no serial: " + serial_hex);
+  if (!BN_hex2bn(&parsed, serial_hex.c_str()))
+    throw Error("expected a serial number in hexadecimal, got '" + serial_hex + "'");
   const BigNumberHandle number(parsed);
   const IntegerHandle serial(BN_to_ASN1_INTEGER(number.get(), nullptr));
   const TimeHandle now(X509_gmtime_adj(nullptr, 0));
   X509_REVOKED* revocation = created(X509_REVOKED_new(), "a revocation");
   X509_REVOKED_set_serialNumber(revocation, serial.get());
   X509_REVOKED_set_revocationDate(revocation, now.get());
-  X509_CRL_add0_revoked(list, revocation);  // owns it from now on
+  X509_CRL_add0_revoked(list, revocation);  // takes ownership
 }
 
 }  // namespace
 
 void Authority::init(const std::string& site, std::chrono::hours lifetime) {
-  if (!is_valid_name(site)) throw Error("'" + site + "' is no name for a site");
-  std::error_code ignored;  // where the folder can't be created, writing to it fails
+  if (!is_valid_name(site)) throw Error(invalid_name("site name", site));
+  std::error_code ignored;  // if the folder can't be created, write_pem_file throws
   std::filesystem::create_directories(folder_, ignored);
   if (std::filesystem::exists(path("ca.key")))
-    throw Error("holds an authority already", folder_, "use it, or name another folder");
+    throw Error("already holds an authority", folder_, "use it, or name another folder");
 
   const KeyHandle key = new_key();
   const CertificateHandle certificate = new_certificate(site, key.get(), nullptr, lifetime);
   add_extension(certificate.get(), certificate.get(), NID_basic_constraints, "critical,CA:TRUE,pathlen:0");
   add_extension(certificate.get(), certificate.get(), NID_key_usage, "critical,keyCertSign,cRLSign");
-  if (!X509_sign(certificate.get(), key.get(), EVP_sha256())) throw Error("the authority can't sign itself");
+  if (!X509_sign(certificate.get(), key.get(), EVP_sha256()))
+    throw Error("can't sign the authority's certificate");
 
-  const RevocationListHandle list(created(X509_CRL_new(), "a list"));
+  const RevocationListHandle list(created(X509_CRL_new(), "a revocation list"));
   X509_CRL_set_version(list.get(), crl_version_2);
   X509_CRL_set_issuer_name(list.get(), X509_get_subject_name(certificate.get()));
   sign_list(list.get(), key.get());
 
-  // The key comes last: while it is missing, the folder holds no authority.
+  // Writes the key last, since its presence marks a complete authority.
   write_pem_file(path("ca.crl"), to_pem(list.get()), public_file_mode);
   write_pem_file(path("ca.pem"), to_pem(certificate.get()), public_file_mode);
   write_pem_file(path("ca.key"), to_pem(key.get()), private_file_mode);
@@ -118,7 +127,7 @@
 
 Certificate Authority::issue(const std::string& name, std::optional<fleet::Role> role,
                              std::chrono::seconds lifetime) {
-  if (!is_valid_name(name)) throw Error("'" + name + "' is no name for a certificate");
+  if (!is_valid_name(name)) throw Error(invalid_name("certificate name", name));
   const KeyHandle authority_key = key_from_pem(read_pem_file(path("ca.key")));
   const CertificateHandle issuer = certificate_from_pem(read_pem_file(path("ca.pem")));
   const KeyHandle key = new_key();
@@ -129,7 +138,7 @@
   if (role) alternative_names += ",URI:" + role_uri(*role);
   add_extension(certificate.get(), issuer.get(), NID_subject_alt_name, alternative_names);
   if (!X509_sign(certificate.get(), authority_key.get(), EVP_sha256()))
-    throw Error("the authority can't sign");
+    throw Error("can't sign the certificate of " + name);
   write_pem_file(path(name + ".key"), to_pem(key.get()), private_file_mode);
   write_pem_file(path(name + ".pem"), to_pem(certificate.get()), public_file_mode);
   return describe(certificate.get());
--- a/src/keys/authority.h
+++ b/src/keys/authority.h
@@ -1,8 +1,8 @@
-// The certificate authority of a site, in a folder of its own: it issues certificates, each with a name and a
-// role, and revokes them. Private keys never leave their files (mode 0600). What a role may do, fleet/roles
-// decides.
+// The certificate authority of a site, which keeps its files in one folder. It issues certificates, each with
+// a name and a role, and revokes them. Private keys are stored only in their files, of mode 0600.
+// fleet/roles.h defines the rights of each role.
 //
-// Each file is replaced as a whole or not at all. One process at a time uses a folder.
+// Files are replaced atomically. Only one process at a time may use the folder.
 #pragma once
 
 #include <chrono>
@@ -15,23 +15,23 @@
 
 namespace pearchute::keys {
 
-// One folder. All functions throw KeysError where something is wrong with their input or a file, and
-// ResourceShortage where a file can't be read now.
+// All functions throw KeysError if their input or a file can't be used, and ResourceShortage if a file
+// temporarily can't be read.
 class Authority {
  public:
   explicit Authority(std::string folder) : folder_(std::move(folder)) {}
 
-  // Creates ca.key, ca.pem and an empty ca.crl. Throws where the folder holds an authority already.
+  // Creates ca.key, ca.pem and an empty ca.crl. Throws KeysError if the folder already holds an authority.
   void init(const std::string& site, std::chrono::hours lifetime);
 
-  // Creates NAME.key and NAME.pem; a certificate is renewed by issuing it again. Without a role its holder
-  // may do nothing.
+  // Creates NAME.key and NAME.pem, or replaces them, which renews the certificate. The holder of a
+  // certificate without a role has no rights.
   Certificate issue(const std::string& name, std::optional<fleet::Role> role, std::chrono::seconds lifetime);
 
-  // Adds the certificate's serial to ca.crl; no change where it is there already.
+  // Adds the certificate's serial to ca.crl, unless the list contains it already.
   void revoke(const Certificate& certificate);
 
-  // The certificates whose files are in the folder, by name.
+  // The certificates whose files are in the folder, sorted by name; without the authority's own.
   std::vector<Certificate> issued() const;
 
   std::string path(const std::string& file) const { return folder_ + "/" + file; }
--- a/src/keys/certificate.cpp
+++ b/src/keys/certificate.cpp
@@ -20,7 +20,7 @@
   const RevocationListHandle list = revocation_list_from_pem(read_pem_file(list_file), list_file);
   const CertificateHandle authority = certificate_from_pem(read_pem_file(authority_file));
   if (X509_CRL_verify(list.get(), X509_get0_pubkey(authority.get())) != 1)
-    throw Error("not signed by " + authority_file, list_file, "take the list that this authority wrote last");
+    throw Error("not signed by " + authority_file, list_file, "use the latest list of this authority");
   std::vector<std::string> serials;
   STACK_OF(X509_REVOKED)* revoked = X509_CRL_get_REVOKED(list.get());
   for (int i = 0; revoked && i < sk_X509_REVOKED_num(revoked); ++i)
--- a/src/keys/certificate.h
+++ b/src/keys/certificate.h
@@ -1,5 +1,5 @@
-// Certificates as the programs see them: a name and a role, within a time. Reads them and the authority's
-// revocation list; issues none.
+// Reads certificates, each of which states a name, a role and a period of validity, and the revocation list
+// of their authority.
 #pragma once
 
 #include <chrono>
@@ -12,10 +12,10 @@
 
 namespace pearchute::keys {
 
-// What is wrong with a certificate, a key or a list; nothing was changed.
+// A fault in a certificate, a key or a revocation list. The file that it names is left unchanged.
 using Error = KeysError;
 
-// What a certificate states. Without a role its holder may do nothing.
+// The contents of a certificate. The holder of a certificate without a role has no rights.
 struct Certificate {
   std::string name;
   std::string serial;  // in hexadecimal
@@ -24,13 +24,14 @@
   std::chrono::system_clock::time_point valid_until;
 };
 
-// Throws KeysError where it is no certificate.
+// Throws KeysError if `pem` is not a certificate.
 Certificate parse_certificate(const std::string& pem);
-// The same, and ResourceShortage where the file can't be read now.
+// Throws KeysError if the file can't be read or is not a certificate, ResourceShortage if it temporarily
+// can't be read.
 Certificate read_certificate(const std::string& file);
 
-// The serials that an authority's list revokes. Throws KeysError where the list is not signed by that
-// authority, and as read_certificate does.
+// The serials of the certificates that an authority's list revokes. Throws KeysError if a file can't be used
+// or the authority has not signed the list, ResourceShortage if a file temporarily can't be read.
 std::vector<std::string> revoked_serials(const std::string& list_file, const std::string& authority_file);
 
 }  // namespace pearchute::keys
--- a/src/keys/endpoint.cpp
+++ b/src/keys/endpoint.cpp
@@ -22,7 +22,7 @@
   return error == std::errc{} && end == text.data() + text.size() && port > 0 && port <= max_port;
 }
 
-// `host:port` of a TLS endpoint; nothing where it is none.
+// The `host:port` of a TLS endpoint; nullopt if `text` is not one.
 std::optional<std::string> tls_target(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (!text.starts_with(tls_scheme) || colon <= tls_scheme.size()) return std::nullopt;
@@ -35,7 +35,7 @@
 Endpoint parse_endpoint(const std::string& text) {
   if (text.starts_with("unix:/")) {
     if (text.size() - unix_scheme.size() >= sizeof(sockaddr_un::sun_path))
-      throw AddressError("the path of '" + text + "' is too long for a socket");
+      throw AddressError("the path of '" + text + "' is too long for a Unix socket");
     return {text, text, false};
   }
   if (const std::optional<std::string> target = tls_target(text)) return {text, *target, true};
--- a/src/keys/endpoint.h
+++ b/src/keys/endpoint.h
@@ -1,19 +1,19 @@
-// Where an agent is reached: `unix:/path`, a socket that only its own user can open, or `tls:host:port`,
-// where both sides present certificates of the site's authority. Nothing else is accepted.
+// The address of an agent: `unix:/path`, a socket that only the agent's own user can open, or
+// `tls:host:port`, where both sides present certificates of the site's authority.
 #pragma once
 
 #include <string>
 
 namespace pearchute::keys {
 
-// An address of an agent, parsed. Empty: none is configured.
+// A parsed address. Its fields are empty if no address is configured.
 struct Endpoint {
-  std::string text;    // as written
-  std::string target;  // as gRPC takes it
+  std::string text;    // as configured
+  std::string target;  // gRPC's target: unix:/path or host:port
   bool tls = false;
 };
 
-// Throws AddressError, which says what is wrong with `text`.
+// Throws AddressError if `text` has neither form, or the path is too long for a socket.
 Endpoint parse_endpoint(const std::string& text);
 
 }  // namespace pearchute::keys
--- a/src/keys/openssl_handles.h
+++ b/src/keys/openssl_handles.h
@@ -1,4 +1,4 @@
-// Owners of OpenSSL's objects. Private to src/keys.
+// Owning pointers to OpenSSL's objects. Private to src/keys.
 #pragma once
 
 #include <openssl/bn.h>
--- a/src/keys/pem_file.cpp
+++ b/src/keys/pem_file.cpp
@@ -19,7 +19,7 @@
     const std::string reason = text_of_last_error();
     if (descriptor >= 0) ::close(descriptor);
     ::unlink(temporary.c_str());
-    throw KeysError("can't be written: " + reason, file, "see the disk and who may write there");
+    throw KeysError("can't be written: " + reason, file, "check the free space and the folder's permissions");
   };
   if (descriptor < 0 || !write_all(descriptor, pem) || ::fsync(descriptor) != 0) fail();
   if (std::rename(temporary.c_str(), file.c_str()) != 0) fail();
--- a/src/keys/tls_files.h
+++ b/src/keys/tls_files.h
@@ -1,12 +1,13 @@
-// The files that a program needs for TLS: its own certificate and key, and the authority that it trusts, as
-// the [tls] sections of INI files name them.
+// The files that a program needs for TLS: its own certificate and key, and the authority that it trusts. The
+// section [tls] of an INI file names them.
 #pragma once
 
 #include <string>
 
 namespace pearchute::keys {
 
-// Paths of PEM files. `revoked`, the authority's revocation list, may be empty: no certificate is revoked.
+// Paths of PEM files. `revoked` is the authority's revocation list; if it is empty, no certificate is
+// revoked.
 struct TlsFiles {
   std::string authority;
   std::string certificate;
@@ -14,10 +15,10 @@
   std::string revoked;
 };
 
-// Sets the file that a line `name = path` of a [tls] section names; false where the name is unknown.
+// Sets the path that a line `name = path` of a section [tls] configures. Returns false if `name` is unknown.
 bool set_tls_file(TlsFiles& files, const std::string& name, const std::string& path);
 
-// The name of the first required file that is not set; empty where all are.
+// The name of the first required file that is not set; empty if all are set.
 std::string missing_tls_file(const TlsFiles& files);
 
 }  // namespace pearchute::keys
--- a/src/keys/x509.cpp
+++ b/src/keys/x509.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The name under which a role stands among a certificate's alternative names: this and the role's word.
+// A certificate states a role as a subject alternative name: a URI of this prefix and the role's name.
 constexpr std::string_view role_uri_prefix = "pearchute:role:";
 constexpr std::size_t name_buffer_bytes = 128;
 
@@ -18,9 +18,10 @@
   return BioHandle(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())));
 }
 
-std::string written_by(const std::function<int(BIO*)>& write) {
+std::string text_written_by(const std::function<int(BIO*)>& write) {
   const BioHandle memory(BIO_new(BIO_s_mem()));
-  if (!write(memory.get())) throw KeysError("a key or certificate can't be written out");
+  if (!write(memory.get()))
+    throw KeysError("OpenSSL can't encode a key, certificate or revocation list as PEM");
   char* data = nullptr;
   const long size = BIO_get_mem_data(memory.get(), &data);
   return {data, static_cast<std::size_t>(size)};
@@ -61,34 +62,34 @@
 
 CertificateHandle certificate_from_pem(const std::string& pem) {
   CertificateHandle certificate(PEM_read_bio_X509(reader_of(pem).get(), nullptr, nullptr, nullptr));
-  if (!certificate) throw KeysError("not a certificate");
+  if (!certificate) throw KeysError("not a certificate in PEM format");
   return certificate;
 }
 
 KeyHandle key_from_pem(const std::string& pem) {
   KeyHandle key(PEM_read_bio_PrivateKey(reader_of(pem).get(), nullptr, nullptr, nullptr));
-  if (!key) throw KeysError("not a key");
+  if (!key) throw KeysError("not a private key in PEM format");
   return key;
 }
 
 RevocationListHandle revocation_list_from_pem(const std::string& pem, const std::string& file) {
   RevocationListHandle list(PEM_read_bio_X509_CRL(reader_of(pem).get(), nullptr, nullptr, nullptr));
-  if (!list) throw KeysError("no list of revocations", file);
+  if (!list) throw KeysError("not a revocation list in PEM format", file);
   return list;
 }
 
 std::string to_pem(X509* certificate) {
-  return written_by([&](BIO* out) { return PEM_write_bio_X509(out, certificate); });
+  return text_written_by([&](BIO* out) { return PEM_write_bio_X509(out, certificate); });
 }
 
 std::string to_pem(EVP_PKEY* key) {
-  return written_by([&](BIO* out) {
+  return text_written_by([&](BIO* out) {
     return PEM_write_bio_PKCS8PrivateKey(out, key, nullptr, nullptr, 0, nullptr, nullptr);
   });
 }
 
 std::string to_pem(X509_CRL* list) {
-  return written_by([&](BIO* out) { return PEM_write_bio_X509_CRL(out, list); });
+  return text_written_by([&](BIO* out) { return PEM_write_bio_X509_CRL(out, list); });
 }
 
 std::string serial_text(const ASN1_INTEGER* number) {
--- a/src/keys/x509.h
+++ b/src/keys/x509.h
@@ -1,6 +1,6 @@
-// X.509 objects: to and from PEM text, and what they state. Private to src/keys.
+// Converts X.509 objects to and from PEM text, and reads their fields. Private to src/keys.
 //
-// All functions throw KeysError where text can't be parsed or written.
+// All functions throw KeysError if a text can't be parsed or written.
 #pragma once
 
 #include <string>
@@ -13,16 +13,16 @@
 
 CertificateHandle certificate_from_pem(const std::string& pem);
 KeyHandle key_from_pem(const std::string& pem);
-// `file` is named in the error.
+// `file` is the place that an error names.
 RevocationListHandle revocation_list_from_pem(const std::string& pem, const std::string& file);
 
 std::string to_pem(X509* certificate);
 std::string to_pem(EVP_PKEY* key);  // not encrypted
 std::string to_pem(X509_CRL* list);
 
-// In hexadecimal.
+// The serial number in hexadecimal.
 std::string serial_text(const ASN1_INTEGER* serial);
-// The alternative name (a URI) by which a certificate states its holder's role.
+// The subject alternative name (a URI) by which a certificate states its holder's role.
 std::string role_uri(fleet::Role role);
 Certificate describe(X509* certificate);
 
