--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -1,12 +1,18 @@
-/* Versions of the configuration at two agents, each with one manager: publications on any side, documents that are
-   lost (never taken), doubled and late, agents that die between a write and what they tell of it, disks that are lost
-   or put back from an older copy. Looked for: an accepted version that nobody knows any more, a manager or an intact
-   disk that goes back to an older version, a replica that does not hold the greatest of what it has seen.
+/* Models the distribution of configuration versions among two agents (or three), each with one manager. Any agent
+   may publish. Documents may be lost (never received), duplicated and delayed. Agents may crash between writing a
+   version to disk and sending it. Disks may be lost or restored from an older copy.
 
-   A document is a small number; its order is (number, tie), and `ancestors` is a mask that includes it. Left out:
-   acknowledgements of where a version is in force, epochs, the bounds on ancestors and records.
-   docs/configuration.md has the rules. Assumption, as there: a disk is lost only while each other one knows all
-   that it does; so one durable copy is enough here. */
+   The assertions fail if an accepted version is known to no agent any more, if a manager or an intact disk returns to
+   an older version, or if an agent does not store the greatest of the versions that it has received.
+
+   A document is a small number. Documents are ordered by (number, tie); the mask `ancestors` includes the document
+   itself. Not modelled: acknowledgements of where a version is in force, epochs, and the limits on the number of
+   ancestors and records. docs/configuration.md describes the protocol. The model makes the same assumption: a disk is
+   lost only while every other agent knows all that it holds, so one durable copy is enough here.
+
+   Broken variants, in each of which Spin must find an error: TELLS_FIRST (an agent sends a version before it has
+   written it), TRUSTS_OLD_DISK (an agent doesn't verify its version with its peers after a restart), NO_RECORDS (a
+   superseded version is not recorded). */
 
 #ifndef AGENTS
 #define AGENTS 2
@@ -19,19 +25,20 @@
 #endif
 #define BIT(n) (1 << (n))
 
-byte documents;                    /* published so far, from 1; 0: none */
+byte documents;                    /* the last published one; they count from 1 */
 byte number[DOCUMENTS + 1], tie[DOCUMENTS + 1], ancestors[DOCUMENTS + 1];
-bool sent[DOCUMENTS + 1];          /* on the way; whoever may take it whenever and again */
+bool sent[DOCUMENTS + 1];          /* in transit; any agent may receive it at any time, repeatedly */
 bool accepted[DOCUMENTS + 1];
 
-/* On an agent's disk: the current document, and the mask of those superseded by conflict with their ancestors. */
+/* On an agent's disk: its current document, and the mask of the documents that were superseded by conflict, with
+   their ancestors. */
 byte disk[AGENTS], superseded[AGENTS], older_disk[AGENTS], older_superseded[AGENTS];
-/* In its memory; it differs from the disk only where a variant tells first. */
+/* The same in the agent's memory, which differs from the disk only in the variant TELLS_FIRST. */
 byte memory[AGENTS], memory_superseded[AGENTS];
-byte heard[AGENTS];
-byte told[AGENTS];                 /* the greatest that it has told with this disk */
+byte heard[AGENTS];                /* mask of the peers that have answered since the agent's start */
+byte told[AGENTS];                 /* the greatest document that it has sent since it had this disk */
 bool alive[AGENTS] = true;
-byte in_force[AGENTS];             /* at its manager */
+byte in_force[AGENTS];             /* the document that is in force at the agent's manager */
 byte deaths;
 
 #define LESS(a, b) (number[a] < number[b] || (number[a] == number[b] && tie[a] < tie[b]))
@@ -106,7 +113,7 @@
 inline publish(i) {
   documents++;
   number[documents] = number[memory[i]] + 1;
-  /* The digests' order is independent of the order of publication. */
+  /* The order of the digests doesn't depend on the order of publication. */
   if
   :: tie[documents] = documents
   :: tie[documents] = 2 * DOCUMENTS + 1 - documents
@@ -117,7 +124,7 @@
   accepted[documents] = true
 }
 
-/* A question of i to j and its answer, both alive: i tells its document, j its own and its records. */
+/* A request from i to j and the response; both are alive. i sends its document, j its document and its records. */
 inline exchange(i, j) {
   tell(i);
   if
@@ -139,7 +146,7 @@
 inline apply(i) {
   if
 #ifndef TRUSTS_OLD_DISK
-  :: LESS(memory[i], in_force[i]) -> skip /* the manager refuses it */
+  :: LESS(memory[i], in_force[i]) -> skip /* the manager refuses an older version */
 #endif
   :: else ->
      assert(!LESS(memory[i], in_force[i]));
--- a/model/lending.pml
+++ b/model/lending.pml
@@ -1,11 +1,19 @@
-/* One part of a cold engine's budget, lent by one manager to another. The lender's agent and manager, the borrower's
-   agent and manager, one clock that all of them count by (steady clocks run at one pace), messages that are lost
-   (never taken), doubled (taken again) and late (taken at any later moment), an agent that dies with its disk kept,
-   asks that are repeated. Looked for: two managers that send by the same part within one window.
+/* Models the lease of one part of a cold engine's slow-start budget, which one manager (the lender) lends to another
+   (the borrower). There are the agent and the manager of each. All read one clock, since steady clocks advance at the
+   same rate. Messages may be lost (never received), duplicated (received again) and delayed (received at any later
+   time). The borrower repeats its requests. The lender's agent may crash, and keeps its disk.
 
-   Left out: more than one loan of a part, a lost disk (then nothing is lent for as long as anything may hold),
-   managers that die (a new life has no part for as long), readings of a manager's clock that are some milliseconds
-   old. docs/together.md has the rules. */
+   The assertion fails if both managers send requests on the same part within one window.
+
+   Not modelled: more than one lease of a part; a lost disk, after which an agent lends nothing for as long as an
+   earlier lease may last; managers that crash, since a restarted one has no part for as long; and the few milliseconds
+   by which a reading of a manager's clock is old. docs/together.md describes the protocol.
+
+   Broken variants, in each of which Spin must find an error: NO_WAIT (the lender doesn't wait a window after its
+   manager has stopped), COUNTS_FROM_ANSWER (the borrower counts the lease from the response instead of its request),
+   TRUSTS_THE_LAST (the lender doesn't restart the wait if its manager's previous order had expired before the next one
+   was acknowledged). Variants that `check` doesn't run: FORGETS (the lender's agent restarts without the lease) and
+   BELIEVES_ITSELF (it takes its manager for stopped at its restart). */
 
 #define WINDOW 1
 #define LEASE 2
@@ -17,18 +25,19 @@
 #define TOLD (SLACK + LEASE + 2 * WINDOW)
 
 byte now;
-/* What has been put on the way, by its value; it stays there, and whoever it is for may take it whenever and again. */
-bool ask_out[END + 1];      /* by when it was asked */
-bool grant_out[END + 1];    /* for the ask of that moment */
-bool order_out[END + TOLD + 1], heard_out[END + TOLD + 1], back_out[END + TOLD + 1]; /* by until when it holds */
-/* The lender's manager: held back until then, by an order of that fence. */
+/* The messages in transit, by their value. They stay there: the receiver may receive each at any time, repeatedly. */
+bool ask_out[END + 1];      /* lease requests, by the time of the request */
+bool grant_out[END + 1];    /* grants, by the time of the request that they answer */
+bool order_out[END + TOLD + 1], heard_out[END + TOLD + 1], back_out[END + TOLD + 1]; /* orders to hold back,
+   acknowledgements and orders to end that, by the time until which the order is in force */
+/* The lender's manager doesn't use the part until `held_until`, by an order with the fence `held_fence`. */
 byte held_until, held_fence;
-/* The borrower's manager may send by the part until then. */
+/* The borrower's manager may use the part until then. */
 byte extra_until;
-/* When each last could send by the part, which each does whenever it may; 255: never. */
+/* When each manager last used the part; each uses it whenever it may. 255: never. */
 byte lender_sent = 255, borrower_sent = 255;
 byte asks;
-/* The lender's agent. On its disk: the loan. */
+/* The lender's agent; `loan`, the lease, is on its disk. */
 bool loan, stopped, granted, owes, alive = true;
 byte stopped_at, granted_at, told, held, last_round = 255, deaths;
 bool heard_last;
@@ -133,7 +142,7 @@
   :: atomic { alive && loan && granted && now >= granted_at + LEASE + WINDOW && now < END ->
        loan = false; granted = false; owes = false; back_out[told] = true }
   :: atomic { alive && loan && !granted && now >= told && now < END -> loan = false; owes = false }
-  /* It dies with what it knew, and comes back with its disk: the loan counts whole again. */
+  /* The agent crashes and restarts with its disk only: the lease then counts for its whole duration again. */
   :: atomic { alive && deaths < 1 && now < END -> alive = false; deaths++ }
   :: atomic { !alive && now < END ->
        alive = true; owes = false;
--- a/model/rollout.pml
+++ b/model/rollout.pml
@@ -1,53 +1,55 @@
-/* Claims, leases, fences and steps on two instances of one zone, each with its own agent, and two operators'
- * coordinators of which the second takes over. Agents and coordinators die and come back; messages are lost,
- * doubled and late (a step may be delivered long after it was sent). docs/rollouts.md says what is left out.
+/* Models leases, fences and steps on two instances of one zone. Each instance has its own agent, which owns the leases
+ * on it. Two operators' coordinators each run a rollout; the second one takes over the leases of the first. Agents and
+ * coordinators crash, and agents restart; messages are lost, duplicated and delayed (a step may be delivered long after
+ * it was sent). docs/rollouts.md lists what is not modelled.
  *
- * Time: a lease may run out at any moment. An owner lets one run out only after its coordinator's side has
- * (the coordinator counts from when it sent, the owner from when it received; both by steady clocks).
+ * Time: a lease may expire at any moment, but at its owner only after it has expired at its coordinator. The
+ * coordinator counts a lease from when it sent the request, the owner from when it received it, both by steady clocks.
  *
- * Variants, each to be caught: -DNO_FENCE (a step is taken without a look at its fence), -DNO_FALLBACK (a
- * half-done step stays half done when its claim ends), -DEAGER_OWNER (an owner gives up before its coordinator).
+ * Broken variants, in each of which Spin must find an error: NO_FENCE (an owner accepts a step without a check of its
+ * fence), NO_FALLBACK (an interrupted step is left half done when its lease ends), EAGER_OWNER (a lease expires at the
+ * owner before it expires at the coordinator).
  */
 #define INSTANCES 2
 #define COORDINATORS 2
 #define NOBODY 0
 
-/* The owners: what is on disk. */
+/* The owners' state on disk. */
 byte last_fence[INSTANCES];
-byte holder[INSTANCES];     /* a coordinator's number, from 1 */
-byte step_of[INSTANCES];    /* whose step is under way, 0: none */
+byte holder[INSTANCES];     /* the coordinator that holds the lease, from 1; 0: none */
+byte step_of[INSTANCES];    /* the coordinator whose step is in progress; 0: none */
 byte step_fence[INSTANCES];
 bool owner_up[INSTANCES];
 
-/* The instances themselves: they live on when their agent dies. */
+/* The instances, which keep running when their agent crashes. */
 mtype = { serving, stopping, down };
 mtype instance[INSTANCES];
 
-/* The coordinators' side: whether they believe in their claim, and under which fence. */
+/* The coordinators' state: whether each takes its lease for live, and the lease's fence. */
 bool believes[6];  /* (coordinator - 1) * INSTANCES + instance */
 byte fence[6];
-bool asked[6];     /* a step of theirs is open there, as far as they know */
-byte served[6];    /* 1: that instance is through */
+bool asked[6];     /* the coordinator has sent a step whose end it doesn't know */
+byte served[6];    /* 1: the coordinator's step on that instance is done */
 #define AT(c, i) ((c - 1) * INSTANCES + i)
 
-/* Steps on their way: each may be delivered at any time, twice, or never. */
+/* Steps in transit: each may be delivered at any time, twice, or never. */
 bool flying[6];
 byte flying_fence[6];
 bool doubled[6];
 
-byte deaths = 2;  /* so many in all */
-byte acting_under[INSTANCES];  /* the fence of the last act */
+byte deaths = 2;  /* how many crashes may still happen */
+byte acting_under[INSTANCES];  /* the fence of the last action on the instance */
 
-/* An act on an instance under a step: the rules are looked at here, from outside. */
+/* Checks an action on an instance as part of a step. */
 inline act(i) {
   assert(step_of[i] != NOBODY);
-  /* No act under a fence that an act under a newer one has followed. */
+  /* Once there was an action with a newer fence, there is none with an older one. */
   assert(step_fence[i] >= acting_under[i]);
   acting_under[i] = step_fence[i];
 }
 
-/* What is half done when its claim ends or its agent dies falls back: it serves again. One that has gone already
- * is started: the step goes on to its end. */
+/* Ends a step that was interrupted by the end of its lease or by a crash of its agent: the instance serves again. If
+ * the instance is down already, the step continues, which starts the instance. */
 inline fall_back(i) {
   if
 #ifdef NO_FALLBACK
@@ -64,7 +66,7 @@
   fall_back(i)
 }
 
-/* A step comes in. It may come once more later. */
+/* The owner receives a step. A duplicated step is received once more. */
 inline receive(i, c) {
   if
   :: doubled[AT(c, i)] -> doubled[AT(c, i)] = false
@@ -77,7 +79,7 @@
   :: step_of[i] == NOBODY && holder[i] == c && last_fence[i] == flying_fence[AT(c, i)] && !served[AT(c, i)] ->
        step_of[i] = c; step_fence[i] = flying_fence[AT(c, i)]
 #endif
-  :: else -> skip  /* refused, or the repeat of one that has ended */
+  :: else -> skip  /* refused, or a repeat of a step that has ended */
   fi
 }
 
@@ -92,12 +94,12 @@
   do
   :: atomic { owner_up[i] && flying[AT(1, i)] -> receive(i, 1) }
   :: atomic { owner_up[i] && flying[AT(2, i)] -> receive(i, 2) }
-  /* The step that is under way goes on. */
+  /* The step in progress continues. */
   :: atomic { owner_up[i] && step_of[i] != NOBODY && instance[i] == serving -> act(i); instance[i] = stopping }
   :: atomic { owner_up[i] && step_of[i] != NOBODY && instance[i] == stopping -> act(i); instance[i] = down }
   :: atomic { owner_up[i] && step_of[i] != NOBODY && instance[i] == down ->
        act(i); instance[i] = serving;
-       /* Done, and told where its coordinator still listens. */
+       /* The step is done. Its coordinator learns of that if it still takes its lease for live. */
        c = step_of[i];
        step_of[i] = NOBODY;
        if
@@ -106,23 +108,23 @@
        fi;
        c = 0
      }
-  /* A lease runs out. */
+  /* A lease expires. */
   :: atomic { owner_up[i] && MAY_RUN_OUT(i) ->
-       /* The other side acts under it no more. */
+       /* The coordinator no longer takes the lease for live. */
        assert(!believes[AT(holder[i], i)] || fence[AT(holder[i], i)] != last_fence[i]);
        claim_ended(i) }
-  /* It dies, and comes back with what is on disk. */
+  /* The owner crashes, and restarts with its state on disk. */
   :: atomic { owner_up[i] && deaths > 0 -> deaths--; owner_up[i] = false }
   :: atomic { !owner_up[i] -> owner_up[i] = true; fall_back(i) }
   :: timeout -> break
   od
 }
 
-/* A rollout over both instances, one at a time. The second one takes over. */
+/* A rollout over both instances, one at a time. The second coordinator takes over the leases of the first. */
 proctype Coordinator(byte c) {
   byte i = 0;
   bool alive = true;
-  /* Claims: one owner after the other, in one order; all or none. */
+  /* Acquires the leases from one owner after the other, always in the same order; all or none. */
   do
   :: i < INSTANCES ->
        if
@@ -133,7 +135,7 @@
             fi;
             last_fence[i]++; holder[i] = c;
             fence[AT(c, i)] = last_fence[i]; believes[AT(c, i)] = true; i++ }
-       :: goto give_up  /* held by another, no answer, or the operator had enough */
+       :: goto give_up  /* another operation holds the lease, the owner doesn't respond, or the operator aborts */
        fi
   :: else -> break
   od;
@@ -141,7 +143,8 @@
   do
   :: i < INSTANCES ->
        if
-       /* The floor of the zone: one of two. What it has asked for elsewhere counts as not serving. */
+       /* The zone's minimum is one serving instance of two. An instance with an open step of this coordinator counts
+        * as not serving. */
        :: atomic { believes[AT(c, i)] && !asked[AT(c, 1 - i)] && instance[1 - i] == serving ->
             asked[AT(c, i)] = true; flying[AT(c, i)] = true; flying_fence[AT(c, i)] = fence[AT(c, i)];
             if
@@ -149,7 +152,8 @@
             :: skip
             :: flying[AT(c, i)] = false  /* lost */
             fi };
-          /* It is told of the end, or gives up: its lease runs out, it dies, or it lost the claim. */
+          /* Learns that the step has ended, or gives up: its lease expires, it crashes, or its lease was taken
+           * over. */
           if
           :: !asked[AT(c, i)]
           :: goto give_up
@@ -160,7 +164,7 @@
   :: else -> break
   od;
 give_up:
-  /* It acts no more. By the clock its side of each lease ends before the owners' sides. */
+  /* Sends nothing from now on. By the clock each lease expires here before it expires at its owner. */
   atomic {
     believes[AT(c, 0)] = false; believes[AT(c, 1)] = false;
     asked[AT(c, 0)] = false; asked[AT(c, 1)] = false
@@ -168,8 +172,8 @@
   alive = false
 }
 
-/* When nothing moves any more every instance is in a known state: it serves, nothing is half done, and nobody
- * holds a claim. */
+/* In the end, when no process can take another step, each instance serves, no step is in progress and no lease is
+ * held. */
 proctype Judge() {
   timeout;
   byte i = 0;
@@ -182,7 +186,7 @@
   od
 }
 
-/* Never both down by one rollout's own steps. */
+/* The steps of one rollout never stop both instances at once. */
 #define BOTH_BY(c) (step_of[0] == c && step_of[1] == c && instance[0] != serving && instance[1] != serving)
 proctype Floor() {
   atomic { BOTH_BY(1) || BOTH_BY(2) -> assert(false) }
