--- a/tests/test_agent_shortages.cpp
+++ b/tests/test_agent_shortages.cpp
@@ -1,6 +1,5 @@
-// An agent as a process whose system calls fail for a moment: what it looks after is taken neither for ended
-// nor for somebody else's, and nothing is started twice. Each scenario is a test of its own, named on the
-// command line.
+// An agent process whose system calls fail temporarily must not take its instances for exited or foreign, and
+// must not start one twice. Each scenario is a test, which the command line names.
 #include <Poco/Net/SocketAddress.h>
 #include <grpcpp/grpcpp.h>
 #include <signal.h>
@@ -32,7 +31,7 @@
   return site;
 }
 
-// One agent with two managers, and the calls of that agent alone.
+// One agent with two managers. Faults are injected into the system calls of the agent alone.
 struct FaultyAgent {
   AgentCluster fleet{small_site(), 1};
   Agent& agent = fleet.agents[0];
@@ -45,39 +44,40 @@
     agent.start();
     assert(wait_for([&] { return fleet.all_serve(); }));
   }
+  // Pids, by instance.
   std::map<std::string, std::uint64_t> processes() {
     std::map<std::string, std::uint64_t> all;
     for (const auto& [name, instance] : fleet.conditions()) all[name] = instance.pid();
     return all;
   }
-  // How often its log says so.
-  int told(const std::string& words) {
+  // How many times the agent's log contains `text`.
+  int count_in_log(const std::string& text) {
     std::ifstream log(agent.charter + ".log");
-    const std::string text{std::istreambuf_iterator<char>(log), {}};
+    const std::string contents{std::istreambuf_iterator<char>(log), {}};
     int count = 0;
-    for (std::size_t at = 0; (at = text.find(words, at)) != std::string::npos; ++at) ++count;
+    for (std::size_t at = 0; (at = contents.find(text, at)) != std::string::npos; ++at) ++count;
     return count;
   }
 };
 
-// A signal that comes while the agent looks whether a process still runs says nothing of that process.
-void interrupted_looks() {
+// A signal that interrupts the agent's check of a process must not make the process count as exited.
+void interrupted_process_checks() {
   FaultyAgent site;
   const auto before = site.processes();
-  const int started = site.told("started, version");
+  const int started = site.count_in_log("started, version");
   site.faults.set(FaultKind::wait_interrupted, 0.2);
   assert(wait_for([&] { return site.faults.struck(FaultKind::wait_interrupted) > 200; }));
   site.faults.set_none();
   assert(wait_for([&] { return site.fleet.all_serve(); }));
-  std::fprintf(stderr, "%d starts in all\n", site.told("started, version"));
-  assert(site.processes() == before && site.told("started, version") == started);
+  std::fprintf(stderr, "%d starts in all\n", site.count_in_log("started, version"));
+  assert(site.processes() == before && site.count_in_log("started, version") == started);
 }
 
-// An agent that starts while descriptors run short still knows what it looks after.
-void restart_while_files_run_short() {
+// An agent that restarts while open() fails for want of descriptors adopts all its running instances.
+void restart_while_open_fails() {
   FaultyAgent site;
   const auto before = site.processes();
-  const int started = site.told("started, version");
+  const int started = site.count_in_log("started, version");
   std::uint64_t struck = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     site.agent.end(SIGKILL);
@@ -93,18 +93,18 @@
     if (shown && !shown->trouble().empty())
       std::fprintf(stderr, "seed %llu: %s\n", static_cast<unsigned long long>(seed),
                    shown->trouble().c_str());
-    assert(shown && shown->trouble().empty());  // it takes orders
-    assert(site.processes() == before && site.told("started, version") == started);
+    assert(shown && shown->trouble().empty());  // the agent accepts changes
+    assert(site.processes() == before && site.count_in_log("started, version") == started);
   }
   std::fprintf(stderr, "%d starts in all, %llu opens failed\n", started,
                static_cast<unsigned long long>(struck));
   assert(struck > 10);
 }
 
-// Whether the agent answers a caller that has not called before.
-bool answers_newcomers(Agent& agent) {
+// Whether the agent answers an RPC over a new connection.
+bool answers_new_connection(Agent& agent) {
   grpc::ChannelArguments arguments;
-  arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection of its own
+  arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // shares no connection with other channels
   const auto channel =
       grpc::CreateCustomChannel(agent.control, grpc::InsecureChannelCredentials(), arguments);
   grpc::ClientContext context;
@@ -113,53 +113,55 @@
   return agent::v1::Agent::NewStub(channel)->Show(&context, {}, &shown).ok();
 }
 
-// Connections that can't be accepted for a moment: those that come later are.
-void accept_fails_for_a_moment() {
+// The agent keeps accepting connections after accept() has failed. Left to itself, gRPC would stop listening.
+void accept_fails_temporarily() {
   FaultyAgent site;
-  assert(answers_newcomers(site.agent));
+  assert(answers_new_connection(site.agent));
   for (const FaultKind kind : {FaultKind::accept_fails, FaultKind::accept_odd}) {
     const std::uint64_t before = site.faults.struck(kind);
     site.faults.set(kind, 1);
-    assert(wait_for([&] { return answers_newcomers(site.agent), site.faults.struck(kind) > before; }));
+    assert(wait_for([&] { return answers_new_connection(site.agent), site.faults.struck(kind) > before; }));
     site.faults.set_none();
-    assert(wait_for([&] { return answers_newcomers(site.agent); }, seconds(15)));
+    assert(wait_for([&] { return answers_new_connection(site.agent); }, seconds(15)));
   }
 }
 
-// Whether somebody takes a connection at the agent's TLS address: bytes that are no handshake end it.
-bool heeds_newcomers(const std::string& address) {
-  const Poco::Net::SocketAddress place(address);
+// Whether the agent accepts a connection at its TLS address: it sends an alert or ends the connection in
+// response to bytes that are not a TLS handshake.
+bool accepts_tls_connection(const std::string& address) {
+  const Poco::Net::SocketAddress endpoint(address);
   const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const timeval patience{1, 0};
-  ::setsockopt(descriptor, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  const timeval receive_timeout{1, 0};
+  ::setsockopt(descriptor, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
   char byte = 0;
-  const std::string words = "this is no handshake\r\n\r\n";
-  const bool heard = ::connect(descriptor, place.addr(), place.length()) == 0 &&
-                     ::send(descriptor, words.data(), words.size(), MSG_NOSIGNAL) > 0 &&
-                     (::recv(descriptor, &byte, 1, 0) >= 0 || errno == ECONNRESET);
+  const std::string text = "this is not a handshake\r\n\r\n";
+  const bool accepted = ::connect(descriptor, endpoint.addr(), endpoint.length()) == 0 &&
+                        ::send(descriptor, text.data(), text.size(), MSG_NOSIGNAL) > 0 &&
+                        (::recv(descriptor, &byte, 1, 0) >= 0 || errno == ECONNRESET);
   ::close(descriptor);
-  return heard;
+  return accepted;
 }
 
-// Callers that break off before they are accepted, as on a busy machine, take nothing from those behind them.
-void callers_break_off_while_they_wait() {
+// Clients that reset their connections before the agent accepts them, as on an overloaded machine, must not
+// keep it from accepting later ones.
+void clients_reset_before_accept() {
   FaultyAgent site;
-  assert(wait_for([&] { return heeds_newcomers(site.agent.listen); }));
-  const Poco::Net::SocketAddress place(site.agent.listen);
+  assert(wait_for([&] { return accepts_tls_connection(site.agent.listen); }));
+  const Poco::Net::SocketAddress endpoint(site.agent.listen);
   ::kill(site.agent.process, SIGSTOP);
   for (int i = 0; i < 5; ++i) {
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    assert(::connect(descriptor, place.addr(), place.length()) == 0);
-    const linger at_once{1, 0};  // a reset
-    ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    assert(::connect(descriptor, endpoint.addr(), endpoint.length()) == 0);
+    const linger reset_on_close{1, 0};
+    ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     ::close(descriptor);
   }
   ::kill(site.agent.process, SIGCONT);
-  assert(wait_for([&] { return heeds_newcomers(site.agent.listen); }, seconds(15)));
+  assert(wait_for([&] { return accepts_tls_connection(site.agent.listen); }, seconds(15)));
 }
 
-// A wall clock that is stepped by an hour, both ways, while a rollout runs: claims, leases, times allowed and
-// remote calls go by real time.
+// Steps of the wall clock by an hour in both directions don't affect a rollout: leases, timeouts and RPC
+// deadlines use the monotonic clock.
 void rollout_over_clock_steps() {
   FaultyAgent site;
   const auto before = site.processes();
@@ -179,12 +181,12 @@
   for (const auto& [name, pid] : site.processes()) assert(pid != before.at(name));
 }
 
-// All kinds of calls fail now and then while a rollout restarts the instances, one after another: it is done
-// in the end, and each instance has one new process.
-void rollout_while_calls_fail() {
+// A rollout that restarts the instances one after another completes although system calls of many kinds fail
+// at random, and starts exactly one new process for each instance.
+void rollout_while_system_calls_fail() {
   FaultyAgent site;
   const auto before = site.processes();
-  const int started = site.told("started, version");
+  const int started = site.count_in_log("started, version");
   constexpr FaultKind kinds[] = {
       FaultKind::receive_interrupted, FaultKind::receive_short,    FaultKind::send_interrupted,
       FaultKind::send_short,          FaultKind::accept_fails,     FaultKind::accept_odd,
@@ -201,18 +203,18 @@
   assert(site.agent.rollout("failing").word().empty());
   assert(wait_for([&] { return site.fleet.all_serve(); }));
   const agent::v1::Rollout rollout = site.agent.rollout("failing");
-  for (const auto& [name, word] : rollout.words())
-    std::fprintf(stderr, "%s: %s\n", name.c_str(), word.c_str());
+  for (const auto& [name, detail] : rollout.words())
+    std::fprintf(stderr, "%s: %s\n", name.c_str(), detail.c_str());
   for (const auto& [name, pid] : site.processes()) assert(pid != before.at(name));
-  assert(site.told("started, version") == started + static_cast<int>(before.size()));
+  assert(site.count_in_log("started, version") == started + static_cast<int>(before.size()));
   for (const FaultKind kind :
        {FaultKind::receive_interrupted, FaultKind::send_interrupted, FaultKind::wait_interrupted})
     assert(site.faults.struck(kind) > 0);
 }
 
-// The folder of the agent's state fails for a while amid a rollout, and the agent is killed meanwhile: once
-// the folder is sound the rollout ends, or has stopped and says why, and no instance is left half way.
-void rollout_while_the_folder_fails() {
+// Writes to the folder of the agent's state fail during a rollout, and the agent is killed meanwhile. Once
+// the folder works again, the rollout is done, or has stopped with a reason, and no step is left half done.
+void rollout_while_state_folder_fails() {
   FaultyAgent site;
   const auto before = site.processes();
   agent::v1::Plan plan = site.fleet.plan("owed", "restart");
@@ -242,8 +244,8 @@
     for (const auto& [name, pid] : site.processes()) assert(pid != before.at(name));
 }
 
-// An instance that has ended is started again, though no process can be had at first.
-void no_process_for_a_moment() {
+// The agent restarts a crashed instance although fork() fails at first.
+void fork_fails_temporarily() {
   FaultyAgent site;
   site.faults.set(FaultKind::process_fails, 1);
   ::kill(static_cast<pid_t>(site.processes().begin()->second), SIGKILL);
@@ -253,14 +255,14 @@
 }
 
 constexpr test::Scenario scenarios[] = {
-    {"interrupted_looks", interrupted_looks},
-    {"accept_fails_for_a_moment", accept_fails_for_a_moment},
-    {"callers_break_off_while_they_wait", callers_break_off_while_they_wait},
+    {"interrupted_process_checks", interrupted_process_checks},
+    {"accept_fails_temporarily", accept_fails_temporarily},
+    {"clients_reset_before_accept", clients_reset_before_accept},
     {"rollout_over_clock_steps", rollout_over_clock_steps},
-    {"rollout_while_calls_fail", rollout_while_calls_fail},
-    {"rollout_while_the_folder_fails", rollout_while_the_folder_fails},
-    {"no_process_for_a_moment", no_process_for_a_moment},
-    {"restart_while_files_run_short", restart_while_files_run_short}};
+    {"rollout_while_system_calls_fail", rollout_while_system_calls_fail},
+    {"rollout_while_state_folder_fails", rollout_while_state_folder_fails},
+    {"fork_fails_temporarily", fork_fails_temporarily},
+    {"restart_while_open_fails", restart_while_open_fails}};
 
 }  // namespace
 
--- a/tests/test_agent_troubles.cpp
+++ b/tests/test_agent_troubles.cpp
@@ -1,6 +1,6 @@
-// What goes wrong round agents, with real processes: one that is stopped beyond its lease and goes on,
-// somebody else on an instance's address, a new command that does not come up, a job that will not end, a
-// charter that changes while they run.
+// Faults around agents, as processes over five managers and stand-in engines: an agent that is stopped until
+// its lease has expired and then continues, a command that doesn't start, an unusable configuration file at a
+// reload, a foreign process at an instance's address, and a request that hangs during a drain.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/stat.h>
@@ -39,8 +39,8 @@
   });
   std::string fault;
 
-  // Stopped amid a step, beyond its lease: its coordinator gives it up and pauses; going on, it acts no more
-  // for that claim, and what was half done falls back.
+  // An agent is stopped during a step until its lease has expired. The coordinator pauses the rollout. When
+  // the agent continues, it doesn't act under the expired lease: the interrupted step falls back.
   assert(first.start_rollout(fleet.plan("stopped", "restart"), &fault).ok() && fault.empty());
   assert(wait_for([&] { return fleet.seen("n3").has_under_way(); }));
   ::kill(second.process, SIGSTOP);
@@ -51,8 +51,8 @@
   assert(first.say("stopped", "abort").empty());
   assert(wait_for([&] { return state_of(first, "stopped") == "aborted"; }));
 
-  // A new command that does not come up: the change goes back by itself. It was read from the charter while
-  // the agent ran; a charter that can't be used changes nothing.
+  // A change to a command that doesn't start is rolled back. The agent reads the new command in a reload of
+  // its configuration; an earlier reload of an unusable file has changed nothing.
   const auto before = fleet.seen("n5");
   std::ofstream(third.charter) << "[agent]\nnonsense = 1\n";
   ::kill(third.process, SIGHUP);
@@ -65,7 +65,8 @@
   *change.add_targets() = target;
   change.set_version(2), change.set_version_before(1), change.set_failures(0), change.set_reverts(true);
   change.set_up_within_ms(3000), change.clear_least_serving();
-  // Until the charter is read the version is not known: the step is refused, and with it the change.
+  // Until the agent has reloaded its configuration, it refuses the step to an unknown version, and the
+  // rollout ends.
   assert(wait_for([&] {
     change.set_id(change.id() + "+");
     assert(third.start_rollout(change, &fault).ok() && fault.empty());
@@ -79,12 +80,12 @@
   assert(fleet.seen("n5").version() == 3 && third.rollout("sound").word().empty());
   assert(wait_for(all_serve));
 
-  // Somebody else on its address while its agent is away: nothing is started there, and nothing of that one's
-  // is ended; when it goes, the instance is started again.
-  const std::int64_t its_own = static_cast<std::int64_t>(fleet.seen("n5").pid());
+  // A foreign manager takes the instance's address while its agent is down. The restarted agent starts no
+  // process there and doesn't end the foreign one. Once that has exited, the agent starts the instance again.
+  const std::int64_t own_pid = static_cast<std::int64_t>(fleet.seen("n5").pid());
   third.end(SIGTERM);
-  ::kill(static_cast<pid_t>(its_own), SIGKILL);
-  assert(wait_for([&] { return !agent::start_ticks_of(its_own); }));
+  ::kill(static_cast<pid_t>(own_pid), SIGKILL);
+  assert(wait_for([&] { return !agent::start_ticks_of(own_pid); }));
   world.start(4);
   for (int i = 0; world.status(4).identity().phase() != "serving" && i < 500; ++i)
     world.rest(milliseconds(10));
@@ -96,12 +97,13 @@
   assert(wait_for([&] { return world.ended(4) != -1; }));
   assert(wait_for(all_serve));
 
-  // A job that hangs: the drain waits its time and ends all the same; the job has its one answer.
+  // A request hangs: the drain waits until its timeout, and the instance restarts. The client gets exactly
+  // one answer, which is a failure.
   std::optional<Answer> answer;
-  bool heard = false;
+  bool has_ended = false;
   world.on([&] {
     world.crowd().ask(0, {"quick", "SELECT fault=hang FROM a_1.t", milliseconds(4000), 0, 5, 8},
-                      [&](std::optional<Answer> what) { answer = what, heard = true; });
+                      [&](std::optional<Answer> end) { answer = end, has_ended = true; });
   });
   agent::v1::Plan hanging = fleet.plan("hanging", "restart");
   const agent::v1::Target one = hanging.targets(0);
@@ -111,14 +113,14 @@
   const auto old = fleet.seen("n1").pid();
   assert(first.start_rollout(hanging, &fault).ok() && fault.empty());
   assert(wait_for([&] { return state_of(first, "hanging") == "done"; }));
-  assert(fleet.seen("n1").pid() != old && wait_for([&] { return world.on([&] { return heard; }); }));
+  assert(fleet.seen("n1").pid() != old && wait_for([&] { return world.on([&] { return has_ended; }); }));
   assert(answer && answer != Answer::done);
 
   world.on([&] { world.crowd().offer(0, {}); });
   assert(world.quiet());
   const HistoryChecker::Verdict verdict = world.verdict();
-  for (const std::string& what : verdict.faults) std::fprintf(stderr, "%s\n", what.c_str());
-  std::printf("%llu jobs: %llu done, %llu lost\n", static_cast<unsigned long long>(verdict.sent),
+  for (const std::string& violation : verdict.faults) std::fprintf(stderr, "%s\n", violation.c_str());
+  std::printf("%llu requests: %llu done, %llu lost\n", static_cast<unsigned long long>(verdict.sent),
               static_cast<unsigned long long>(verdict.done), static_cast<unsigned long long>(verdict.lost));
   for (Agent& each : fleet.agents) each.end(SIGTERM);
   assert(verdict.doubled == 0 && verdict.twice_run == 0 && verdict.overlaps == 0 && verdict.disorder == 0);
--- a/tests/test_agents.cpp
+++ b/tests/test_agents.cpp
@@ -1,6 +1,7 @@
-// Agents as processes: they start and adopt their instances, keep claims, know callers by their certificates,
-// and carry a rollout through while one of them is killed, with load on. The users' own test: five managers,
-// three agents, stand-in engines.
+// End-to-end tests of agents as processes, over five managers, three agents and stand-in engines: agents
+// start and adopt their instances, grant leases, authorize callers by certificate, and complete a rollout
+// under load while one agent is killed. They guard against lost or repeated requests and against unsupervised
+// instances.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/stat.h>
@@ -23,46 +24,48 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A process is known again by its start, never by its number alone; one that nobody keeps never begins.
-void processes() {
+// After its restart an agent recognizes a process by its start time and boot id, not by its pid alone. A
+// command whose record can't be persisted never runs.
+void test_processes() {
   char folder[] = "/tmp/pearchute-agents-XXXXXX";
   assert(mkdtemp(folder));
-  const std::string begun = std::string(folder) + "/begun";
-  std::string fault;
-  std::optional<store::ProcessRecord> kept;
+  const std::string started_file = std::string(folder) + "/started";
+  std::string error;
+  std::optional<store::ProcessRecord> record;
   agent::Processes first;
-  const std::string command = "echo x >> " + begun + "; exec sleep 30";
+  const std::string command = "echo x >> " + started_file + "; exec sleep 30";
   assert(!first.start(
-             "i", command, "", [](const store::ProcessRecord&) { return false; }, fault) &&
-         !fault.empty());
-  assert(!first.alive("i") && ::access(begun.c_str(), F_OK) != 0);
+             "i", command, "", [](const store::ProcessRecord&) { return false; }, error) &&
+         !error.empty());
+  assert(!first.alive("i") && ::access(started_file.c_str(), F_OK) != 0);
   assert(first.start(
-      "i", command, "", [&](const store::ProcessRecord& one) { return kept = one, true; }, fault));
-  assert(first.alive("i") && kept->pid > 0 && kept->start_ticks > 0 && !kept->boot_id.empty());
+      "i", command, "", [&](const store::ProcessRecord& one) { return record = one, true; }, error));
+  assert(first.alive("i") && record->pid > 0 && record->start_ticks > 0 && !record->boot_id.empty());
   {
-    agent::Processes after;  // as after the agent's own restart
-    assert(after.adopt("i", *kept) && after.alive("i"));
-    store::ProcessRecord other = *kept;
+    agent::Processes restarted;  // stands for the agent after its restart
+    assert(restarted.adopt("i", *record) && restarted.alive("i"));
+    store::ProcessRecord other = *record;
     other.start_ticks += 1;
-    assert(!after.adopt("j", other));
-    other = *kept, other.boot_id = "another";
-    assert(!after.adopt("j", other));
-    assert(after.signal("i", SIGKILL) && !after.signal("j", SIGKILL));
+    assert(!restarted.adopt("j", other));
+    other = *record, other.boot_id = "another";
+    assert(!restarted.adopt("j", other));
+    assert(restarted.signal("i", SIGKILL) && !restarted.signal("j", SIGKILL));
   }
   for (int n = 0; n < 500 && first.alive("i"); ++n) std::this_thread::sleep_for(milliseconds(10));
-  assert(!first.alive("i") && !first.signal("i", SIGKILL) && !first.adopt("i", *kept));
-  unlink(begun.c_str()), rmdir(folder);
+  assert(!first.alive("i") && !first.signal("i", SIGKILL) && !first.adopt("i", *record));
+  unlink(started_file.c_str()), rmdir(folder);
 }
 
-// Certificates and roles at an agent's door.
-void doors(keys::Authority& authority, const std::string& folder, const std::string& listen) {
+// Authorization at an agent's TLS address, by the callers' certificates and roles.
+void test_authorization(keys::Authority& authority, const std::string& folder, const std::string& listen) {
   using Code = grpc::StatusCode;
-  keys::Authority stranger(folder + "/other");
-  stranger.init("other", std::chrono::hours(24));
+  keys::Authority other_authority(folder + "/other");
+  other_authority.init("other", std::chrono::hours(24));
   const auto hour = std::chrono::hours(1);
   authority.issue("ann", fleet::Role::operate, hour), authority.issue("eve", fleet::Role::read, hour);
   authority.issue("adm", fleet::Role::admin, hour), authority.issue("none", std::nullopt, hour);
-  authority.issue("old", fleet::Role::admin, seconds(-5)), stranger.issue("mal", fleet::Role::admin, hour);
+  authority.issue("old", fleet::Role::admin, seconds(-5)),
+      other_authority.issue("mal", fleet::Role::admin, hour);
   const auto stub_as = [&](const keys::Authority& from, const std::string& name, const std::string& agent) {
     const keys::TlsFiles files{authority.path("ca.pem"), from.path(name + ".pem"), from.path(name + ".key"),
                                ""};
@@ -77,11 +80,12 @@
   const auto claim = [&](agent::v1::Agent::Stub& stub, const std::string& who, bool take_over) {
     grpc::ClientContext context;
     context.set_deadline(std::chrono::system_clock::now() + seconds(5));
-    agent::v1::ClaimAsk ask;  // of an instance that is not there: what is looked at is who may ask
-    ask.set_operation("op"), ask.set_who(who), ask.add_instances("nx"), ask.set_lease_ms(1000);
-    ask.set_take_over(take_over);
-    agent::v1::ClaimAnswer answer;
-    return stub.Claim(&context, ask, &answer).error_code();
+    agent::v1::ClaimAsk request;  // for an unknown instance: only the caller's authorization matters
+    request.set_operation("op"), request.set_who(who), request.add_instances("nx"),
+        request.set_lease_ms(1000);
+    request.set_take_over(take_over);
+    agent::v1::ClaimAnswer response;
+    return stub.Claim(&context, request, &response).error_code();
   };
   struct Case {
     const char *name, *who;
@@ -102,37 +106,37 @@
     if (shown != c.shown || claimed != c.claimed) std::fprintf(stderr, "%s: %d %d\n", c.name, shown, claimed);
     assert(shown == c.shown && claimed == c.claimed);
   }
-  // Of another authority; one that shows none; and an agent that is not the one that is meant.
-  assert(show(*stub_as(stranger, "mal", "a1")) == Code::UNAVAILABLE);
+  // A certificate of another authority, an agent with another name, and a caller without a certificate.
+  assert(show(*stub_as(other_authority, "mal", "a1")) == Code::UNAVAILABLE);
   assert(show(*stub_as(authority, "ann", "a2")) == Code::UNAVAILABLE);
-  grpc::SslCredentialsOptions nobody;
-  nobody.pem_root_certs = keys::read_pem_file(authority.path("ca.pem"));
+  grpc::SslCredentialsOptions no_certificate;
+  no_certificate.pem_root_certs = keys::read_pem_file(authority.path("ca.pem"));
   grpc::ChannelArguments arguments;
   arguments.SetSslTargetNameOverride("a1");
-  assert(show(*agent::v1::Agent::NewStub(grpc::CreateCustomChannel(listen, grpc::SslCredentials(nobody),
-                                                                   arguments))) == Code::UNAVAILABLE);
-  // Revoked while its connection is open: the next call is refused, others' go on. Renewed, it may again.
-  const auto open = stub_as(authority, "ann", "a1");
-  assert(show(*open) == Code::OK);
-  const keys::Certificate gone = keys::read_certificate(authority.path("ann.pem"));
-  authority.revoke(gone);
-  assert(show(*open) == Code::PERMISSION_DENIED && show(*stub_as(authority, "eve", "a1")) == Code::OK);
+  assert(show(*agent::v1::Agent::NewStub(grpc::CreateCustomChannel(
+             listen, grpc::SslCredentials(no_certificate), arguments))) == Code::UNAVAILABLE);
+  // A revocation takes effect on the next RPC over an open connection, and for that caller only. A renewed
+  // certificate is authorized again.
+  const auto connected = stub_as(authority, "ann", "a1");
+  assert(show(*connected) == Code::OK);
+  authority.revoke(keys::read_certificate(authority.path("ann.pem")));
+  assert(show(*connected) == Code::PERMISSION_DENIED && show(*stub_as(authority, "eve", "a1")) == Code::OK);
   authority.issue("ann", fleet::Role::operate, hour);
   assert(show(*stub_as(authority, "ann", "a1")) == Code::OK);
-  // A list that the authority has not signed changes nothing.
+  // A revocation list with another authority's signature is ignored.
   const std::string list = keys::read_pem_file(authority.path("ca.crl"));
-  std::ofstream(authority.path("ca.crl")) << keys::read_pem_file(stranger.path("ca.crl"));
-  assert(show(*open) == Code::PERMISSION_DENIED);
+  std::ofstream(authority.path("ca.crl")) << keys::read_pem_file(other_authority.path("ca.crl"));
+  assert(show(*connected) == Code::PERMISSION_DENIED);
   std::ofstream(authority.path("ca.crl")) << list;
-  // Connections that say nothing hold nobody up.
+  // Connections that send nothing don't delay other callers.
   std::vector<Poco::Net::StreamSocket> silent;
   for (int n = 0; n < 60; ++n) silent.emplace_back(Poco::Net::SocketAddress(listen));
-  const Time before = steady_now();
-  assert(show(*stub_as(authority, "eve", "a1")) == Code::OK && steady_now() - before < seconds(3));
+  const Time started_at = steady_now();
+  assert(show(*stub_as(authority, "eve", "a1")) == Code::OK && steady_now() - started_at < seconds(3));
 }
 
 int main() {
-  processes();
+  test_processes();
   ClusterSpec site;
   site.managers = 5, site.engines = 4, site.pearchuted = PEARCHUTED, site.pearchute_agent = PEARCHUTE_AGENT,
   site.starts_managers = false;
@@ -145,23 +149,23 @@
   const auto all_serve = [&] { return fleet_of.all_serve(); };
   assert(wait_for(all_serve));
   assert(world.all_serving(4));
-  doors(authority, world.folder(), agents[0].listen);
+  test_authorization(authority, world.folder(), agents[0].listen);
   world.on([&] {
     world.crowd().offer(200, {{"quick", "SELECT work=5 FROM a_1.t", milliseconds(2000), 0, 5, 8},
                               {"once", "UPDATE work=8 a_4.t", milliseconds(2000), 0, 8, 8},
                               {"load", "INSERT work=10 INTO a_5.t", milliseconds(2500), 3, 10, 16}});
   });
 
-  // One falls by itself: its agent starts it again.
+  // An agent restarts an instance that crashes.
   const auto before = conditions();
   ::kill(static_cast<pid_t>(before.at("n5").pid()), SIGKILL);
   assert(wait_for([&] { return all_serve() && seen("n5").pid() != before.at("n5").pid(); }));
 
-  // What it had open when it was killed is lost with it, and nothing after that.
-  const std::uint64_t lost = world.verdict().lost;
+  // The kill loses the requests that the instance had open. From here on no request may be lost.
+  const std::uint64_t lost_by_kill = world.verdict().lost;
 
-  // LeaseTable at their owner: the second operator hears of the first; a take-over bumps the fence, and what
-  // the older one still sends is refused.
+  // A refused lease request returns the current holder. A take-over increments the fence, and the agent
+  // refuses steps of the operation that had the lease before.
   auto mine = agents[2].claim("ann", {"n5"}, false);
   assert(mine.granted());
   const auto theirs = agents[2].claim("bob", {"n5"}, false);
@@ -169,16 +173,17 @@
   assert(agents[2].claim("bob", {"n5"}, true).fences().at("n5") == mine.fences().at("n5") + 1);
   assert(!agents[2].step("n5", "ann", mine.fences().at("n5")).accepted());
   assert(agents[2].step("n5", "bob", mine.fences().at("n5") + 1).accepted());
-  assert(!agents[2].claim("ann", {"n1"}, false).fault().empty());  // another agent's
+  assert(!agents[2].claim("ann", {"n1"}, false).fault().empty());  // a1 owns n1
   std::this_thread::sleep_for(milliseconds(2100));
   assert(!seen("n5").has_claim());
 
-  // A rollout over all, coordinated by a1; a2 is killed while one of its instances restarts, and comes back.
+  // A rollout over all instances, coordinated by a1. a2 is killed while one of its instances restarts, and is
+  // started again.
   agent::v1::Plan plan = fleet_of.plan("r1", "restart");
   const auto pids = conditions();
   std::string fault;
   assert(agents[0].start_rollout(plan, &fault).ok() && fault.empty());
-  assert(agents[0].start_rollout(plan, &fault).ok() && fault.empty());  // the same once more
+  assert(agents[0].start_rollout(plan, &fault).ok() && fault.empty());  // a repeat
   plan.set_kind("explode");
   assert(agents[0].start_rollout(plan, &fault).error_code() == grpc::StatusCode::INVALID_ARGUMENT);
   assert(wait_for([&] { return seen("n3").has_under_way(); }));
@@ -186,15 +191,15 @@
   std::this_thread::sleep_for(milliseconds(300));
   assert(wait_for([&] { return conditions().size() == 3; }));
   agents[1].start();
-  // Paused, failed or through: in each case it is told, and every instance is looked after.
-  const auto rests = [&] {
+  // The coordinator reports whether the rollout is paused, failed or done. All instances are supervised.
+  const auto has_stopped = [&] {
     const std::string state = agents[0].rollout("r1").state();
     return state == "paused" || state == "failed" || state == "done";
   };
-  assert(wait_for(rests));
+  assert(wait_for(has_stopped));
   if (agents[0].rollout("r1").state() == "paused") {
     assert(agents[0].say("r1", "resume").empty());
-    assert(wait_for(rests));
+    assert(wait_for(has_stopped));
   }
   assert(wait_for(all_serve));
   const auto after = agents[0].rollout("r1");
@@ -205,7 +210,8 @@
   }
   assert(after.stages().at("n1") == "done" && after.stages().at("n2") == "done");
 
-  // The coordinator itself is killed amid a second one: it comes back paused, and is aborted.
+  // The coordinator is killed during a second rollout. After its restart the rollout is paused, and can be
+  // aborted.
   plan.set_id("r2"), plan.set_kind("restart");
   assert(agents[0].start_rollout(plan, &fault).ok() && fault.empty());
   assert(wait_for([&] { return seen("n1").has_under_way() || seen("n2").has_under_way(); }));
@@ -219,7 +225,7 @@
     return all_serve() && std::ranges::none_of(all, [](const auto& one) { return one.second.has_claim(); });
   }));
 
-  // From the command line.
+  // The same by pearchutectl.
   const std::string fleet = world.write_fleet();
   {
     std::ofstream file(fleet, std::ios::app);
@@ -230,9 +236,9 @@
          << "\ncertificate = " << authority.path("oper.pem") << "\nkey = " << authority.path("oper.key")
          << "\n";
   }
-  const auto ctl = [&](std::vector<std::string> words) {
-    words.insert(words.begin(), {"--fleet", fleet});
-    return run_program(PEARCHUTECTL, words);
+  const auto ctl = [&](std::vector<std::string> arguments) {
+    arguments.insert(arguments.begin(), {"--fleet", fleet});
+    return run_program(PEARCHUTECTL, arguments);
   };
   assert(ctl({"agents"}).status == 0 && ctl({"claims"}).status == 0);
   assert(ctl({"rollout", "plan", "--on", "name = n5"}).out.find("would be stepped: restart") !=
@@ -252,14 +258,15 @@
   assert(ctl({"keys", "--folder", folder, "issue", "a9", "--role", "king"}).status == 2);
   assert(ctl({"keys", "--folder", folder, "revoke", "a9"}).status == 0);
   assert(ctl({"keys", "--folder", folder, "show"}).out.find("revoked") != std::string::npos);
-  struct stat what {};
-  assert(::stat((folder + "/a9.key").c_str(), &what) == 0 && (what.st_mode & 0777) == 0600);
+  struct stat key_status {};
+  assert(::stat((folder + "/a9.key").c_str(), &key_status) == 0 && (key_status.st_mode & 0777) == 0600);
   assert(ctl({"rollout", "history"}).out.find("r3") != std::string::npos);
   assert(ctl({"rollout", "status", "r3"}).status == 0 && ctl({"rollout", "status", "r9"}).status == 2);
   assert(ctl({"rollout", "pause", "r3"}).status == 4 &&
          ctl({"rollout", "start", "--kind", "change"}).status == 2);
 
-  // A state that can't be used: the agent says so, observes, takes no orders, and its instances go on.
+  // With a damaged state file the agent reports the damage, observes its instances, which keep serving, and
+  // refuses changes.
   agents[2].end(SIGKILL);
   std::ofstream(world.folder() + "/a3.db", std::ios::trunc)
       << "no database at all, and long enough to be looked at";
@@ -273,12 +280,12 @@
   world.on([&] { world.crowd().offer(0, {}); });
   assert(world.quiet());
   const HistoryChecker::Verdict verdict = world.verdict();
-  for (const std::string& what_was : verdict.faults) std::fprintf(stderr, "%s\n", what_was.c_str());
-  std::printf("%llu jobs: %llu done, %llu throttled, %llu lost, %llu doubled\n",
+  for (const std::string& violation : verdict.faults) std::fprintf(stderr, "%s\n", violation.c_str());
+  std::printf("%llu requests: %llu done, %llu throttled, %llu lost, %llu doubled\n",
               static_cast<unsigned long long>(verdict.sent), static_cast<unsigned long long>(verdict.done),
               static_cast<unsigned long long>(verdict.refused), static_cast<unsigned long long>(verdict.lost),
               static_cast<unsigned long long>(verdict.doubled));
   for (Agent& one : agents) one.end(SIGTERM);
   assert(verdict.doubled == 0 && verdict.twice_run == 0 && verdict.overlaps == 0 && verdict.disorder == 0);
-  assert(verdict.lost == lost);
+  assert(verdict.lost == lost_by_kill);
 }
--- a/tests/test_folder_faults.cpp
+++ b/tests/test_folder_faults.cpp
@@ -1,6 +1,6 @@
-// What lasts in a folder while writes and syncs to it fail for a while: what was told as kept is still there,
-// what was not told as kept is not half there, and once the folder is sound again so is what is kept in it.
-// The program runs itself again under the library of failing calls.
+// Files in a folder where writes and syncs fail temporarily: what was reported as written can be read
+// afterwards, a failed write leaves no partial data, and writes succeed again once the folder works. The
+// program re-executes itself with the library that injects faults into system calls.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -32,140 +32,146 @@
   return {number, static_cast<std::uint64_t>(number), "boot", number};
 }
 
-// As many writes as are asked for, each of the next number; the last that was told as kept.
-int write_on(store::Store& store, int from, int count, int& refused) {
-  int kept = from - 1;
+// Writes the numbers from `from` on, `count` of them. Returns the last one that was reported as written, and
+// adds the failed writes to `failed`.
+int write_numbers(store::Store& store, int from, int count, int& failed) {
+  int last_written = from - 1;
   for (int i = from; i < from + count; ++i) {
-    if (store.write_process("i", process_of(i))) kept = i;
-    else ++refused;
+    if (store.write_process("i", process_of(i))) last_written = i;
+    else ++failed;
   }
-  return kept;
+  return last_written;
 }
 
-int kept_in(const std::string& path) {
+// Opens the store anew and reads the last number; 0 if there is none.
+int number_in(const std::string& path) {
   store::Store store(path);
-  std::string fault;
-  const auto opened = store.open(fault);
-  if (opened != store::OpenStatus::usable) std::fprintf(stderr, "%s\n", fault.c_str());
-  assert(opened == store::OpenStatus::usable);
-  const auto all = store.processes();
-  return all.contains("i") ? static_cast<int>(all.at("i").pid) : 0;
+  std::string error;
+  const auto status = store.open(error);
+  if (status != store::OpenStatus::usable) std::fprintf(stderr, "%s\n", error.c_str());
+  assert(status == store::OpenStatus::usable);
+  const auto processes = store.processes();
+  return processes.contains("i") ? static_cast<int>(processes.at("i").pid) : 0;
 }
 
-void store_keeps(FaultInjection& faults, const std::string& folder) {
-  int refused = 0;
+// The store holds the last successful write, and recovers from failed ones while it is open.
+void test_store_writes(FaultInjection& faults, const std::string& folder) {
+  int failed = 0;
   for (const double share : {0.02, 0.08, 0.2}) {
     for (const FaultKind kind : folder_kinds) {
       const std::string path = folder + "/state.db";
-      int kept = 0;
+      int written = 0;
       {
         store::Store store(path);
-        std::string fault;
-        assert(store.open(fault) == store::OpenStatus::usable);
-        kept = write_on(store, 1, 3, refused);
-        assert(kept == 3);
+        std::string error;
+        assert(store.open(error) == store::OpenStatus::usable);
+        written = write_numbers(store, 1, 3, failed);
+        assert(written == 3);
         faults.set(kind, share);
-        const int during = write_on(store, 4, 60, refused);
+        const int during = write_numbers(store, 4, 60, failed);
         faults.set_none();
-        if (during > 3) kept = during;
-        // Sound again, without a new start.
-        const int after = write_on(store, 100, 2, refused);
+        if (during > 3) written = during;
+        // Writes succeed again without opening the store anew.
+        const int after = write_numbers(store, 100, 2, failed);
         if (after != 101)
           std::fprintf(stderr, "%s at %g: %s\n", fault_kind_names[static_cast<std::size_t>(kind)].data(),
                        share, store.last_error().c_str());
         assert(after == 101);
-        kept = after;
+        written = after;
       }
-      assert(kept_in(path) == kept);
+      assert(number_in(path) == written);
       std::filesystem::remove(path);
     }
   }
-  std::fprintf(stderr, "%d writes were refused\n", refused);
-  assert(refused > 0);
+  std::fprintf(stderr, "%d writes failed\n", failed);
+  assert(failed > 0);
 }
 
-// A folder that fails for a moment as the store is opened: that is told apart from one that is of no use.
-void store_opens_later(FaultInjection& faults, const std::string& folder) {
+// If the folder fails temporarily while the store is opened, the status is temporarily_unavailable instead of
+// unusable or damaged, and a later attempt succeeds.
+void test_store_open(FaultInjection& faults, const std::string& folder) {
   const std::string path = folder + "/opened.db";
-  int not_now = 0;
+  int unavailable_count = 0;
   for (int i = 0; i < 60; ++i) {
     faults.set(FaultKind::folder_write_fails, 0.2);
     faults.set(FaultKind::folder_sync_fails, 0.2);
     store::Store store(path);
-    std::string fault;
-    auto opened = store.open(fault);
-    if (opened != store::OpenStatus::usable) {
-      if (opened != store::OpenStatus::temporarily_unavailable) std::fprintf(stderr, "%s\n", fault.c_str());
-      assert(opened == store::OpenStatus::temporarily_unavailable);
-      ++not_now;
+    std::string error;
+    auto status = store.open(error);
+    if (status != store::OpenStatus::usable) {
+      if (status != store::OpenStatus::temporarily_unavailable) std::fprintf(stderr, "%s\n", error.c_str());
+      assert(status == store::OpenStatus::temporarily_unavailable);
+      ++unavailable_count;
       faults.set_none();
-      opened = store.open(fault);
+      status = store.open(error);
     }
-    assert(opened == store::OpenStatus::usable);
+    assert(status == store::OpenStatus::usable);
     faults.set_none();
   }
-  assert(not_now > 0);
+  assert(unavailable_count > 0);
 }
 
-// A kill at any moment, while writes fail: what the child told as kept before is there afterwards.
-void store_keeps_over_kills(FaultInjection& faults, const std::string& folder) {
+// A process is killed at a random moment while writes fail. What it reported as written before is in the
+// store.
+void test_store_after_kill(FaultInjection& faults, const std::string& folder) {
   const std::string path = folder + "/killed.db";
-  std::knuth_b chance(7);
+  std::knuth_b generator(7);
   for (int round = 0; round < 12; ++round) {
-    int told[2];
-    assert(pipe(told) == 0);
-    const int before = std::filesystem::exists(path) ? kept_in(path) : 0;
+    int reports[2];  // the pipe by which the child reports each number that it has written
+    assert(pipe(reports) == 0);
+    const int before = std::filesystem::exists(path) ? number_in(path) : 0;
     const pid_t child = fork();
     if (child == 0) {
       store::Store store(path);
-      std::string fault;
-      while (store.open(fault) != store::OpenStatus::usable) usleep(1000);
+      std::string error;
+      while (store.open(error) != store::OpenStatus::usable) usleep(1000);
       for (int i = before + 1;; ++i) {
-        if (store.write_process("i", process_of(i)) && write(told[1], &i, sizeof i) < 0) _exit(1);
+        if (store.write_process("i", process_of(i)) && write(reports[1], &i, sizeof i) < 0) _exit(1);
       }
     }
-    close(told[1]);
+    close(reports[1]);
     faults.set(FaultKind::folder_write_fails, 0.05);
     faults.set(FaultKind::folder_sync_fails, 0.05);
-    std::this_thread::sleep_for(milliseconds(20 + chance() % 60));
+    std::this_thread::sleep_for(milliseconds(20 + generator() % 60));
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
     faults.set_none();
-    int last = before;
-    for (int one = 0; read(told[0], &one, sizeof one) == sizeof one;) last = one;
-    close(told[0]);
-    const int kept = kept_in(path);
-    if (kept < last) std::fprintf(stderr, "told %d, kept %d\n", last, kept);
-    assert(kept >= last);
+    int last_reported = before;
+    for (int number = 0; read(reports[0], &number, sizeof number) == sizeof number;) last_reported = number;
+    close(reports[0]);
+    const int stored = number_in(path);
+    if (stored < last_reported) std::fprintf(stderr, "reported %d, stored %d\n", last_reported, stored);
+    assert(stored >= last_reported);
   }
 }
 
-// Orders that can't be read for a moment are not taken for damaged: they are still owed.
-void orders_are_read_later(FaultInjection& faults, const std::string& folder) {
+// An orders file that temporarily can't be read is not reported as damaged, and is read in full later.
+void test_orders_file_read(FaultInjection& faults, const std::string& folder) {
   const std::string path = folder + "/later";
   admin::DirectivesFile file(path);
   fleet::ActiveDirective held;
   held.order.id.assign("order"), held.order.subject.assign("engine"), held.order.holder.assign("holder");
   held.order.generation = 1, held.order.drains = true;
   held.until = std::chrono::seconds(60);
-  std::string fault;
-  assert(file.write({held}, fleet::Duration(0), milliseconds(1000), fault));
+  std::string error;
+  assert(file.write({held}, fleet::Duration(0), milliseconds(1000), error));
   faults.set(FaultKind::open_fails, 1);
-  bool is_short = false;
+  bool has_shortage = false;
   try {
     assert(!file.read(milliseconds(1000)).damaged);
   } catch (const ResourceShortage&) {
-    is_short = true;
+    has_shortage = true;
   }
   faults.set_none();
-  assert(is_short && file.read(milliseconds(1000)).directives.size() == 1);
+  assert(has_shortage && file.read(milliseconds(1000)).directives.size() == 1);
   assert(admin::DirectivesFile(folder + "/none").read(milliseconds(1000)).directives.empty());
 }
 
-void orders_keep(FaultInjection& faults, const std::string& folder) {
+// The orders file holds the orders of the last successful write.
+void test_orders_file_writes(FaultInjection& faults, const std::string& folder) {
   const std::string path = folder + "/orders";
-  int refused = 0;
-  std::uint64_t kept = 0;
+  int failed = 0;
+  std::uint64_t last_written = 0;
   faults.set(FaultKind::folder_write_fails, 0.1);
   faults.set(FaultKind::folder_write_short, 0.3);
   faults.set(FaultKind::folder_sync_fails, 0.1);
@@ -175,20 +181,21 @@
     held.order.id.assign("order"), held.order.subject.assign("engine"), held.order.holder.assign("holder");
     held.order.generation = generation, held.order.drains = true;
     held.until = std::chrono::seconds(60);
-    std::string fault;
-    if (file.write({held}, fleet::Duration(0), milliseconds(1000), fault)) kept = generation;
-    else ++refused, assert(!fault.empty());
+    std::string error;
+    if (file.write({held}, fleet::Duration(0), milliseconds(1000), error)) last_written = generation;
+    else ++failed, assert(!error.empty());
   }
   faults.set_none();
   admin::DirectivesFile file(path);
   const auto found = file.read(milliseconds(1000));
-  std::fprintf(stderr, "%d of 100 orders files were refused\n", refused);
-  assert(refused > 0 && refused < 100 && !found.damaged && found.directives.size() == 1);
-  assert(found.directives.front().directive.generation == kept);
+  std::fprintf(stderr, "%d of 100 writes of the orders file failed\n", failed);
+  assert(failed > 0 && failed < 100 && !found.damaged && found.directives.size() == 1);
+  assert(found.directives.front().directive.generation == last_written);
 }
 
-// Writes that take fewer bytes than they were given are gone on with, and what fails says why.
-void keys_are_written_whole(FaultInjection& faults, const std::string& folder) {
+// Key and certificate files are complete although write() writes only a part of the bytes at a time. If it
+// fails, the error states the reason.
+void test_key_files(FaultInjection& faults, const std::string& folder) {
   faults.set(FaultKind::folder_write_short, 0.8);
   keys::Authority authority(folder + "/keys");
   authority.init("site", std::chrono::hours(1));
@@ -199,44 +206,45 @@
     assert(keys::read_certificate(authority.path("a" + std::to_string(i) + ".pem")).name ==
            "a" + std::to_string(i));
   faults.set(FaultKind::folder_write_fails, 1);
-  std::string told;
+  std::string message;
   try {
     authority.issue("b", fleet::Role::agent, std::chrono::hours(1));
   } catch (const keys::Error& error) {
-    told = error.what();
+    message = error.what();
   }
   faults.set_none();
-  std::fprintf(stderr, "%s\n", told.c_str());
-  assert(told.find("No space left") != std::string::npos || told.find("Input/output") != std::string::npos);
+  std::fprintf(stderr, "%s\n", message.c_str());
+  assert(message.find("No space left") != std::string::npos ||
+         message.find("Input/output") != std::string::npos);
 }
 
 }  // namespace
 
-int main(int, char** words) {
+int main(int, char** arguments) {
   const char* folder = std::getenv(fault_folder_variable);
   if (!folder) {
-    char made[] = "/tmp/pearchute-folder-XXXXXX";
-    assert(mkdtemp(made));
-    FaultInjection faults(PEARCHUTE_FAULTS, std::string(made) + "-control", "test_folder_faults", 5);
-    faults.set_folder(made);
+    char created[] = "/tmp/pearchute-folder-XXXXXX";
+    assert(mkdtemp(created));
+    FaultInjection faults(PEARCHUTE_FAULTS, std::string(created) + "-control", "test_folder_faults", 5);
+    faults.set_folder(created);
     const pid_t child = fork();
     if (child == 0) {
       for (const auto& [name, value] : faults.environment()) setenv(name.c_str(), value.c_str(), 1);
-      execv("/proc/self/exe", words);
+      execv("/proc/self/exe", arguments);
       _exit(127);
     }
     int status = 0;
     waitpid(child, &status, 0);
-    std::filesystem::remove_all(made);
+    std::filesystem::remove_all(created);
     return WIFEXITED(status) ? WEXITSTATUS(status) : 1;
   }
   FaultInjection faults(PEARCHUTE_FAULTS, std::string(folder) + "-control", "test_folder_faults", 5);
-  store_keeps(faults, folder);
-  store_opens_later(faults, folder);
-  store_keeps_over_kills(faults, folder);
-  orders_keep(faults, folder);
-  orders_are_read_later(faults, folder);
-  keys_are_written_whole(faults, folder);
+  test_store_writes(faults, folder);
+  test_store_open(faults, folder);
+  test_store_after_kill(faults, folder);
+  test_orders_file_writes(faults, folder);
+  test_orders_file_read(faults, folder);
+  test_key_files(faults, folder);
   for (const FaultKind kind : folder_kinds) assert(faults.struck(kind) > 0);
   return 0;
 }
