--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -130,8 +130,8 @@
   deployment_ = decode_settings(configuration);
   for (const RequestType& type : deployment_.service.types)
     shutdown_timeout_ = std::max(shutdown_timeout_, type.request_timeout);
-  // The platform kills the process 0.7 s after the longest request timeout, counted at 3 s at most, has
-  // passed since SIGTERM. Requests that are open 0.2 s before that get their final response.
+  // The platform kills the process no earlier than 0.7 s after the longest request timeout, counted at 3 s at
+  // most, has passed since SIGTERM. Requests that are open 0.2 s before that get their final response.
   shutdown_timeout_ = std::min<Duration>(shutdown_timeout_, seconds(3)) + milliseconds(500);
 
   std::size_t descriptors = 256, memory_mb = 32;  // the smallest limits of any manager
