--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -1,18 +1,20 @@
-/* Models the distribution of configuration versions among two agents (or three), each with one manager. Any agent
-   may publish. Documents may be lost (never received), duplicated and delayed. Agents may crash between writing a
-   version to disk and sending it. Disks may be lost or restored from an older copy.
+/* Models the distribution of configuration versions among two agents (or three), each with one manager. Any
+   agent may publish. Documents may be lost (never received), duplicated and delayed. Agents may crash between
+   writing a version to disk and sending it. Disks may be lost or restored from an older copy.
 
-   The assertions fail if an accepted version is known to no agent any more, if a manager or an intact disk returns to
-   an older version, or if an agent does not store the greatest of the versions that it has received.
+   The assertions fail if an accepted version is known to no agent any more, if a manager or an intact disk
+   returns to an older version, or if an agent does not store the greatest of the versions that it has
+   received.
 
-   A document is a small number. Documents are ordered by (number, tie); the mask `ancestors` includes the document
-   itself. Not modelled: acknowledgements of where a version is in force, epochs, and the limits on the number of
-   ancestors and records. docs/configuration.md describes the protocol. The model makes the same assumption: a disk is
-   lost only while every other agent knows all that it holds, so one durable copy is enough here.
+   A document is a small number. Documents are ordered by (number, tie); the mask `ancestors` includes the
+   document itself. Not modelled: acknowledgements of where a version is in force, epochs, and the limits on
+   the number of ancestors and records. docs/configuration.md describes the protocol. The model makes the same
+   assumption: a disk is lost only while every other agent knows all that it holds, so one durable copy is
+   enough here.
 
-   Broken variants, in each of which Spin must find an error: TELLS_FIRST (an agent sends a version before it has
-   written it), TRUSTS_OLD_DISK (an agent doesn't verify its version with its peers after a restart), NO_RECORDS (a
-   superseded version is not recorded). */
+   Broken variants, in each of which Spin must find an error: TELLS_FIRST (an agent sends a version before it
+   has written it), TRUSTS_OLD_DISK (an agent doesn't verify its version with its peers after a restart),
+   NO_RECORDS (a superseded version is not recorded). */
 
 #ifndef AGENTS
 #define AGENTS 2
@@ -30,8 +32,8 @@
 bool sent[DOCUMENTS + 1];          /* in transit; any agent may receive it at any time, repeatedly */
 bool accepted[DOCUMENTS + 1];
 
-/* On an agent's disk: its current document, and the mask of the documents that were superseded by conflict, with
-   their ancestors. */
+/* On an agent's disk: its current document, and the mask of the documents that were superseded by conflict,
+   with their ancestors. */
 byte disk[AGENTS], superseded[AGENTS], older_disk[AGENTS], older_superseded[AGENTS];
 /* The same in the agent's memory, which differs from the disk only in the variant TELLS_FIRST. */
 byte memory[AGENTS], memory_superseded[AGENTS];
@@ -124,7 +126,8 @@
   accepted[documents] = true
 }
 
-/* A request from i to j and the response; both are alive. i sends its document, j its document and its records. */
+/* A request from i to j and the response; both are alive. i sends its document, j its document and its
+   records. */
 inline exchange(i, j) {
   tell(i);
   if
--- a/model/lending.pml
+++ b/model/lending.pml
@@ -1,19 +1,20 @@
-/* Models the lease of one part of a cold engine's slow-start budget, which one manager (the lender) lends to another
-   (the borrower). There are the agent and the manager of each. All read one clock, since steady clocks advance at the
-   same rate. Messages may be lost (never received), duplicated (received again) and delayed (received at any later
-   time). The borrower repeats its requests. The lender's agent may crash, and keeps its disk.
+/* Models the lease of one part of a cold engine's slow-start budget, which one manager (the lender) lends to
+   another (the borrower). There are the agent and the manager of each. All read one clock, since steady
+   clocks advance at the same rate. Messages may be lost (never received), duplicated (received again) and
+   delayed (received at any later time). The borrower repeats its requests. The lender's agent may crash, and
+   keeps its disk.
 
    The assertion fails if both managers send requests on the same part within one window.
 
-   Not modelled: more than one lease of a part; a lost disk, after which an agent lends nothing for as long as an
-   earlier lease may last; managers that crash, since a restarted one has no part for as long; and the few milliseconds
-   by which a reading of a manager's clock is old. docs/together.md describes the protocol.
+   Not modelled: more than one lease of a part; a lost disk, after which an agent lends nothing for as long as
+   an earlier lease may last; managers that crash, since a restarted one has no part for as long; and the few
+   milliseconds by which a reading of a manager's clock is old. docs/together.md describes the protocol.
 
-   Broken variants, in each of which Spin must find an error: NO_WAIT (the lender doesn't wait a window after its
-   manager has stopped), COUNTS_FROM_ANSWER (the borrower counts the lease from the response instead of its request),
-   TRUSTS_THE_LAST (the lender doesn't restart the wait if its manager's previous order had expired before the next one
-   was acknowledged). Variants that `check` doesn't run: FORGETS (the lender's agent restarts without the lease) and
-   BELIEVES_ITSELF (it takes its manager for stopped at its restart). */
+   Broken variants, in each of which Spin must find an error: NO_WAIT (the lender doesn't wait a window after
+   its manager has stopped), COUNTS_FROM_ANSWER (the borrower counts the lease from the response instead of
+   its request), TRUSTS_THE_LAST (the lender doesn't restart the wait if its manager's previous order had
+   expired before the next one was acknowledged). Variants that `check` doesn't run: FORGETS (the lender's
+   agent restarts without the lease) and BELIEVES_ITSELF (it takes its manager for stopped at its restart). */
 
 #define WINDOW 1
 #define LEASE 2
@@ -25,7 +26,8 @@
 #define TOLD (SLACK + LEASE + 2 * WINDOW)
 
 byte now;
-/* The messages in transit, by their value. They stay there: the receiver may receive each at any time, repeatedly. */
+/* The messages in transit, by their value. They stay there: the receiver may receive each at any time,
+   repeatedly. */
 bool ask_out[END + 1];      /* lease requests, by the time of the request */
 bool grant_out[END + 1];    /* grants, by the time of the request that they answer */
 bool order_out[END + TOLD + 1], heard_out[END + TOLD + 1], back_out[END + TOLD + 1]; /* orders to hold back,
--- a/model/rollout.pml
+++ b/model/rollout.pml
@@ -1,14 +1,15 @@
-/* Models leases, fences and steps on two instances of one zone. Each instance has its own agent, which owns the leases
- * on it. Two operators' coordinators each run a rollout; the second one takes over the leases of the first. Agents and
- * coordinators crash, and agents restart; messages are lost, duplicated and delayed (a step may be delivered long after
- * it was sent). docs/rollouts.md lists what is not modelled.
+/* Models leases, fences and steps on two instances of one zone. Each instance has its own agent, which owns
+ * the leases on it. Two operators' coordinators each run a rollout; the second one takes over the leases of
+ * the first. Agents and coordinators crash, and agents restart; messages are lost, duplicated and delayed (a
+ * step may be delivered long after it was sent). docs/rollouts.md lists what is not modelled.
  *
  * Time: a lease may expire at any moment, but at its owner only after it has expired at its coordinator. The
- * coordinator counts a lease from when it sent the request, the owner from when it received it, both by steady clocks.
+ * coordinator counts a lease from when it sent the request, the owner from when it received it, both by
+ * steady clocks.
  *
- * Broken variants, in each of which Spin must find an error: NO_FENCE (an owner accepts a step without a check of its
- * fence), NO_FALLBACK (an interrupted step is left half done when its lease ends), EAGER_OWNER (a lease expires at the
- * owner before it expires at the coordinator).
+ * Broken variants, in each of which Spin must find an error: NO_FENCE (an owner accepts a step without a
+ * check of its fence), NO_FALLBACK (an interrupted step is left half done when its lease ends), EAGER_OWNER
+ * (a lease expires at the owner before it expires at the coordinator).
  */
 #define INSTANCES 2
 #define COORDINATORS 2
@@ -48,8 +49,8 @@
   acting_under[i] = step_fence[i];
 }
 
-/* Ends a step that was interrupted by the end of its lease or by a crash of its agent: the instance serves again. If
- * the instance is down already, the step continues, which starts the instance. */
+/* Ends a step that was interrupted by the end of its lease or by a crash of its agent: the instance serves
+ * again. If the instance is down already, the step continues, which starts the instance. */
 inline fall_back(i) {
   if
 #ifdef NO_FALLBACK
@@ -135,7 +136,7 @@
             fi;
             last_fence[i]++; holder[i] = c;
             fence[AT(c, i)] = last_fence[i]; believes[AT(c, i)] = true; i++ }
-       :: goto give_up  /* another operation holds the lease, the owner doesn't respond, or the operator aborts */
+       :: goto give_up  /* the lease is held, the owner doesn't respond, or the operator aborts */
        fi
   :: else -> break
   od;
@@ -143,8 +144,8 @@
   do
   :: i < INSTANCES ->
        if
-       /* The zone's minimum is one serving instance of two. An instance with an open step of this coordinator counts
-        * as not serving. */
+       /* The zone's minimum is one serving instance of two. An instance with an open step of this coordinator
+        * counts as not serving. */
        :: atomic { believes[AT(c, i)] && !asked[AT(c, 1 - i)] && instance[1 - i] == serving ->
             asked[AT(c, i)] = true; flying[AT(c, i)] = true; flying_fence[AT(c, i)] = fence[AT(c, i)];
             if
@@ -152,8 +153,8 @@
             :: skip
             :: flying[AT(c, i)] = false  /* lost */
             fi };
-          /* Learns that the step has ended, or gives up: its lease expires, it crashes, or its lease was taken
-           * over. */
+          /* Learns that the step has ended, or gives up: its lease expires, it crashes, or its lease was
+           * taken over. */
           if
           :: !asked[AT(c, i)]
           :: goto give_up
@@ -172,8 +173,8 @@
   alive = false
 }
 
-/* In the end, when no process can take another step, each instance serves, no step is in progress and no lease is
- * held. */
+/* In the end, when no process can take another step, each instance serves, no step is in progress and no
+ * lease is held. */
 proctype Judge() {
   timeout;
   byte i = 0;
