--- a/src/core/rule_guard.cpp
+++ b/src/core/rule_guard.cpp
@@ -127,11 +127,11 @@
 }
 
 std::optional<Rule> RuleGuard::suppress(Rule rule) {
-  ++held_back_[static_cast<std::size_t>(rule)];
+  ++suppressed_counts_[static_cast<std::size_t>(rule)];
   return rule;
 }
 
-void RuleGuard::count_violation(Rule rule) { ++broken_[static_cast<std::size_t>(rule)]; }
+void RuleGuard::count_violation(Rule rule) { ++violation_counts_[static_cast<std::size_t>(rule)]; }
 
 std::optional<Rule> RuleGuard::broken_by(const SendingFacts& facts) const {
   if (facts.answered) return Rule::one_answer;
@@ -199,7 +199,7 @@
 }
 
 std::uint64_t RuleGuard::broken_in_all() const {
-  return std::accumulate(broken_.begin(), broken_.end(), std::uint64_t{0});
+  return std::accumulate(violation_counts_.begin(), violation_counts_.end(), std::uint64_t{0});
 }
 
 }  // namespace pearchute
--- a/src/core/rule_guard.h
+++ b/src/core/rule_guard.h
@@ -143,8 +143,8 @@
 
   // Numbers of checks, of suppressed actions and of violations.
   std::uint64_t checked() const { return checked_; }
-  std::uint64_t held_back(Rule rule) const { return held_back_[static_cast<std::size_t>(rule)]; }
-  std::uint64_t broken(Rule rule) const { return broken_[static_cast<std::size_t>(rule)]; }
+  std::uint64_t held_back(Rule rule) const { return suppressed_counts_[static_cast<std::size_t>(rule)]; }
+  std::uint64_t broken(Rule rule) const { return violation_counts_[static_cast<std::size_t>(rule)]; }
   std::uint64_t broken_in_all() const;
 
  private:
@@ -178,7 +178,7 @@
   RetryBudgetRecords retries_;
 
   std::uint64_t checked_ = 0;
-  std::array<std::uint64_t, rule_count> held_back_{}, broken_{};
+  std::array<std::uint64_t, rule_count> suppressed_counts_{}, violation_counts_{};
 };
 
 }  // namespace pearchute
