--- a/src/engines/engines.h
+++ b/src/engines/engines.h
@@ -35,6 +35,7 @@
     // ends where it must no longer be sent, nullopt where it is to be sent.
     virtual std::optional<Outcome> check_before_send(const PendingSend&) { return std::nullopt; }
   };
+  // Keeps up to `max_connections` connections to all engines together. The references must outlive the pool.
   EnginePool(Loop& loop, const service::EngineConnectionLimits& limits, std::size_t max_connections,
              Listener& listener, Counters& counters);
   ~EnginePool();
--- a/src/front/client.h
+++ b/src/front/client.h
@@ -65,7 +65,7 @@
     front_.drop(*this, reason);
   }
   bool owes_answer() const { return owes_answer_; }
-  void on_answered() { owes_answer_ = false; }
+  void clear_owed_answer() { owes_answer_ = false; }
   // The earliest time at which the last byte of the open HTTP request may have arrived.
   TimePoint request_arrival() const { return request_arrival_; }
   // The earliest and the latest such time, as accurately as the system reports it.
@@ -85,7 +85,7 @@
   // Whether the bytes after the open HTTP request may be a request of that key.
   bool may_have_buffered_request_of(std::string_view key) const { return http_.has_buffered(key); }
   // Continues with the next HTTP request after the open one's answer has been sent.
-  void answered() {
+  void start_next_request() {
     state_since_ = front_.loop_.now();
     http_.answered();
     apply_backpressure();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -189,13 +189,13 @@
 }
 
 void Front::retract_unsent_attempts(RequestId id, OpenRequest& request) {
-  for (SentAttempt& sent : request.open_attempts) {
-    if (engines_.retract_unsent({id, sent.index}, Outcome::not_sent)) record_retraction(id, sent);
+  for (SubmittedAttempt& submitted : request.open_attempts) {
+    if (engines_.retract_unsent({id, submitted.index}, Outcome::not_sent)) record_retraction(id, submitted);
   }
 }
 
-void Front::record_retraction(RequestId id, SentAttempt& sent) {
-  if (!std::exchange(sent.is_sent, false)) return;
+void Front::record_retraction(RequestId id, SubmittedAttempt& submitted) {
+  if (!std::exchange(submitted.is_sent, false)) return;
   counters_.rules.on_attempt_retracted(id);
 }
 
@@ -224,7 +224,7 @@
   if (it == clients_.end()) return;
   Client& client = *it->second;
   client.waiting_request.reset();
-  client.on_answered();
+  client.clear_owed_answer();
   std::string out;
   // Keeps the connection where the answer gives a path, which the client requests on the same connection.
   const bool keep = client.http().keeps_alive() &&
@@ -235,7 +235,7 @@
   // Done after the current event, since a further HTTP request may already be buffered, and the
   // WorkloadManager may still be handling this request.
   loop_.post([this, id] {
-    if (const auto at = clients_.find(id); at != clients_.end()) at->second->answered();
+    if (const auto at = clients_.find(id); at != clients_.end()) at->second->start_next_request();
   });
 }
 
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -24,8 +24,10 @@
 
 namespace pearchute::net {
 
+// Used on the loop's thread only. `deployment` is copied; `loop` and `counters` must outlive it.
 class Front final : public DecisionSink, public EnginePool::Listener, public EndpointWatch::Listener {
  public:
+  // `descriptors` and `memory` (bytes) are the limits of the process.
   Front(Loop& loop, const service::Deployment& deployment, std::uint64_t seed, std::size_t descriptors,
         std::size_t memory, Counters& counters);
   ~Front() override;
@@ -97,7 +99,7 @@
   using ClientId = Id<struct ClientTag, std::uint64_t>;
 
   // An attempt that has been submitted to the engine pool.
-  struct SentAttempt {
+  struct SubmittedAttempt {
     int index = 0;
     TimePoint submitted_at{};
     EngineId engine{};
@@ -123,7 +125,7 @@
     int priority = 1;
     std::optional<TimePoint> send_deadline;  // for submitting attempts; see EnginePool::submit
     int attempt_count = 0;
-    std::vector<SentAttempt> open_attempts;
+    std::vector<SubmittedAttempt> open_attempts;
     // When the first attempt that ended with an uncertain outcome was submitted.
     std::optional<TimePoint> first_uncertain_attempt_at;
     Outcome last_outcome = Outcome::succeeded;  // of the attempt that ended last
@@ -153,10 +155,11 @@
   bool client_connected(const OpenRequest& request) const;
   bool retry_is_forbidden(RequestId id, const OpenRequest& request);
   void retract_unsent_attempts(RequestId id, OpenRequest& request);
-  void record_retraction(RequestId id, SentAttempt& sent);
-  void cancel_sent_attempt(AttemptId attempt, CancelReason reason);
-  AttemptFacts attempt_of(AttemptId attempt, const OpenRequest& request, const SentAttempt& sent) const;
-  static AttemptName name_of(const OpenRequest& request, const SentAttempt& sent);
+  void record_retraction(RequestId id, SubmittedAttempt& submitted);
+  void cancel_submitted_attempt(AttemptId attempt, CancelReason reason);
+  AttemptFacts attempt_facts(AttemptId attempt, const OpenRequest& request,
+                             const SubmittedAttempt& submitted) const;
+  static AttemptName name_of(const OpenRequest& request, const SubmittedAttempt& submitted);
   void drop(Client& client, ClientCloseReason reason);
   void evict_unparsed_request();
   void sweep();
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -21,7 +21,8 @@
   request.grant_mb = grant_mb;
   if (priority == request.priority) return;
   request.priority = priority;
-  for (const SentAttempt& sent : request.open_attempts) engines_.reprioritize({id, sent.index}, priority);
+  for (const SubmittedAttempt& submitted : request.open_attempts)
+    engines_.reprioritize({id, submitted.index}, priority);
 }
 
 void Front::limit_send_delay(RequestId id, Duration delay) {
@@ -56,9 +57,9 @@
     const auto at = requests_.find(attempt.request);
     if (at == requests_.end()) return;
     if (std::ranges::none_of(at->second.open_attempts,
-                             [&](const SentAttempt& s) { return s.index == attempt.index; }))
+                             [&](const SubmittedAttempt& s) { return s.index == attempt.index; }))
       return;
-    cancel_sent_attempt(attempt, CancelReason::time_is_up);
+    cancel_submitted_attempt(attempt, CancelReason::time_is_up);
     on_attempt_ended(attempt, Outcome::timed_out, {});
   });
 }
@@ -99,20 +100,20 @@
   const auto it = requests_.find(attempt.request);
   if (it == requests_.end()) return Outcome::not_sent;
   OpenRequest& request = it->second;
-  const auto sent = std::ranges::find(request.open_attempts, attempt.index, &SentAttempt::index);
-  if (sent == request.open_attempts.end()) return Outcome::not_sent;
+  const auto submitted = std::ranges::find(request.open_attempts, attempt.index, &SubmittedAttempt::index);
+  if (submitted == request.open_attempts.end()) return Outcome::not_sent;
   const TimePoint now = loop_.now();
-  const AttemptFacts facts = attempt_of(attempt, request, *sent);
+  const AttemptFacts facts = attempt_facts(attempt, request, *submitted);
   const auto rule = counters_.rules.forbids_sending(
       {now, request.deadline, request.answered, client_connected(request), pending.state, pending.wait},
       facts);
   if (!rule) {
-    sent->is_sent = true;
+    submitted->is_sent = true;
     counters_.rules.on_attempt_left(now, facts);
-    log_.on_sent(name_of(request, *sent), pending.wait);
+    log_.on_sent(name_of(request, *submitted), pending.wait);
     return std::nullopt;
   }
-  log_.on_suppressed(name_of(request, *sent), rule_names[static_cast<std::size_t>(*rule)]);
+  log_.on_suppressed(name_of(request, *submitted), rule_names[static_cast<std::size_t>(*rule)]);
   if (*rule == Rule::engine_takes_work) return Outcome::unreachable;
   if (*rule == Rule::cold_budget) return Outcome::engine_full;  // another engine may have room
   if (*rule == Rule::client_is_there) on_client_unreachable(attempt.request);
@@ -121,25 +122,26 @@
 
 // The work of a request is the typical work of its class, or the client's estimate where that is less, since
 // the WorkloadManager uses either of them.
-AttemptFacts Front::attempt_of(AttemptId attempt, const OpenRequest& request, const SentAttempt& sent) const {
+AttemptFacts Front::attempt_facts(AttemptId attempt, const OpenRequest& request,
+                                  const SubmittedAttempt& submitted) const {
   const double usual = manager_.typical_work_ms(request.type);
-  return {attempt.request, sent.engine, std::min(usual, request.estimate_ms.value_or(usual)),
+  return {attempt.request, submitted.engine, std::min(usual, request.estimate_ms.value_or(usual)),
           manager_.largest_typical_work_ms()};
 }
 
-AttemptName Front::name_of(const OpenRequest& request, const SentAttempt& sent) {
-  return {request.id, sent.index + 1, sent.engine_name, request.order_key.has_value()};
+AttemptName Front::name_of(const OpenRequest& request, const SubmittedAttempt& submitted) {
+  return {request.id, submitted.index + 1, submitted.engine_name, request.order_key.has_value()};
 }
 
-void Front::cancel_sent_attempt(AttemptId attempt, CancelReason reason) {
+void Front::cancel_submitted_attempt(AttemptId attempt, CancelReason reason) {
   const auto it = requests_.find(attempt.request);
   if (it == requests_.end()) return engines_.cancel(attempt);
-  const auto sent = std::ranges::find(it->second.open_attempts, attempt.index, &SentAttempt::index);
-  if (sent != it->second.open_attempts.end()) {
+  const auto submitted = std::ranges::find(it->second.open_attempts, attempt.index, &SubmittedAttempt::index);
+  if (submitted != it->second.open_attempts.end()) {
     if (engines_.retract_unsent(attempt, Outcome::cancelled))
-      return record_retraction(attempt.request, *sent);
-    if (sent->is_sent) {
-      log_.on_cancelled(name_of(it->second, *sent), reason);
+      return record_retraction(attempt.request, *submitted);
+    if (submitted->is_sent) {
+      log_.on_cancelled(name_of(it->second, *submitted), reason);
       counters_.rules.on_attempt_cancelled(loop_.now(), attempt.request);
     }
   }
@@ -150,9 +152,9 @@
   const auto it = requests_.find(id);
   const bool is_over = it == requests_.end() || it->second.answered;
   const bool is_cancelled = is_over && it != requests_.end() && it->second.answered_at == TimePoint{};
-  cancel_sent_attempt({id, number}, is_cancelled ? CancelReason::client_left
-                                    : is_over    ? CancelReason::answered
-                                                 : CancelReason::moved);
+  cancel_submitted_attempt({id, number}, is_cancelled ? CancelReason::client_left
+                                         : is_over    ? CancelReason::answered
+                                                      : CancelReason::moved);
 }
 
 void Front::on_rejection(RequestId id, RejectionReason reason) {
@@ -212,7 +214,7 @@
                      request.attempt_count,
                      {},
                      {}};
-    for (const SentAttempt& sent : request.open_attempts) view.out.push_back(sent.engine);
+    for (const SubmittedAttempt& submitted : request.open_attempts) view.out.push_back(submitted.engine);
     view.waits = manager_.queued_for(now, oldest[i].second);
     visit(view);
   }
@@ -235,9 +237,9 @@
   const TimePoint now = loop_.now();
   std::map<EngineId, Duration> oldest;
   for (const auto& [id, request] : requests_) {
-    for (const SentAttempt& sent : request.open_attempts) {
-      Duration& age = oldest[sent.engine];
-      age = std::max(age, now - sent.submitted_at);
+    for (const SubmittedAttempt& submitted : request.open_attempts) {
+      Duration& age = oldest[submitted.engine];
+      age = std::max(age, now - submitted.submitted_at);
     }
   }
   manager_.tell_engines(now, [&](const Engine& engine, const WorkloadManager::EngineEstimate& estimate) {
@@ -253,20 +255,20 @@
   const auto it = requests_.find(attempt.request);
   if (it == requests_.end()) return;
   OpenRequest& request = it->second;
-  const auto sent = std::ranges::find(request.open_attempts, attempt.index, &SentAttempt::index);
-  if (sent == request.open_attempts.end()) return;
+  const auto submitted = std::ranges::find(request.open_attempts, attempt.index, &SubmittedAttempt::index);
+  if (submitted == request.open_attempts.end()) return;
   const TimePoint now = loop_.now();
-  const Duration elapsed = now - sent->submitted_at;
+  const Duration elapsed = now - submitted->submitted_at;
   if (!proves_not_executed(outcome) && outcome != Outcome::succeeded && !request.first_uncertain_attempt_at)
-    request.first_uncertain_attempt_at = sent->submitted_at;
+    request.first_uncertain_attempt_at = submitted->submitted_at;
   request.last_outcome = outcome;
-  log_.on_ended(name_of(request, *sent), outcome, elapsed);
-  if (sent->is_sent) {
-    counters_.rules.on_attempt_ended(now, attempt_of(attempt, request, *sent), outcome);
+  log_.on_ended(name_of(request, *submitted), outcome, elapsed);
+  if (submitted->is_sent) {
+    counters_.rules.on_attempt_ended(now, attempt_facts(attempt, request, *submitted), outcome);
     if (request.order_key)
       log_.on_quiet_period(*request.order_key, counters_.rules.quiet_left(now, *request.order_key));
   }
-  request.open_attempts.erase(sent);
+  request.open_attempts.erase(submitted);
   if (outcome == Outcome::succeeded && !request.answered) {
     if (auto body = rows_as_json(pages)) {
       ++counters_.done;
@@ -285,8 +287,9 @@
 void Front::on_late_answer(AttemptId attempt, std::string_view answer) {
   const auto it = requests_.find(attempt.request);
   if (it == requests_.end()) return;
-  const auto sent = std::ranges::find(it->second.open_attempts, attempt.index, &SentAttempt::index);
-  if (sent != it->second.open_attempts.end()) log_.on_late_answer(name_of(it->second, *sent), answer);
+  const auto submitted = std::ranges::find(it->second.open_attempts, attempt.index, &SubmittedAttempt::index);
+  if (submitted != it->second.open_attempts.end())
+    log_.on_late_answer(name_of(it->second, *submitted), answer);
 }
 
 void Front::on_attempt_progress(AttemptId attempt, double share_done) {
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -50,6 +50,7 @@
   bool operator==(const Readiness&) const = default;
 };
 
+// Receives the readiness of a descriptor; see Loop::watch.
 class SocketObserver {
  public:
   virtual ~SocketObserver() = default;
@@ -57,6 +58,7 @@
 };
 using WatchId = Id<struct WatchTag, std::uint64_t>;
 
+// An event loop. Not thread-safe: all calls are made on the thread that runs it; see EventLoopThread.
 class Loop final {
  public:
   // Throws ResourceShortage where the system has no descriptor for it now, SystemError otherwise.
@@ -86,6 +88,7 @@
   void after_each_poll(std::function<bool()> needs, std::function<void()> callback);
   // Records that the current poll leaves arrived data unread.
   void note_unread_data() { has_unread_data_ = true; }
+  // Records that the current poll has accepted a connection.
   void note_accepted() { accepted_ = true; }
   // Runs `callback` at the given time, or as soon as possible afterwards.
   void at(TimePoint when, std::function<void()> callback);
@@ -114,12 +117,12 @@
     std::function<bool()> needs;
     std::function<void()> callback;
   };
-  void wait();
-  void note_wait(TimePoint begun, Duration timeout, bool was_polled);
+  void poll();
+  void update_unread_since(TimePoint begun, Duration timeout, bool was_polled);
   void on_poll_end(TimePoint begun);
-  void note_backlog(int found);
+  void update_backlog(int found);
   void run_timers();
-  int wait_ms() const;
+  int poll_timeout_ms() const;
   template <class Callback>
   void run_contained(Callback callback);
   struct Watch;
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -84,7 +84,7 @@
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): one case for each state of the parser
 MessageReader::Status MessageReader::feed(std::string_view& bytes) {
-  while (state_ != State::whole && !bytes.empty()) {
+  while (state_ != State::complete && !bytes.empty()) {
     switch (state_) {
       case State::first_line:
       case State::headers:
@@ -106,7 +106,7 @@
           const Status status = line_.empty() ? on_head_end() : parse_header();
           if (status != Status::more) return status;
         } else if (state_ == State::trailers) {
-          if (line_.empty()) state_ = State::whole;
+          if (line_.empty()) state_ = State::complete;
         } else if (state_ == State::chunk_end) {
           if (!line_.empty()) return Status::malformed;
           state_ = State::chunk_size;
@@ -129,14 +129,14 @@
         message_.body.append(bytes.substr(0, part));
         bytes.remove_prefix(part);
         if (state_ != State::until_end && (remaining_bytes_ -= part) == 0)
-          state_ = state_ == State::body ? State::whole : State::chunk_end;
+          state_ = state_ == State::body ? State::complete : State::chunk_end;
         break;
       }
-      case State::whole:
+      case State::complete:
         break;
     }
   }
-  return state_ == State::whole ? Status::whole : Status::more;
+  return state_ == State::complete ? Status::whole : Status::more;
 }
 
 MessageReader::Status MessageReader::parse_header() {
@@ -177,7 +177,7 @@
   remaining_bytes_ = size;
   if (chunked) state_ = State::chunk_size;
   else if (!has_length && side_ == Side::passing_responses) state_ = State::until_end;
-  else state_ = size > 0 ? State::body : State::whole;
+  else state_ = size > 0 ? State::body : State::complete;
   return Status::more;
 }
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -36,7 +36,7 @@
   void next();  // starts the next message
 
  private:
-  enum class State { first_line, headers, body, until_end, chunk_size, chunk, chunk_end, trailers, whole };
+  enum class State { first_line, headers, body, until_end, chunk_size, chunk, chunk_end, trailers, complete };
   bool read_line(std::string_view& bytes);
   Status on_head_end();
   Status parse_header();
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -130,7 +130,7 @@
 
 void Loop::run() {
   while (!stopped_) {
-    wait();
+    poll();
     run_timers();
   }
 }
@@ -139,7 +139,7 @@
 // end; otherwise the data that it found may have arrived at any time since the previous poll. Guards against
 // a stall of the process during the poll: the poll took longer than its timeout, and the time within it at
 // which the system checked the sockets is unknown.
-void Loop::note_wait(TimePoint begun, Duration timeout, bool was_polled) {
+void Loop::update_unread_since(TimePoint begun, Duration timeout, bool was_polled) {
   constexpr Duration waited = std::chrono::milliseconds(1), oversleep = std::chrono::milliseconds(10);
   const TimePoint ended = now();
   const bool has_waited = ended - begun > waited;
@@ -156,7 +156,7 @@
 // Guards against acting on outdated state after a stall of the process: input that has arrived meanwhile is
 // read before requests are sent. This is limited to the other half of the 100 ms within which an attempt may
 // begin after its client has disconnected, see stale_after.
-void Loop::note_backlog(int found) {
+void Loop::update_backlog(int found) {
   constexpr std::chrono::milliseconds max_duration(50);
   last_poll_at_ = now();
   if (!backlog_since_ && found > 0 && last_poll_at_ - unread_since_ > stale_after)
@@ -174,15 +174,15 @@
 
 // Sockets are handled before timers: after a stall of the process, input that has arrived takes precedence
 // over timeouts that have passed.
-void Loop::wait() {
+void Loop::poll() {
   constexpr int max_events = 256;
   std::array<epoll_event, max_events> events;
   // A poll that a signal interrupts finds nothing; the next one waits for the remaining time.
-  const int timeout_ms = wait_ms();
+  const int timeout_ms = poll_timeout_ms();
   const TimePoint begun = now();
   const int found = ::epoll_wait(poll_descriptor_, events.data(), max_events, timeout_ms);
-  note_wait(begun, std::chrono::milliseconds(timeout_ms), found >= 0);
-  note_backlog(found);
+  update_unread_since(begun, std::chrono::milliseconds(timeout_ms), found >= 0);
+  update_backlog(found);
   has_unread_data_ = found < 0 || found == max_events, accepted_ = false;
   for (int i = 0; i < found && !stopped_; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
@@ -225,7 +225,7 @@
   std::push_heap(timers_.begin(), timers_.end());
 }
 
-int Loop::wait_ms() const {
+int Loop::poll_timeout_ms() const {
   // The time until the next timer, 100 ms at most, rounded up to the resolution of the poll. Rounded down,
   // the loop would spin during the last millisecond.
   if (has_input_backlog()) return 0;
