--- a/src/admin/directives_file.cpp
+++ b/src/admin/directives_file.cpp
@@ -43,13 +43,13 @@
 
 // Parses the content of a file. Returns the fault, or nothing where the content is valid.
 std::optional<std::string> parse(const std::string& text, kept::v1::KeptOrders& message) {
-  if (text.size() > max_file_bytes)
-    return "the file has " + std::to_string(text.size()) + " bytes, more than " +
-           std::to_string(max_file_bytes);
-  if (text.size() < header_bytes || !text.starts_with(format_line)) return "not an orders file, or truncated";
+  if (text.size() > max_file_bytes) return "too large";
+  if (text.size() < header_bytes || !text.starts_with(format_line))
+    return "not a file of orders, or cut short";
   const std::string body = text.substr(header_bytes);
-  if (text.substr(format_line.size(), checksum_line_bytes) != checksum_line(body)) return "checksum mismatch";
-  if (!message.ParseFromString(body)) return "invalid content despite a matching checksum";
+  if (text.substr(format_line.size(), checksum_line_bytes) != checksum_line(body))
+    return "its checksum does not fit";
+  if (!message.ParseFromString(body)) return "not readable";
   return std::nullopt;
 }
 
--- a/src/admin/session.cpp
+++ b/src/admin/session.cpp
@@ -16,7 +16,7 @@
   v1::Reply substitute;
   substitute.set_number(reply.number());
   substitute.set_outcome(v1::busy);
-  substitute.set_fault("the reply exceeds " + std::to_string(max_frame_bytes) + " bytes");
+  substitute.set_fault("the answer is larger than a message may be");
   substitute.SerializeToString(&message);
   append_frame(out, message);
 }
@@ -26,10 +26,10 @@
   reply.set_number(call.number());
   if (!parsed) {
     reply.set_outcome(v1::unusable);
-    reply.set_fault("the call cannot be parsed");
+    reply.set_fault("not a message of this protocol");
   } else if (call.what_case() == v1::Call::WHAT_NOT_SET) {
     reply.set_outcome(v1::unknown_call);
-    reply.set_fault("this manager does not implement the call");
+    reply.set_fault("this manager does not know that call");
   } else {
     handler.answer(call, reply);
   }
--- a/src/agent/config_candidate.cpp
+++ b/src/agent/config_candidate.cpp
@@ -37,7 +37,7 @@
   const json object = parse(content);
   if (!object.is_object()) return "the content is not a JSON object";
   for (const char* name : instance_settings) {
-    if (object.contains(name)) return "'" + std::string(name) + "' is specific to an instance";
+    if (object.contains(name)) return "'" + std::string(name) + "' is each instance's own";
   }
   return "";
 }
--- a/src/agent/config_service.cpp
+++ b/src/agent/config_service.cpp
@@ -192,7 +192,7 @@
     instance.obstacle = obstacle_in(reply.configured());
   } else if (end == CallEnd::answered) {
     instance.in_force = {};
-    instance.obstacle = "its manager doesn't support configuration versions";
+    instance.obstacle = "its manager does not know the call";
   } else {
     // Keeps `in_force`: a manager that is down will start with the version in its configuration file.
     instance.obstacle = "its manager is " + std::string(admin::name_of(end));
--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -77,11 +77,9 @@
   if (!store_error_.empty()) return store_error_;
   if (rollouts_.contains(plan.id)) return "";
   for (const fleet::Target& target : plan.targets) {
-    if (!peers_.knows(target.agent))
-      return "agent " + target.agent + " is not configured at this coordinator";
+    if (!peers_.knows(target.agent)) return "agent " + target.agent + " is not known here";
   }
-  if (!evict_finished())
-    return "the limit of " + std::to_string(max_rollouts) + " rollouts in progress is reached";
+  if (!evict_finished()) return "as many rollouts are under way as may";
   std::unique_ptr<RolloutDriver>& driver = rollouts_[plan.id];
   driver = std::make_unique<RolloutDriver>(loop_thread_, peers_, store_, plan, unix_ms());
   driver->rollout().begin(fleet_now(loop_thread_.loop()));
@@ -101,15 +99,15 @@
 
 std::string Coordinator::control(const std::string& id, const std::string& command) {
   const auto at = rollouts_.find(id);
-  if (at == rollouts_.end()) return "this agent coordinates no rollout '" + id + "'";
+  if (at == rollouts_.end()) return "no such rollout under way here";
   Rollout& rollout = at->second->rollout();
   const TimePoint now = fleet_now(loop_thread_.loop());
-  if (rollout.over()) return "rollout " + id + " is finished";
+  if (rollout.over()) return "it is over";
   if (command == "pause") rollout.pause(now);
   else if (command == "resume") rollout.resume(now);
   else if (command == "abort") rollout.abort(now);
   else if (command == "back") rollout.roll_back(now);
-  else return "expected pause, resume, abort or back, got '" + command + "'";
+  else return "a rollout is told pause, resume, abort or back";
   return "";
 }
 
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -148,7 +148,7 @@
   const auto at = config_.instances.find(name);
   const bool known = at != config_.instances.end();
   if (known && step.kind == fleet::StepKind::change && !at->second.commands.contains(step.version)) {
-    error = "no command is configured for version " + std::to_string(step.version);
+    error = "no command of version " + std::to_string(step.version);
     return false;
   }
   return lease_owner_->step(fleet_now(loop_), name, step, error);
--- a/src/agent/rollout_driver.cpp
+++ b/src/agent/rollout_driver.cpp
@@ -23,10 +23,9 @@
   std::string text = response.fault();
   for (const v1::ClaimAnswer::Held& conflict : response.held()) {
     const v1::Claim& lease = conflict.claim();
-    text += (text.empty() ? "" : "; ") + conflict.instance() + " is leased to " + lease.who() +
-            " for operation " + lease.operation() + " (held for " +
-            std::to_string(lease.held_ms() / ms_per_second) + " s, expires in " +
-            std::to_string(lease.left_ms() / ms_per_second) + " s)";
+    text += (text.empty() ? "" : "; ") + conflict.instance() + " is held by " + lease.who() + " for " +
+            lease.operation() + " since " + std::to_string(lease.held_ms() / ms_per_second) + " s, for " +
+            std::to_string(lease.left_ms() / ms_per_second) + " s more";
   }
   return text;
 }
--- a/src/agent/rpc_service.cpp
+++ b/src/agent/rpc_service.cpp
@@ -17,12 +17,10 @@
 
 namespace {
 
-Status no_gossip() {
-  return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no status reports"};
-}
+Status no_gossip() { return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no word"}; }
 
 Status no_config() {
-  return {grpc::StatusCode::FAILED_PRECONDITION, "this agent exchanges no configuration versions"};
+  return {grpc::StatusCode::FAILED_PRECONDITION, "this agent takes no part in configuration versions"};
 }
 
 template <class Strings>
@@ -60,8 +58,8 @@
 }
 
 std::string RpcService::denial(const CallerIdentity& caller, Action action, const std::string& owner) {
-  if (!caller.role) return "the caller's certificate states no role";
-  if (revocations_.is_revoked(caller.serial)) return "the caller's certificate is revoked";
+  if (!caller.role) return "a certificate without a role";
+  if (revocations_.is_revoked(caller.serial)) return "the certificate is revoked";
   return fleet::denial_reason(*caller.role, action, caller.name, owner).value_or("");
 }
 
@@ -116,7 +114,7 @@
                                v1::ConfigMessage* response) {
   if (!components_.config) return no_config();
   if (identity_of(*context).role != fleet::Role::agent)
-    return {grpc::StatusCode::PERMISSION_DENIED, "only agents may exchange configuration versions"};
+    return {grpc::StatusCode::PERMISSION_DENIED, "only agents exchange versions of the configuration"};
   return authorize_and_run(*context, Action::change, "",
                            [&] { components_.config->synchronize(*request, *response); });
 }
--- a/src/agent/wire.cpp
+++ b/src/agent/wire.cpp
@@ -24,10 +24,8 @@
 template <class Enum, std::size_t Size>
 Enum parse(const std::array<std::string_view, Size>& names, const std::string& name) {
   const auto at = std::ranges::find(names, name);
-  if (at != names.end()) return static_cast<Enum>(at - names.begin());
-  std::string expected;
-  for (const std::string_view one : names) expected += (expected.empty() ? "" : ", ") + std::string(one);
-  throw MessageError("expected one of " + expected + ", got '" + name + "'");
+  if (at == names.end()) throw MessageError("'" + name + "' is not known");
+  return static_cast<Enum>(at - names.begin());
 }
 
 std::string fallback_name(fleet::Fallback fallback) {
@@ -35,9 +33,7 @@
 }
 
 Duration duration_from_ms(std::uint64_t duration_ms) {
-  if (duration_ms > max_duration_ms)
-    throw MessageError("expected a duration of at most " + std::to_string(max_duration_ms) + " ms, got " +
-                       std::to_string(duration_ms) + " ms");
+  if (duration_ms > max_duration_ms) throw MessageError("a span of over a day");
   return milliseconds(duration_ms);
 }
 
@@ -45,26 +41,16 @@
   return whole_milliseconds(std::max(duration, Duration::zero()));
 }
 
-std::string ms_text(Duration duration) { return std::to_string(whole_milliseconds(duration)); }
-
 void check_bounds(const fleet::RolloutPlan& plan) {
   if (plan.id.empty() || plan.id.size() > max_rollout_id_length || plan.who.empty() ||
       plan.who.size() > max_operator_name_length)
-    throw MessageError("a rollout needs an id of 1 to " + std::to_string(max_rollout_id_length) +
-                       " characters and an operator's name of 1 to " +
-                       std::to_string(max_operator_name_length) + " characters");
+    throw MessageError("a rollout needs a short id and a name");
   if (plan.max_concurrent < 1 || plan.batch < 0 || plan.failures < 0)
-    throw MessageError("expected at_once of at least 1, batch and failures of at least 0, got at_once " +
-                       std::to_string(plan.max_concurrent) + ", batch " + std::to_string(plan.batch) +
-                       ", failures " + std::to_string(plan.failures));
-  if (plan.targets.empty() || plan.targets.size() > max_targets)
-    throw MessageError("a rollout needs 1 to " + std::to_string(max_targets) + " target instances, got " +
-                       std::to_string(plan.targets.size()));
+    throw MessageError("a limit out of bounds");
+  if (plan.targets.empty() || plan.targets.size() > max_targets) throw MessageError("no target, or too many");
   if (plan.lease_duration < fleet::LeaseTable::min_lease ||
       plan.lease_duration > fleet::LeaseTable::max_lease)
-    throw MessageError("expected a lease duration of " + ms_text(fleet::LeaseTable::min_lease) + " to " +
-                       ms_text(fleet::LeaseTable::max_lease) + " ms, got " + ms_text(plan.lease_duration) +
-                       " ms");
+    throw MessageError("a lease out of bounds");
 }
 
 }  // namespace
@@ -141,9 +127,7 @@
 }
 
 milliseconds lease_duration_from_ms(std::uint64_t lease_ms) {
-  if (lease_ms > max_duration_ms)
-    throw MessageError("expected a lease duration of at most " + std::to_string(max_duration_ms) +
-                       " ms, got " + std::to_string(lease_ms) + " ms");
+  if (lease_ms > max_duration_ms) throw MessageError("a lease out of bounds");
   return milliseconds(lease_ms);
 }
 
--- a/src/ctl/batch_executor.cpp
+++ b/src/ctl/batch_executor.cpp
@@ -29,7 +29,7 @@
     case admin::v1::ok:
       return "";
     case admin::v1::unknown_call:
-      return "an older manager: it does not implement this call";
+      return "an older manager: it does not know this call";
     default:
       return reply.fault();
   }
--- a/src/ctl/restarts.cpp
+++ b/src/ctl/restarts.cpp
@@ -48,7 +48,7 @@
     const std::optional<OrdersById> orders = read_orders(executor_, instance);
     if (!known.ok() || !orders) {
       outcomes_[index] = known.ok() ? CommandOutcome::unreachable : outcome_of(known);
-      rows_[index]["result"] = known.ok() ? "cannot read its orders" : known.error();
+      rows_[index]["result"] = known.ok() ? "its orders can't be read" : known.error();
       stopping_ = true;
       return;
     }
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -189,8 +189,8 @@
       write_problem_.clear();
       return;
     }
-    write_problem_ = "cannot write orders to " + config_.orders_file + " (" + error +
-                     "): they are in force now, but a restart of the manager loses them";
+    write_problem_ = "orders can't be written to " + config_.orders_file + " (" + error +
+                     "): they hold, and would be lost with the manager";
     PEARCHUTE_LOG(spdlog::level::err, "{}", write_problem_);
   }
   void log(std::string_view text) override {
@@ -242,7 +242,7 @@
     const auto persisted = directives_file_.read(unix_now());
     if (persisted.damaged) {
       damage_ = "the orders in " + config_.orders_file + " are lost (" + persisted.error +
-                "): what they drained is no longer drained; give the orders again";
+                "): what was drained by an order is not any more; give the orders again";
       spdlog::error("{}", damage_);
     }
     for (const auto& [directive, remaining] : persisted.directives)
@@ -408,13 +408,12 @@
     const Duration now = now_since_start();
     if (phase_ >= net::Program::Phase::leaving) {
       reply.set_outcome(admin::v1::refused);
-      reply.set_fault("the manager is shutting down already");
+      reply.set_fault("the manager is ending already");
     } else if (end.called_off()) {
       quiescence_.cancel_shutdown(now, components_.front.idle());
     } else if (end.within_ms() > max_shutdown_timeout_ms) {
       reply.set_outcome(admin::v1::unusable);
-      reply.set_fault("the shutdown timeout is " + std::to_string(end.within_ms()) +
-                      " ms; the longest is one day (86400000 ms)");
+      reply.set_fault("a day is the longest that an end may wait");
     } else {
       quiescence_.request_shutdown(now, milliseconds(end.within_ms()), components_.front.idle());
     }
@@ -425,7 +424,7 @@
     const auto known = {"trace", "debug", "info", "warning", "error", "off"};
     if (std::ranges::find(known, level) == known.end()) {
       reply.set_outcome(admin::v1::unusable);
-      return reply.set_fault("unknown log level; use trace, debug, info, warning, error or off");
+      return reply.set_fault("a log level is one of trace, debug, info, warning, error, off");
     }
     spdlog::set_level(spdlog::level::from_str(level));
     fill_identity(*reply.mutable_identity());
@@ -434,8 +433,7 @@
   void begin_watch(admin::v1::Reply& reply) {
     if (admin_server_.watchers() >= config_.max_watchers) {
       reply.set_outcome(admin::v1::busy);
-      return reply.set_fault("all " + std::to_string(config_.max_watchers) +
-                             " watches that this manager allows are in use");
+      return reply.set_fault("as many watch already as may");
     }
     fill_identity(*reply.mutable_identity());
   }
--- a/src/daemon/configuration_binding.cpp
+++ b/src/daemon/configuration_binding.cpp
@@ -60,18 +60,17 @@
   mark.digest = call.version().digest();
   std::error_code error;
   std::string refusal;
-  if (mark.epoch == 0 || mark.digest.empty()) refusal = "the call names no version";
-  else if (!std::filesystem::equivalent(call.path(), file_, error))
-    refusal = "this manager's configuration file is " + file_;
+  if (mark.epoch == 0 || mark.digest.empty()) refusal = "no version is named";
+  else if (!std::filesystem::equivalent(call.path(), file_, error)) refusal = "this manager reads " + file_;
   else if (mark < accepted_)
-    refusal = "a newer version, number " + std::to_string(accepted_.number) + ", is already accepted";
+    refusal = "number " + std::to_string(accepted_.number) + " is in force, which is newer";
   else if (mark != accepted_) refusal = apply_candidate(mark);
 
   admin::v1::Configured& configured = *reply.mutable_configured();
   fill(*configured.mutable_in_force(), in_force_);
   if (!refusal.empty()) {
     reply.set_outcome(admin::v1::refused);
-    reply.set_fault("the configuration was refused: " + refusal);
+    reply.set_fault("the configuration is refused: " + refusal);
     configured.set_state("refused");
     configured.set_what(refusal);
     PEARCHUTE_LOG(spdlog::level::warn, "refused configuration number {}: {}", mark.number, refusal);
@@ -91,16 +90,15 @@
   try {
     net::Program::check(candidate);
     next = read_object(candidate);
-    if (version_in(next) != mark) return candidate + " contains another version than the call names";
+    if (version_in(next) != mark) return candidate + " holds another version";
   } catch (const std::exception& error) {
     return error.what();
   }
   const std::string channel = next.value("channel", "");
-  if (channel.empty() && !channel_.empty())
-    return "the configuration has no 'channel', which cannot be removed while the manager runs";
+  if (channel.empty() && !channel_.empty()) return "the channel can't be left out while the manager runs";
   std::error_code error;
   std::filesystem::rename(candidate, file_, error);
-  if (error) return "cannot rename " + candidate + " to " + file_ + ": " + error.message();
+  if (error) return candidate + " can't take the place of " + file_ + ": " + error.message();
 
   accepted_ = mark;
   needs_restart_ = settings_that_need_restart(next);
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -40,7 +40,7 @@
   } catch (const ResourceShortage&) {
     throw;  // a later try may succeed
   } catch (const SystemError& error) {
-    throw ConfigurationError("the configuration file " + error.wrong(), path, error.remedy());
+    throw ConfigurationError("the configuration " + error.wrong(), path, error.remedy());
   }
   json configuration;
   try {
@@ -49,8 +49,8 @@
     const std::string_view before = std::string_view(text).substr(0, error.byte > 0 ? error.byte - 1 : 0);
     const auto line = 1 + std::ranges::count(before, '\n');
     const std::size_t start = before.rfind('\n') == std::string_view::npos ? 0 : before.rfind('\n') + 1;
-    throw ConfigurationError("the configuration is not valid JSON: line " + std::to_string(line) +
-                                 ", column " + std::to_string(before.size() - start + 1),
+    throw ConfigurationError("the configuration is not JSON: line " + std::to_string(line) + ", column " +
+                                 std::to_string(before.size() - start + 1),
                              path);
   }
   if (!configuration.is_object()) throw ConfigurationError("the configuration is not a JSON object", path);
@@ -59,7 +59,7 @@
 
 // Throws ConfigurationError, which names the setting whose value is invalid.
 service::Deployment decode_settings(const json& configuration) {
-  if (!configuration.contains("settings")) throw ConfigurationError("the configuration has no 'settings'");
+  if (!configuration.contains("settings")) throw ConfigurationError("the configuration holds no settings");
   try {
     const service::FlatValues settings(configuration.at("settings"));
     return service::decode(settings.values());
@@ -71,7 +71,7 @@
 std::string address_in(const json& configuration) {
   std::string address = configuration.value("listen", environment_value("PROXY_LISTEN"));
   if (address.empty())
-    throw ConfigurationError("the configuration has no address to listen on", "",
+    throw ConfigurationError("no address to listen at is told", "",
                              "set 'listen' in the configuration, or PROXY_LISTEN");
   return address;
 }
--- a/src/fleet/instance_lifecycle.cpp
+++ b/src/fleet/instance_lifecycle.cpp
@@ -183,7 +183,7 @@
 
 void InstanceLifecycle::advance(TimePoint now, const Observation& observation) {
   if (state_ == InstanceState::foreign) {
-    if (current_step_ && has_timed_out(now)) finish(StepEnd::time_up, "another process has its address");
+    if (current_step_ && has_timed_out(now)) finish(StepEnd::time_up, "somebody else has its address");
     return;
   }
   switch (phase_) {
@@ -202,7 +202,7 @@
 void InstanceLifecycle::advance_draining(TimePoint now, const Observation& observation) {
   if (observation.ours && observation.drained) return finish(StepEnd::done, "drained");
   if (!observation.ours && wanted_) start(now);
-  if (has_timed_out(now)) finish(StepEnd::time_up, "still draining when its time was up");
+  if (has_timed_out(now)) finish(StepEnd::time_up, "drains, but not within the time");
 }
 
 void InstanceLifecycle::advance_ending(TimePoint now, const Observation& observation) {
@@ -223,7 +223,7 @@
     phase_until_ = now + shutdown_grace;
     host_.kill();
   } else {
-    finish(StepEnd::time_up, "the process does not exit, not even after SIGKILL");
+    finish(StepEnd::time_up, "does not end");
   }
 }
 
@@ -232,9 +232,8 @@
     return finish(StepEnd::done, "serves");
   if (!observation.ours) start(now);
   if (!has_timed_out(now)) return;
-  if (!observation.ours) return finish(StepEnd::time_up, "the process exits right after its start");
-  finish(StepEnd::time_up,
-         observation.drains ? "kept draining by other operators' orders" : "does not serve");
+  if (!observation.ours) return finish(StepEnd::time_up, "falls at once");
+  finish(StepEnd::time_up, observation.drains ? "others' orders hold it" : "does not serve");
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/lease_owner.cpp
+++ b/src/fleet/lease_owner.cpp
@@ -125,24 +125,22 @@
   leases_.on_timer(now);
   const auto found = instances_.find(instance);
   if (found == instances_.end()) {
-    fault = "this agent does not own the instance";
+    fault = "not this agent's";
     return false;
   }
   if (!leases_.live(now, instance, step.fence)) {
-    fault = "the claim with fence " + std::to_string(step.fence) +
-            " is not live; the last granted fence is " + std::to_string(leases_.last_fence(instance));
+    fault = "its claim is not live: fence " + std::to_string(step.fence) + ", the last is " +
+            std::to_string(leases_.last_fence(instance));
     return false;
   }
   if (leases_.lease_on(now, instance)->operation != step.operation) {
-    fault = "another operation holds the claim on the instance";
+    fault = "claimed by another operation";
     return false;
   }
   InstanceLifecycle& lifecycle = found->second->lifecycle();
   if (lifecycle.step(now, step)) return true;
-  fault = lifecycle.current_step()
-              ? "another step is in progress"
-              : "the step was refused or could not be persisted; the instance's state is " +
-                    std::string(name_of(lifecycle.state()));
+  fault = lifecycle.current_step() ? "another step is under way"
+                                   : "its state is " + std::string(name_of(lifecycle.state()));
   return false;
 }
 
--- a/src/fleet/lease_table.cpp
+++ b/src/fleet/lease_table.cpp
@@ -43,7 +43,7 @@
   for (const std::string& instance : request.instances)
     granted[instance] = lease_for(now, request, instances_.at(instance));
   if (!host_.persist(granted)) {
-    answer.fault = "the agent can't persist its state";
+    answer.fault = "the agent can't write its state";
     return answer;
   }
   answer.granted = true;
@@ -62,17 +62,13 @@
 // kept.
 void LeaseTable::check(const LeaseRequest& request, Answer& answer) const {
   if (request.operation.empty() || request.who.empty() || request.instances.empty())
-    answer.fault = "the request needs an operation, an operator's name and at least one instance";
+    answer.fault = "an ask without a name";
   if (request.lease_duration < min_lease || request.lease_duration > max_lease)
-    answer.fault =
-        "expected a lease from 1 to 3600 s, got " +
-        std::to_string(
-            std::chrono::duration_cast<std::chrono::milliseconds>(request.lease_duration).count()) +
-        " ms";
+    answer.fault = "a lease out of bounds";
   for (const std::string& instance : request.instances) {
     const auto found = instances_.find(instance);
     if (found == instances_.end()) {
-      answer.fault = "this agent does not own the instance " + instance;
+      answer.fault = instance + " is not this agent's";
       continue;
     }
     const OwnedInstance& owned = found->second;
--- a/src/fleet/restart.cpp
+++ b/src/fleet/restart.cpp
@@ -37,9 +37,9 @@
 void Restart::on_shutdown_response(TimePoint, ProbeResult result, bool accepted) {
   if (state_ != State::shutdown_requested) return;
   if (result == ProbeResult::gone)
-    return finish(CommandOutcome::unreachable, "not reached; no shutdown was requested");
+    return finish(CommandOutcome::unreachable, "not reached; nothing was asked of it");
   if (result == ProbeResult::answered && !accepted)
-    return finish(CommandOutcome::refused, "refused the shutdown and runs as before");
+    return finish(CommandOutcome::refused, "refused to end; it goes on as before");
   // Without an answer the manager may still have accepted the request: the probes will show.
   state_ = State::ending;
 }
@@ -85,7 +85,7 @@
   std::string detail = "serves again";
   if (after_.build != before_.build) detail += ", build " + before_.build + " -> " + after_.build;
   if (after_.digest != before_.digest) detail += ", another configuration";
-  if (reissued_count_ > 0) detail += ", " + std::to_string(reissued_count_) + " orders given again";
+  if (reissued_count_ > 0) detail += ", " + std::to_string(reissued_count_) + " orders handed over";
   finish(CommandOutcome::yes, std::move(detail));
 }
 
@@ -94,11 +94,11 @@
   switch (state_) {
     case State::shutdown_requested:
     case State::ending:
-      return finish(CommandOutcome::time_up, "the old process still runs after the shutdown request");
+      return finish(CommandOutcome::time_up, "asked to end, and still there");
     case State::starting:
-      return finish(CommandOutcome::time_up, "the old process has exited, but no new one serves");
+      return finish(CommandOutcome::time_up, "has ended, and does not serve again");
     case State::checking:
-      return finish(CommandOutcome::time_up, "serves again; whether its orders are in force is unknown");
+      return finish(CommandOutcome::time_up, "serves again; whether its orders hold is not known");
     case State::over:
       return;
   }
--- a/src/fleet/roles.cpp
+++ b/src/fleet/roles.cpp
@@ -22,7 +22,7 @@
 std::optional<std::string> denial_reason(Role role, Action action, std::string_view who,
                                          std::string_view as) {
   if (action == Action::look || role == Role::agent) return std::nullopt;
-  if (role == Role::read) return "the role read may not change anything";
+  if (role == Role::read) return "the role read changes nothing";
   if (action == Action::take_over && role != Role::admin) return "a take-over needs the role admin";
   if (!as.empty() && as != who) return std::string(who) + " may not act as " + std::string(as);
   return std::nullopt;
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -82,8 +82,8 @@
 
 void Rollout::begin(TimePoint now) {
   if (state_ != State::planned) return;
-  if (targets_.empty()) return end(State::done, "no instance is selected");
-  if (!host_.persist(State::acquiring_leases)) return end(State::failed, "its state can't be persisted");
+  if (targets_.empty()) return end(State::done, "no instance is chosen");
+  if (!host_.persist(State::acquiring_leases)) return end(State::failed, "its state can't be written");
   enter(State::acquiring_leases, "");
   request_next_lease(now);
 }
@@ -93,12 +93,11 @@
     const auto found = stages.find(target.instance);
     if (found == stages.end()) continue;
     target.stage = found->second;
-    if (target.stage == Stage::requested)
-      target.set(Stage::unknown, "its step was requested before the coordinator ended");
+    if (target.stage == Stage::requested) target.set(Stage::unknown, "asked before its coordinator ended");
     if (target.stage == Stage::warming) target.stage = Stage::done;
   }
   state_before_pause_ = State::running;
-  enter(State::paused, "its coordinator was restarted; resume or abort it");
+  enter(State::paused, "its coordinator ended; resume or abort it");
 }
 
 // Ends the rollout if nothing is left to do. If too many steps have failed, rolls it back or aborts it.
@@ -113,7 +112,7 @@
   if (state_ == State::aborting)
     return end(failed_steps_ > plan_.failures ? State::failed : State::aborted, detail_);
   if (state_ != State::running || any_in(Stage::waiting)) return;
-  if (any_in(Stage::unknown)) return end(State::failed, "the outcome of some steps is unknown");
+  if (any_in(Stage::unknown)) return end(State::failed, "what became of some is not known");
   end(State::done, rolling_back_ ? "rolled back" : "");
 }
 
@@ -137,9 +136,8 @@
   if (state_ != State::gate || now < gate_until_) return;
   const bool has_fallen = baseline_success_share_ &&
                           (!success_share_ || *success_share_ < *baseline_success_share_ - plan_.margin);
-  if (!has_fallen) return enter(State::running, "passed the gate");
-  enter(State::paused, success_share_ ? "the share of successful requests fell at the gate"
-                                      : "the share of successful requests is unknown at the gate");
+  if (!has_fallen) return enter(State::running, "through the gate");
+  enter(State::paused, success_share_ ? "service fell at the gate" : "service is not known at the gate");
   state_before_pause_ = State::running;
 }
 
@@ -176,9 +174,9 @@
   // changed, or may have been, and are stepped back.
   for (TargetState& target : targets_) {
     if (target.stage == Stage::waiting) target.set(Stage::done, "not changed");
-    else if (target.stage != Stage::requested) target.set(Stage::waiting, "to be rolled back");
+    else if (target.stage != Stage::requested) target.set(Stage::waiting, "goes back");
   }
-  continue_under_leases(now, State::running, "rolling back");
+  continue_under_leases(now, State::running, "rolls back");
 }
 
 // ---- Time
@@ -191,7 +189,7 @@
   }
   update_steps_in_progress(now);
   if (state_ == State::acquiring_leases && now >= lease_response_deadline_)
-    return end(State::failed, pending_agent_ + " did not answer the request for claims");
+    return end(State::failed, pending_agent_ + " did not answer for its claims");
   renew_or_expire_leases(now);
   evaluate_gate(now);
   evaluate(now);
--- a/src/fleet/rollout_leases.cpp
+++ b/src/fleet/rollout_leases.cpp
@@ -48,7 +48,7 @@
     if (granted && over()) host_.release(name);
     return;
   }
-  if (!granted) return end(State::failed, name + " refused the claims: " + holder);
+  if (!granted) return end(State::failed, "no claim from " + name + ": " + holder);
   AgentLeases& agent = found->second;
   agent.granted = true;
   agent.until = sent + plan_.lease_duration;
@@ -70,7 +70,7 @@
   // Another operation has taken the leases over, or they have expired at the owner, which also lets the steps
   // in progress there fall back.
   agent.granted = false;
-  if (!over()) end(State::failed, "the claims at " + name + " are taken over or have expired");
+  if (!over()) end(State::failed, "the claims at " + name + " are lost to another operation");
 }
 
 // Enters `state` if all leases are usable. Otherwise acquires all leases again first.
@@ -107,7 +107,7 @@
       target.set(Stage::unknown, "contact with its agent is lost");
   }
   if (state_ == State::running || state_ == State::gate)
-    enter(State::paused, "contact with " + name + " is lost; its steps in progress fall back");
+    enter(State::paused, "contact with " + name + " is lost; its instances fall back");
 }
 
 }  // namespace pearchute::fleet
--- a/src/fleet/rollout_steps.cpp
+++ b/src/fleet/rollout_steps.cpp
@@ -91,13 +91,13 @@
   step.version = rolling_back_ ? plan_.version_before : plan_.version;
   step.drain_within = plan_.drain_within;
   step.up_within = plan_.up_within;
-  target.set(Stage::requested, "requested");
+  target.set(Stage::requested, "asked");
   target.requested_at = now;
   target.version = step.version;
   ++started_since_gate_;
   if (!host_.persist(state_)) {
     target.stage = Stage::waiting;
-    end(State::failed, "its state can't be persisted");
+    end(State::failed, "its state can't be written");
     return false;
   }
   host_.step(target.agent, target.instance, step);
@@ -141,7 +141,7 @@
   for (TargetState& target : targets_) {
     if (target.stage == Stage::warming && now >= target.warm_at) target.stage = Stage::done;
     if (target.stage != Stage::requested || now - target.requested_at <= step_timeout) continue;
-    target.set(Stage::unknown, "its agent did not report the end of the step in time");
+    target.set(Stage::unknown, "its agent did not say how it ended");
     ++failed_steps_;
   }
 }
--- a/src/net/addresses.cpp
+++ b/src/net/addresses.cpp
@@ -29,7 +29,7 @@
   try {
     return Poco::Net::SocketAddress(text);
   } catch (const Poco::Exception&) {
-    throw AddressError("expected an address with a port that can be resolved, got '" + text + "'", where);
+    throw AddressError("'" + text + "' is no address with a port", where);
   }
 }
 
--- a/src/service/deployment.cpp
+++ b/src/service/deployment.cpp
@@ -34,8 +34,7 @@
   };
   const std::int64_t types = values.required_whole("classes.count");
   if (types < 1 || types > 1000) {
-    throw Malformed("'classes.count': expected an integer from 1 to 1000, got '" + std::to_string(types) +
-                    "'");
+    throw Malformed("'classes.count' is out of range");
   }
   for (std::int64_t i = 0; i < types; ++i) {
     const auto at = [&](const char* name) { return "classes." + std::to_string(i) + "." + name; };
--- a/src/service/deployment.h
+++ b/src/service/deployment.h
@@ -17,18 +17,15 @@
 // Returns the index of `name` in `names`, or -1 if it is not in the list.
 int position(const std::vector<std::string>& names, std::string_view name);
 
-// Returns the value for `text` among the named `choices`. Throws Malformed, which lists the choices, if it is
-// none of them. `name` is the name of the setting or field.
+// Returns the value for `text` among the named `choices`. Throws Malformed if it is none of them. `name`
+// is the name of the setting or field.
 template <class Value>
 Value one_of(std::string_view name, std::string_view text,
              std::initializer_list<std::pair<std::string_view, Value>> choices) {
   for (const auto& [choice, value] : choices) {
     if (choice == text) return value;
   }
-  std::string expected;
-  for (const auto& [choice, value] : choices) expected.append(expected.empty() ? "" : ", ").append(choice);
-  throw Malformed("'" + std::string(name) + "': expected one of " + expected + ", got '" + std::string(text) +
-                  "'");
+  throw Malformed("'" + std::string(name) + "' is '" + std::string(text) + "', which is not known");
 }
 
 // The limits of connections to engines.
--- a/src/service/named_values.cpp
+++ b/src/service/named_values.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 [[noreturn]] void reject(std::string_view name, std::string_view value, const char* expected) {
-  throw Malformed("'" + std::string(name) + "': expected " + expected + ", got '" + std::string(value) + "'");
+  throw Malformed("'" + std::string(name) + "' is '" + std::string(value) + "', not " + expected);
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), result);
   if (error == std::errc{} && end == value.data() + value.size()) return result;
   const double number = number_in(name, value);  // an integer may be written with a decimal point
-  if (number != std::floor(number) || std::abs(number) > 9e15) reject(name, value, "an integer");
+  if (number != std::floor(number) || std::abs(number) > 9e15) reject(name, value, "a whole number");
   return static_cast<std::int64_t>(number);
 }
 
@@ -82,7 +82,7 @@
   const auto value = text(name);
   if (!value || *value == "0" || *value == "false" || value->empty()) return false;
   if (*value == "1" || *value == "true") return true;
-  reject(name, *value, "1, 0, true or false");
+  reject(name, *value, "1 or 0");
 }
 
 std::vector<std::string> NamedValues::list(std::string_view name) const {
--- a/src/store/replica_tables.cpp
+++ b/src/store/replica_tables.cpp
@@ -96,7 +96,7 @@
   state.superseded = read_superseded(database);
   state.current = read_current(database);
   if (state.current && !fleet::is_intact(*state.current))
-    throw SystemError("the stored configuration version does not match its digest", path);
+    throw SystemError("the configuration version is not what its digest says", path);
   return state;
 }
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -82,7 +82,7 @@
     error = path_ + (damaged ? " is damaged: " : " can't be used: ") + failure.what();
     return status;
   } catch (const std::exception& failure) {
-    error = path_ + " has a record that can't be read: " + failure.what();
+    error = path_ + " holds what can't be read: " + failure.what();
     return OpenStatus::damaged;
   }
 }
@@ -95,9 +95,8 @@
   }
   const int found_version = database_->execAndGet("PRAGMA user_version").getInt();
   if (found_version > schema_version) {
-    error = path_ + " has schema version " + std::to_string(found_version) +
-            ", but this program supports versions up to " + std::to_string(schema_version) +
-            "; use a newer program";
+    error = path_ + " is of version " + std::to_string(found_version) + ", newer than this program's " +
+            std::to_string(schema_version);
     return OpenStatus::too_new;
   }
   SQLite::Transaction transaction(*database_);
--- a/tests/test_drill.cpp
+++ b/tests/test_drill.cpp
@@ -61,7 +61,7 @@
     std::string input, message;
   };
   const Case cases[] = {
-      {"MARK\tsimTime=x\n", "line 1: 'simTime': expected a number, got 'x'"},
+      {"MARK\tsimTime=x\n", "line 1: 'simTime' is 'x', not a number"},
       {"HELLO\n", "outside a batch"},
       {"MARK\tsimTime=1\nAT\tmanager=0\nWAKE\tmark=1\nEND\n", "line 3: manager 0 has not been launched"},
       {"MARK\tsimTime=1\nWAKE\tmark=1\n", "before any AT"},
@@ -73,7 +73,7 @@
       {"MARK\tsimTime=1\nAT\tmanager=0\n" + launch + "MEMBERSHIP\tmode=all\tbank=7\n",
        "no POOL with bank 7 has been received"},
       {"MARK\tsimTime=1\nAT\tmanager=0\n" + launch + "ANSWER\thandle=1\tcopy=0\tstateCode=ODD\n",
-       "'stateCode': expected one of "},
+       "'stateCode' is 'ODD', which is not known"},
       {"MARK\tsimTime=1\nPOOL\tbank=0\trows=2\nENTRY\tengine=1\n", "ended within a POOL"},
       {"MARK\tsimTime=9\nEND\nMARK\tsimTime=8\nEND\n", "simTime goes back from 9 to 8"},
       {"MARK\tsimTime=9\nAT\tmanager=0\tstray\n", "expected name=value, got 'stray'"},
