--- a/src/lab/simulations/level_simulation.cpp
+++ b/src/lab/simulations/level_simulation.cpp
@@ -21,7 +21,8 @@
 constexpr Duration poll_interval = milliseconds(100);
 constexpr Duration start_window = seconds(1);
 
-// Payload sizes as GossipSimulation estimates them, with real lengths of names on top.
+// Estimated sizes of the parts of a message, bytes, about those that GossipSimulation uses. The lengths of
+// names are added to them.
 constexpr std::size_t message_overhead = 16;
 constexpr std::size_t version_overhead = 20;
 constexpr std::size_t delta_overhead = 48;
@@ -65,14 +66,15 @@
     std::size_t number = 0;
     std::string name;
     Member member;
-    Duration offset{};  // its steady clock against the simulation's
-    std::uint64_t disk = 0, older_copy = 0;
-    std::unique_ptr<LevelGossip> gossip;  // none: it is dead
-    std::uint64_t life = 0;
-    bool stopped = false, slow = false, liar = false;
-    std::deque<std::function<void()>> deferred;  // what would have happened while it was stopped
+    Duration offset{};                       // from the simulation's clock to the agent's steady clock
+    std::uint64_t disk = 0, older_copy = 0;  // persisted incarnations
+    std::unique_ptr<LevelGossip> gossip;     // null while the agent is down
+    std::uint64_t generation = 0;            // counts starts and kills
+    bool suspended = false, slow = false;
+    bool liar = false;                           // passes on the summaries of other writers with age 0
+    std::deque<std::function<void()>> deferred;  // actions due while it was suspended
     std::map<std::string, StatusReport> instances;
-    std::vector<StatusSummary> last_written;  // in this life
+    std::vector<StatusSummary> last_written;  // by this generation
     std::uint64_t sent = 0, received = 0, messages = 0;
 
     bool persist_incarnation(std::uint64_t incarnation) override {
@@ -83,7 +85,7 @@
     void on_event(const std::string&, std::string_view) override {}
   };
 
-  explicit Impl(const Shape& s) : shape(s), chance(static_cast<std::knuth_b::result_type>(s.seed)) {
+  explicit Impl(const Shape& s) : shape(s), random(static_cast<std::knuth_b::result_type>(s.seed)) {
     std::vector<Member> members;
     for (int n = 0; n < shape.agents; ++n) {
       auto& node = nodes.emplace_back(std::make_unique<Node>());
@@ -105,43 +107,47 @@
       }
     }
     topology = std::make_shared<const Topology>(members);
-    // They start within a second, as after a power cut.
-    for (const auto& node : nodes) after(milliseconds(draw(1000)), [this, one = node.get()] { start(*one); });
+    // All start within a second, as after a power failure.
+    for (const auto& node : nodes)
+      schedule(milliseconds(draw(1000)), [this, one = node.get()] { start(*one); });
   }
 
-  std::uint64_t draw(std::uint64_t below) { return chance() % below; }
-  bool by(double share) { return static_cast<double>(draw(1'000'000)) < share * 1e6; }
+  std::uint64_t draw(std::uint64_t below) { return random() % below; }
+  bool chance(double share) { return static_cast<double>(draw(1'000'000)) < share * 1e6; }
   Duration own_now(const Node& node) const { return now + node.offset; }
-  void after(Duration delay, std::function<void()> what) { time.at(now + delay, std::move(what)); }
-  // For a node as it lives now; one that is stopped does it when it goes on.
-  void after_at(Duration delay, Node& node, std::function<void()> what) {
-    after(delay, [&node, life = node.life, what = std::move(what)] {
-      if (node.life != life || !node.gossip) return;
-      if (node.stopped) node.deferred.push_back(what);
-      else what();
+  void schedule(Duration delay, std::function<void()> action) {
+    time.schedule(now + delay, std::move(action));
+  }
+  // Schedules an action of a node's current process: dropped if the process has ended by then, deferred while
+  // it is suspended.
+  void schedule_for(Node& node, Duration delay, std::function<void()> action) {
+    schedule(delay, [&node, generation = node.generation, action = std::move(action)] {
+      if (node.generation != generation || !node.gossip) return;
+      if (node.suspended) node.deferred.push_back(action);
+      else action();
     });
   }
 
   // ---- Agents
 
   void start(Node& node) {
-    ++node.life;
-    node.stopped = false;
+    ++node.generation;
+    node.suspended = false;
     node.deferred.clear();
     node.last_written.clear();
     node.gossip = std::make_unique<LevelGossip>(node, node.name, node.disk, draw(1ULL << 40), topology);
-    beat(node);
+    run_timer(node);
   }
   void kill(Node& node) {
     node.gossip.reset();
-    ++node.life;
-    checker.ended(now, node.name);
+    ++node.generation;
+    checker.on_ended(now, node.name);
   }
   void resume(Node& node) {
-    if (!std::exchange(node.stopped, false)) return;
-    for (auto deferred = std::exchange(node.deferred, {}); const auto& what : deferred) what();
+    if (!std::exchange(node.suspended, false)) return;
+    for (auto deferred = std::exchange(node.deferred, {}); const auto& action : deferred) action();
   }
-  void say(Node& node) {
+  void publish(Node& node) {
     std::vector<StatusReport> reports;
     for (const auto& [name, report] : node.instances) reports.push_back(report);
     node.gossip->publish_instances(reports);
@@ -149,77 +155,80 @@
   }
   void record(Node& node) {
     const GossipState& state = node.gossip->group_state();
-    checker.stated(now, node.name, state.known(own_now(node), node.name).mark, state.reports(node.name));
+    checker.on_published(now, node.name, state.known(own_now(node), node.name).mark,
+                         state.reports(node.name));
   }
-  void beat(Node& node) {
-    say(node);
-    const LevelGossip::TickResult beat_result = node.gossip->tick(own_now(node));
-    checker.written(now, own_now(node), *node.gossip, *topology, beat_result.written);
-    if (!beat_result.written.empty()) node.last_written = beat_result.written;
-    for (const OutgoingQuestion& question : beat_result.questions) ask(node, question);
-    after_at(beat_result.next - own_now(node), node, [this, &node] { beat(node); });
+  void run_timer(Node& node) {
+    publish(node);
+    const LevelGossip::TickResult tick = node.gossip->tick(own_now(node));
+    checker.on_written(now, own_now(node), *node.gossip, *topology, tick.written);
+    if (!tick.written.empty()) node.last_written = tick.written;
+    for (const OutgoingQuestion& question : tick.questions) send_question(node, question);
+    schedule_for(node, tick.next - own_now(node), [this, &node] { run_timer(node); });
   }
 
   // ---- Messages
 
-  void carry(Node& from, Node& to, std::size_t size, const std::function<void()>& arrives) {
+  void deliver(Node& from, Node& to, std::size_t size, const std::function<void()>& on_arrival) {
     from.sent += size;
     ++from.messages;
-    const int copies = by(shape.doubled) ? 2 : 1;
+    const int copies = chance(shape.doubled) ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
-      if (cut.contains({from.number, to.number}) || by(shape.loss)) continue;
-      Duration delay = milliseconds(1 + draw(by(0.05) ? 2500 : 20));
+      if (cut_links.contains({from.number, to.number}) || chance(shape.loss)) continue;
+      Duration delay = milliseconds(1 + draw(chance(0.05) ? 2500 : 20));
       if (from.slow || to.slow) delay += milliseconds(500 + draw(2500));
-      after_at(delay, to, [&to, size, arrives] {
+      schedule_for(to, delay, [&to, size, on_arrival] {
         to.received += size;
-        arrives();
+        on_arrival();
       });
     }
   }
-  void ask(Node& node, const OutgoingQuestion& outgoing) {
+  void send_question(Node& node, const OutgoingQuestion& outgoing) {
     Node& peer = *by_name.at(outgoing.id.peer);
-    const TimePoint asked = own_now(node);
-    const auto over = std::make_shared<bool>(false);  // answered once, or its deadline
-    carry(node, peer, size_of(outgoing.question), [this, &node, &peer, asked, over, outgoing] {
-      const LevelAnswer told = answer(peer, outgoing.question);
-      carry(peer, node, size_of(told), [this, &node, asked, over, told, id = outgoing.id] {
-        hear(node, asked, id, told, *over);
-        *over = true;
+    const TimePoint asked_at = own_now(node);
+    const auto is_over = std::make_shared<bool>(false);  // answered, or timed out
+    deliver(node, peer, size_of(outgoing.question), [this, &node, &peer, asked_at, is_over, outgoing] {
+      const LevelAnswer response = answer(peer, outgoing.question);
+      deliver(peer, node, size_of(response), [this, &node, asked_at, is_over, response, id = outgoing.id] {
+        receive(node, asked_at, id, response, *is_over);
+        *is_over = true;
       });
     });
-    after_at(AntiEntropyScheduler::answer_timeout, node, [this, &node, over, id = outgoing.id] {
-      if (!std::exchange(*over, true)) node.gossip->missed(own_now(node), id);
+    schedule_for(node, AntiEntropyScheduler::answer_timeout, [this, &node, is_over, id = outgoing.id] {
+      if (!std::exchange(*is_over, true)) node.gossip->missed(own_now(node), id);
     });
   }
   LevelAnswer answer(Node& peer, const LevelQuestion& question) {
-    LevelAnswer told = peer.gossip->answer(own_now(peer), question);
-    for (SummaryDelta& delta : told.summaries) {
+    LevelAnswer response = peer.gossip->answer(own_now(peer), question);
+    for (SummaryDelta& delta : response.summaries) {
       if (peer.liar && delta.summary.writer != peer.name) delta.age = Duration(0);
       if (!shape.age_from_sending) continue;
       delta.age -= delta.summary.age_when_made;
       delta.summary.age_when_made = Duration(0);
     }
-    return told;
+    return response;
   }
-  // A copy that comes late is merged all the same: it must change nothing for the worse.
-  void hear(Node& node, TimePoint asked, const QuestionId& id, const LevelAnswer& told, bool late) {
-    node.gossip->merge(own_now(node), asked, id.peer, told);
+  // Late and duplicate answers are merged too; they must not change the result for the worse.
+  void receive(Node& node, TimePoint asked_at, const QuestionId& id, const LevelAnswer& response,
+               bool is_late) {
+    node.gossip->merge(own_now(node), asked_at, id.peer, response);
     record(node);
-    for (const SummaryDelta& delta : told.summaries)
-      checker.believed(now, own_now(node), *node.gossip, delta.summary.unit);
+    for (const SummaryDelta& delta : response.summaries)
+      checker.check_reader(now, own_now(node), *node.gossip, delta.summary.unit);
     result.summaries_kept_max =
         std::max<std::uint64_t>(result.summaries_kept_max, node.gossip->summaries().size());
-    if (!late) node.gossip->completed(own_now(node), id);
+    if (!is_late) node.gossip->completed(own_now(node), id);
   }
 
-  // ---- What all know
+  // ---- What agents see
 
-  bool sees_all(const Node& node, const StatusCounts& truth) const {
+  // Whether the node's fleet summary covers all agents, fresh, with these numbers of instances by state.
+  bool sees_all(const Node& node, const StatusCounts& expected) const {
     if (!node.gossip) return false;
     const StatusCounts known = node.gossip->fleet_status(own_now(node)).counts;
-    return known.agents_fresh == nodes.size() && known.by_state == truth.by_state;
+    return known.agents_fresh == nodes.size() && known.by_state == expected.by_state;
   }
-  StatusCounts truth() const {
+  StatusCounts real_counts() const {
     StatusCounts counts;
     for (const auto& node : nodes) {
       for (const auto& [name, report] : node->instances) counts.add(report);
@@ -239,10 +248,11 @@
     }
     return text;
   }
-  // How long it takes until every agent has seen the whole; at most the limit.
+  // Runs until every agent has seen the whole fleet once, or until `limit` has passed. Returns the time taken
+  // and leaves the agents that have not in `blind`.
   Duration until_all_see_all(Duration limit) {
     const TimePoint from = now;
-    const StatusCounts counts = truth();
+    const StatusCounts counts = real_counts();
     blind.clear();
     for (const auto& node : nodes) blind.insert(node.get());
     while (true) {
@@ -252,79 +262,81 @@
     }
   }
 
-  // ---- Trouble
+  // ---- Random faults
 
-  Node& any() { return *nodes[draw(nodes.size())]; }
-  void change(Node& node) {
+  Node& random_node() { return *nodes[draw(nodes.size())]; }
+  void change_random_report(Node& node) {
     StatusReport& report =
         std::next(node.instances.begin(), static_cast<std::ptrdiff_t>(draw(node.instances.size())))->second;
     report.state = static_cast<InstanceState>(draw(instance_state_count));
     ++report.process_incarnation;
     report.open = draw(100);
   }
+  // Partitions the nodes `inside` from the others, in both directions or only the outgoing one.
   void cut_between(const std::function<bool(const Node&)>& inside, bool one_way) {
     for (const auto& a : nodes) {
       for (const auto& b : nodes) {
         if (!inside(*a) || inside(*b)) continue;
-        cut.insert({a->number, b->number});
-        if (!one_way) cut.insert({b->number, a->number});
+        cut_links.insert({a->number, b->number});
+        if (!one_way) cut_links.insert({b->number, a->number});
       }
     }
   }
   void restart_later(Node& node, Duration delay) {
-    after(delay, [this, &node] {
+    schedule(delay, [this, &node] {
       if (!node.gossip) start(node);
     });
   }
-  void strike() {
-    Node& node = any();
+  void inject_random_fault() {
+    Node& node = random_node();
     switch (draw(6)) {
       case 0:
         if (!shape.kills || !node.gossip) break;
         kill(node);
-        if (by(0.3)) node.disk = 0;                     // lost
-        else if (by(0.3)) node.disk = node.older_copy;  // an older copy put back
+        if (chance(0.3)) node.disk = 0;                     // lost
+        else if (chance(0.3)) node.disk = node.older_copy;  // restored from an older copy
         restart_later(node, milliseconds(100 + draw(8000)));
         break;
       case 1:
-        if (!shape.stops || !node.gossip || node.stopped) break;
-        node.stopped = true;
-        after(milliseconds(100 + draw(20'000)), [this, &node, life = node.life] {
-          if (node.life == life) resume(node);
+        if (!shape.stops || !node.gossip || node.suspended) break;
+        node.suspended = true;
+        schedule(milliseconds(100 + draw(20'000)), [this, &node, generation = node.generation] {
+          if (node.generation == generation) resume(node);
         });
         break;
       case 2:
         if (!shape.cuts) break;
-        cut_between([&](const Node& one) { return one.number == node.number; }, by(0.5));
-        heal_later();
+        cut_between([&](const Node& one) { return one.number == node.number; }, chance(0.5));
+        reconnect_later();
         break;
       case 3:
-        if (!shape.unit_cuts || by(0.5)) break;
-        if (by(0.5))
-          cut_between([&](const Node& one) { return one.member.zone == node.member.zone; }, by(0.3));
-        else cut_between([&](const Node& one) { return one.member.region == node.member.region; }, by(0.3));
-        heal_later();
+        if (!shape.unit_cuts || chance(0.5)) break;
+        if (chance(0.5))
+          cut_between([&](const Node& one) { return one.member.zone == node.member.zone; }, chance(0.3));
+        else
+          cut_between([&](const Node& one) { return one.member.region == node.member.region; }, chance(0.3));
+        reconnect_later();
         break;
       case 4:
         if (!shape.slow || node.slow) break;
         node.slow = true;
-        after(milliseconds(1000 + draw(10'000)), [&node] { node.slow = false; });
+        schedule(milliseconds(1000 + draw(10'000)), [&node] { node.slow = false; });
         break;
       default:
         break;
     }
   }
-  void heal_later() {
-    after(milliseconds(500 + draw(15'000)), [this] { cut.clear(); });
+  void reconnect_later() {
+    schedule(milliseconds(500 + draw(15'000)), [this] { cut_links.clear(); });
   }
-  void trouble() {
+  void run_random_faults() {
     if (shape.liar) top_aggregator().liar = true;
     while (now < shape.troubled) {
       time.run(std::min(now + milliseconds(50 + draw(400)), shape.troubled));
-      if (by(0.5)) change(any());
-      strike();
+      if (chance(0.5)) change_random_report(random_node());
+      inject_random_fault();
     }
-    cut.clear();
+    cut_links.clear();
     shape.loss = 0;
     for (const auto& node : nodes) {
       node->slow = false;
@@ -332,7 +344,7 @@
       resume(*node);
     }
   }
-  // The agent that ranks highest in its region among the first of its groups' candidates.
+  // Returns the highest-ranked agent of the first node's region that also ranks first in its group.
   Node& top_aggregator() {
     const Unit region{Level::region, nodes.front()->member.region, {}, 0};
     for (const std::string& name : topology->ranked_members(region)) {
@@ -370,8 +382,8 @@
         return;
     }
   }
-  void heal() {
-    cut.clear();
+  void repair() {
+    cut_links.clear();
     for (const auto& node : nodes) {
       node->slow = node->liar = false;
       if (!node->gossip) start(*node);
@@ -387,14 +399,14 @@
     Recovery& recovery = result.recoveries.emplace_back();
     recovery.fault = fault;
     inject(fault);
-    // Everything restarts at once: there is nothing to wait for.
+    // The killed agents are restarted at once by repair().
     if (fault != Fault::third_restarted) time.run(now + shape.fault_length);
     recovery.cut_off_blind = fault == Fault::third_restarted ? 0 : blind_in_own_region();
-    heal();
+    repair();
     recovery.recovered = until_all_see_all(shape.calm);
   }
 
-  // ---- What it costs
+  // ---- Measurements
 
   void measure_bytes() {
     for (const auto& node : nodes) node->sent = node->received = node->messages = 0;
@@ -423,12 +435,13 @@
   }
   void measure_changes() {
     for (int n = 0; n < shape.changes; ++n) {
-      StatusReport& report = any().instances.begin()->second;
+      StatusReport& report = random_node().instances.begin()->second;
       report.state = report.state == InstanceState::down ? InstanceState::serving : InstanceState::down;
       ++report.process_incarnation;
       result.spread.push_back(until_all_see_all(shape.calm));
     }
   }
+  // Returns a writer of which a peer has a newer summary than the writer's last one; null if there is none.
   const Node* overruled_writer() const {
     for (const auto& writer : nodes) {
       for (const StatusSummary& own : writer->last_written) {
@@ -444,33 +457,34 @@
   void conclude() {
     until_all_see_all(shape.calm);
     for (const Node* node : blind)
-      note(result.unsettled, node->name + " does not see all" + missing_at(*node));
-    // The past of a writer that has lost its disk goes when it is told of it, or with its age.
+      add_violation(result.unsettled, node->name + " does not see all" + missing_at(*node));
+    // After a writer has lost its disk, its older summaries disappear once it learns of them and writes a
+    // newer version, or when they are too old.
     const Duration limit = now + freshness_limits(Level::region).old + seconds(5);
     while (overruled_writer() && now < limit) time.run(now + seconds(1));
     if (const Node* writer = overruled_writer())
-      note(result.overruled, writer->name + " is overruled by its past");
-    result.never_said = checker.never_said;
-    result.stale_as_fresh = checker.stale_as_fresh;
-    result.checks = checker.checks;
+      add_violation(result.overruled, writer->name + " is overruled by its past");
+    result.never_said = checker.unfounded_count;
+    result.stale_as_fresh = checker.stale_as_fresh_count;
+    result.checks = checker.check_count;
     result.summaries_written = checker.written_count;
-    for (const std::string& fault : checker.faults) result.faults.push_back(fault);
+    for (const std::string& violation : checker.violations) result.faults.push_back(violation);
     for (const auto& node : nodes) result.digest = (result.digest ^ node->sent) * 1099511628211ULL;
-    result.digest = (result.digest ^ checker.checks) * 1099511628211ULL;
+    result.digest = (result.digest ^ checker.check_count) * 1099511628211ULL;
   }
-  void note(std::uint64_t& count, const std::string& what) {
-    if (++count == 1) result.faults.push_back(std::to_string(now.count() / 1000) + " ms: " + what);
+  void add_violation(std::uint64_t& count, const std::string& text) {
+    if (++count == 1) result.faults.push_back(std::to_string(now.count() / 1000) + " ms: " + text);
   }
 
   Result play() {
-    if (shape.troubled > Duration(0)) trouble();
+    if (shape.troubled > Duration(0)) run_random_faults();
     else time.run(start_window);
     result.settled = until_all_see_all(shape.calm);
     if (blind.empty()) {
       measure_bytes();
       measure_changes();
       for (const Fault fault : shape.faults) play_fault(fault);
-      // Whatever was said before its fault was over is gone from the answers by now.
+      // Lets answers from before the end of the last fault arrive.
       time.run(now + seconds(2));
     }
     conclude();
@@ -478,14 +492,14 @@
   }
 
   Shape shape;
-  std::knuth_b chance;
+  std::knuth_b random;
   Timeline time;
   const TimePoint& now = time.now;
   std::shared_ptr<const Topology> topology;
   std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::string, Node*> by_name;
-  std::set<std::pair<std::size_t, std::size_t>> cut;
-  std::set<const Node*> blind;  // have not seen the whole since it was last asked for
+  std::set<std::pair<std::size_t, std::size_t>> cut_links;
+  std::set<const Node*> blind;  // agents that had not seen the whole fleet when until_all_see_all() returned
   LevelChecker checker;
   Result result;
 };
--- a/src/lab/simulations/rollout_simulation.cpp
+++ b/src/lab/simulations/rollout_simulation.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// An agent is killed: what it was doing ends where it was thrown.
+// Thrown where an agent is killed; ends what the agent is doing.
 struct Killed {};
 
 }  // namespace
@@ -39,109 +39,110 @@
     TimePoint started{}, serves_at{};
     int version = 0;
     bool hangs = false, drains = false;
-    std::optional<TimePoint> ends_at, drained_at, falls_at;
+    std::optional<TimePoint> ends_at, drained_at, crashes_at;
   };
   struct Instance {
     std::string name, zone;
     std::size_t agent = 0;
     std::optional<Process> process;
-    TimePoint left_serving{-1'000'000'000};  // last time by itself
+    TimePoint crashed_at{-1'000'000'000};  // last crash; far in the past if there was none
   };
   struct Agent;
-  // The coordinator's side of a rollout, on its agent.
+  // A rollout and the agent that coordinates it.
   struct Coordinator final : Rollout::Host {
-    Coordinator(Impl& m, std::size_t a, RolloutPlan plan)
-        : model(m), at(a), rollout(*this, std::move(plan)) {}
+    Coordinator(Impl& sim, std::size_t agent_number, RolloutPlan plan)
+        : simulation(sim), agent_at(agent_number), rollout(*this, std::move(plan)) {}
     bool persist(Rollout::State state) override {
-      model.pass("before rollout kept", at);
-      kept_state = state;
-      kept_stages = rollout.stages();
-      model.pass("after rollout kept", at);
+      simulation.reach_point("before rollout kept", agent_at);
+      persisted_state = state;
+      persisted_stages = rollout.stages();
+      simulation.reach_point("after rollout kept", agent_at);
       return true;
     }
     void request_leases(const std::string& agent, const std::vector<std::string>& instances) override;
-    void renew(const std::string& agent, const std::vector<std::string>& wanted) override;
+    void renew(const std::string& agent, const std::vector<std::string>& instances) override;
     void release(const std::string& agent) override;
     void step(const std::string& agent, const std::string& instance, const Step& step) override;
     void request_fleet_status() override;
     void on_event(std::string_view) override {}
-    Impl& model;
-    std::size_t at;
-    Rollout::State kept_state = Rollout::State::planned;
-    std::map<std::string, Rollout::Stage> kept_stages;
-    std::set<std::string> answered;  // asks, by their text
+    Impl& simulation;
+    std::size_t agent_at;  // number of its agent
+    Rollout::State persisted_state = Rollout::State::planned;
+    std::map<std::string, Rollout::Stage> persisted_stages;
+    std::set<std::string> answered;  // keys of the requests that have been answered
     Rollout rollout;
   };
   struct Agent final : LeaseOwner::Host {
-    Agent(Impl& m, std::size_t n) : model(m), number(n), name("a" + std::to_string(n)) {}
+    Agent(Impl& sim, std::size_t n) : simulation(sim), number(n), name("a" + std::to_string(n)) {}
     bool write(const std::map<std::string, LeaseOwner::PersistedInstance>& kept,
                const std::string& why) override {
-      model.pass("before " + why, number);
+      simulation.reach_point("before " + why, number);
       for (const auto& [instance, one] : kept) disk[instance] = one;
-      model.pass("after " + why, number);
+      simulation.reach_point("after " + why, number);
       return true;
     }
     void start(const std::string& instance, int version) override {
-      model.start(instance, version);
-      model.pass("started", number);
+      simulation.start(instance, version);
+      simulation.reach_point("started", number);
     }
-    void request_shutdown(const std::string& instance, Duration within) override {
-      model.leaves(instance, *this);
-      if (auto& process = model.instance(instance).process; process && !process->ends_at && !process->hangs)
-        process->ends_at = model.now + std::min(within, model.between(200, 1500));
-      model.pass("asked to end", number);
+    void request_shutdown(const std::string& instance, Duration timeout) override {
+      simulation.on_leaves_service(instance);
+      if (auto& process = simulation.instance(instance).process;
+          process && !process->ends_at && !process->hangs)
+        process->ends_at = simulation.now + std::min(timeout, simulation.draw_between(200, 1500));
+      simulation.reach_point("asked to end", number);
     }
     void cancel_shutdown(const std::string& instance) override {
-      // It may be too late: one that has begun to leave goes.
-      auto& process = model.instance(instance).process;
-      if (process && process->ends_at && *process->ends_at - model.now > milliseconds(100))
+      // A process that ends within 100 ms can't be kept any more.
+      auto& process = simulation.instance(instance).process;
+      if (process && process->ends_at && *process->ends_at - simulation.now > milliseconds(100))
         process->ends_at.reset();
-      model.pass("called off", number);
+      simulation.reach_point("called off", number);
     }
     void set_drain(const std::string& instance, bool drains, const Step&) override {
-      if (drains) model.leaves(instance, *this);
-      if (auto& process = model.instance(instance).process) {
+      if (drains) simulation.on_leaves_service(instance);
+      if (auto& process = simulation.instance(instance).process) {
         process->drains = drains;
         process->drained_at.reset();
-        if (drains) process->drained_at = model.now + model.between(100, 1000);
+        if (drains) process->drained_at = simulation.now + simulation.draw_between(100, 1000);
       }
-      model.pass("drain ordered", number);
+      simulation.reach_point("drain ordered", number);
     }
     void terminate(const std::string& instance) override {
-      model.leaves(instance, *this);
-      if (auto& process = model.instance(instance).process; process && model.chance() % 2)
-        process->ends_at = model.now + milliseconds(100);
-      model.pass("terminated", number);
+      simulation.on_leaves_service(instance);
+      if (auto& process = simulation.instance(instance).process; process && simulation.random() % 2)
+        process->ends_at = simulation.now + milliseconds(100);
+      simulation.reach_point("terminated", number);
     }
     void kill(const std::string& instance) override {
-      if (auto& process = model.instance(instance).process) process->ends_at = model.now;
-      model.pass("killed", number);
+      if (auto& process = simulation.instance(instance).process) process->ends_at = simulation.now;
+      simulation.reach_point("killed", number);
     }
     void step_ended(const std::string&, const Step&, StepEnd, const std::string&) override {}
     void lease_ended(const std::string& instance, const Lease& lease, LeaseTable::EndReason why) override {
       if (why != LeaseTable::EndReason::run_out) return;
-      // The other side must have given it up by now, by its own clock.
-      for (const auto& coordinator : model.coordinators) {
+      // By now the lease must have expired at the coordinator, which counts it from the request.
+      for (const auto& coordinator : simulation.coordinators) {
         if (!coordinator || coordinator->rollout.plan().id != lease.operation) continue;
         const auto until = coordinator->rollout.lease_until(name);
-        if (until && *until > model.now && model.agents[coordinator->at]->runs())
-          model.fault(model.result.early_give_ups,
-                      instance + " is given up before its coordinator gives it up");
+        if (until && *until > simulation.now && simulation.agents[coordinator->agent_at]->runs())
+          simulation.add_violation(simulation.result.early_give_ups,
+                                   instance + " is given up before its coordinator gives it up");
       }
     }
     void wake_at(Duration) override {}
-    bool runs() const { return alive && !stopped; }
+    bool runs() const { return alive && !suspended; }
 
-    Impl& model;
+    Impl& simulation;
     std::size_t number;
     std::string name;
-    bool alive = true, stopped = false, cut = false;
-    std::uint64_t life = 1;
+    bool alive = true, suspended = false, is_cut_off = false;
+    std::uint64_t generation = 1;  // counts starts
     std::map<std::string, LeaseOwner::PersistedInstance> disk;
-    std::unique_ptr<LeaseOwner> keeper;
+    std::unique_ptr<LeaseOwner> lease_owner;
   };
 
-  explicit Impl(const Shape& s) : shape(s), chance(static_cast<std::knuth_b::result_type>(s.seed)) {
+  explicit Impl(const Shape& s) : shape(s), random(static_cast<std::knuth_b::result_type>(s.seed)) {
     for (int a = 0; a < shape.agents; ++a) {
       agents.push_back(std::make_unique<Agent>(*this, static_cast<std::size_t>(a)));
       for (int i = 0; i < shape.instances_each; ++i) {
@@ -149,124 +150,129 @@
         one.name = "i" + std::to_string(a * shape.instances_each + i);
         one.zone = "z" + std::to_string((a * shape.instances_each + i) % shape.zones);
         one.agent = static_cast<std::size_t>(a);
-        one.process = Process{seconds(-100), seconds(-99), 1, shape.hangs > drawn(), false, {}, {}, {}};
+        one.process = Process{seconds(-100), seconds(-99), 1, shape.hangs > draw_share(), false, {}, {}, {}};
         agents.back()->disk[one.name] = {true, 1, 0, {}, {}, {}, {}};
         by_name[one.name] = instances.size();
         instances.push_back(std::move(one));
       }
     }
-    for (const auto& agent : agents) raise(*agent);
+    for (const auto& agent : agents) start(*agent);
   }
 
-  // ---- Chance, time, faults
-  double drawn() { return std::generate_canonical<double, 32>(chance); }
-  Duration between(unsigned least_ms, unsigned most_ms) {
-    return milliseconds(least_ms + chance() % (most_ms - least_ms + 1));
+  // ---- Random numbers, time, kills
+  double draw_share() { return std::generate_canonical<double, 32>(random); }
+  Duration draw_between(unsigned min_ms, unsigned max_ms) {
+    return milliseconds(min_ms + random() % (max_ms - min_ms + 1));
   }
-  void at(TimePoint when, std::function<void()> what) { time.at(when, std::move(what)); }
-  void fault(std::uint64_t& count, const std::string& what) {
+  void schedule(TimePoint when, std::function<void()> action) { time.schedule(when, std::move(action)); }
+  void add_violation(std::uint64_t& count, const std::string& text) {
     ++count;
     if (result.faults.size() < 10)
-      result.faults.push_back(std::to_string(now.count() / 1000) + " ms: " + what);
+      result.faults.push_back(std::to_string(now.count() / 1000) + " ms: " + text);
   }
-  void pass(const std::string& point, std::size_t agent) {
+  // Records that an agent reaches a kill point, and kills the agents that the shape asks for. Throws Killed
+  // if the agent itself is one of them.
+  void reach_point(const std::string& point, std::size_t agent) {
     result.points.insert(point);
-    ++passes;
-    const bool named = point == shape.kill_at && ++named_passes == shape.kill_pass;
-    const bool random = shape.kill_at == "random" && passes == kill_at_pass;
-    if ((!named && !random) || result.killed) return;
+    ++point_count;
+    const bool is_named = point == shape.kill_at && ++named_point_count == shape.kill_pass;
+    const bool is_random = shape.kill_at == "random" && point_count == random_kill_at;
+    if ((!is_named && !is_random) || result.killed) return;
     result.killed = true;
     killed_at = now;
-    const std::size_t coordinator = coordinators.empty() ? agent : coordinators.front()->at;
+    const std::size_t coordinator = coordinators.empty() ? agent : coordinators.front()->agent_at;
     std::set<std::size_t> whom;
     if (shape.kill_whom != "coordinator") whom.insert(agent);
     if (shape.kill_whom != "passer") whom.insert(coordinator);
-    for (const std::size_t one : whom) end(one);
+    for (const std::size_t one : whom) kill(one);
     if (!whom.contains(agent)) return;
     throw Killed{};
   }
-  void end(std::size_t number) {
+  void kill(std::size_t number) {
     Agent& agent = *agents[number];
     agent.alive = false;
-    agent.life += 1;
+    agent.generation += 1;
     if (!shape.comes_back) return;
-    at(now + between(300, 3000), [this, number] {
+    schedule(now + draw_between(300, 3000), [this, number] {
       agents[number]->alive = true;
-      raise(*agents[number]);
+      start(*agents[number]);
       for (auto& coordinator : coordinators) {
-        if (coordinator->at != number || coordinator->kept_state == Rollout::State::planned) continue;
+        if (coordinator->agent_at != number || coordinator->persisted_state == Rollout::State::planned)
+          continue;
         auto fresh = std::make_unique<Coordinator>(*this, number, coordinator->rollout.plan());
-        const auto stages = coordinator->kept_stages;
-        const auto state = coordinator->kept_state;
-        graveyard.push_back(std::move(coordinator));
+        const auto stages = coordinator->persisted_stages;
+        const auto state = coordinator->persisted_state;
+        replaced_coordinators.push_back(std::move(coordinator));
         coordinator = std::move(fresh);
         const bool was_over = is_over(state);
-        coordinator->kept_state = state, coordinator->kept_stages = stages;
+        coordinator->persisted_state = state, coordinator->persisted_stages = stages;
         if (was_over) {
           finished = true;
           continue;
         }
-        guarded([&] { coordinator->rollout.restore(now, stages); });
-        // Its operator comes back to it after a while.
-        const bool goes_on = chance() % 2;
-        at(now + between(500, 4000), [this, goes_on, which = coordinator.get()] {
-          if (agents[which->at]->runs())
-            guarded([&] { goes_on ? which->rollout.resume(now) : which->rollout.abort(now); });
+        run_guarded([&] { coordinator->rollout.restore(now, stages); });
+        // After a while the operator resumes or aborts the rollout.
+        const bool resumes = random() % 2;
+        schedule(now + draw_between(500, 4000), [this, resumes, which = coordinator.get()] {
+          if (agents[which->agent_at]->runs())
+            run_guarded([&] { resumes ? which->rollout.resume(now) : which->rollout.abort(now); });
         });
       }
     });
   }
-  void raise(Agent& agent) {
-    agent.keeper = std::make_unique<LeaseOwner>(agent);
-    for (const auto& [instance, kept] : agent.disk) agent.keeper->add_instance(now, instance, kept);
+  void start(Agent& agent) {
+    agent.lease_owner = std::make_unique<LeaseOwner>(agent);
+    for (const auto& [instance, kept] : agent.disk) agent.lease_owner->add_instance(now, instance, kept);
   }
-  template <class What>
-  void guarded(What what) {
-    const auto begun = std::chrono::steady_clock::now();
+  // Runs decisions of an agent, which may be killed meanwhile, and counts their wall time.
+  template <class Action>
+  void run_guarded(Action action) {
+    const auto wall_start = std::chrono::steady_clock::now();
     try {
-      what();
+      action();
     } catch (const Killed&) {
     }
     result.decisions += 1;
-    spent += std::chrono::steady_clock::now() - begun;
+    spent += std::chrono::steady_clock::now() - wall_start;
   }
 
   // ---- Instances
   Instance& instance(const std::string& name) { return instances[by_name.at(name)]; }
-  bool serves(const Instance& one) const {
+  bool is_serving(const Instance& one) const {
     return one.process && now >= one.process->serves_at && !one.process->ends_at && !one.process->drains;
   }
   void start(const std::string& name, int version) {
     Instance& one = instance(name);
-    if (one.process) return;  // the address is in use: the new one ends at once
-    Process process{now, now + between(200, 900), version, false, false, {}, {}, {}};
-    if (version != 1 && shape.falls > drawn()) process.falls_at = now + milliseconds(100);
+    if (one.process) return;  // the address is in use, so the new process exits at once
+    Process process{now, now + draw_between(200, 900), version, false, false, {}, {}, {}};
+    if (version != 1 && shape.falls > draw_share()) process.crashes_at = now + milliseconds(100);
     one.process = process;
   }
-  // It stops serving by somebody's act: its zone has to bear it.
-  void leaves(const std::string& name, const Agent&) {
+  // Checks the zone's minimum when an agent takes a serving instance out of service.
+  void on_leaves_service(const std::string& name) {
     const Instance& one = instance(name);
-    if (!serves(one)) return;
-    const auto least = floor.find(one.zone);
-    if (least == floor.end() || shape.rival) return;
+    if (!is_serving(one)) return;
+    const auto minimum = min_serving.find(one.zone);
+    if (minimum == min_serving.end() || shape.rival) return;
     int others = 0;
     for (const Instance& other : instances) {
       if (other.zone != one.zone || other.name == name) continue;
-      // One that fell a moment ago may not have been seen yet.
-      others += serves(other) || now - other.left_serving < seconds(2);
+      // The coordinator may not know yet of a crash in the last two seconds.
+      others += is_serving(other) || now - other.crashed_at < seconds(2);
     }
-    if (others < least->second)
-      fault(result.below_floor, name + " stops, with " + std::to_string(others) + " others in " + one.zone);
+    if (others < minimum->second)
+      add_violation(result.below_floor,
+                    name + " stops, with " + std::to_string(others) + " others in " + one.zone);
   }
-  void pass_time() {
+  void update_processes() {
     for (Instance& one : instances) {
       if (!one.process) continue;
-      if (one.process->falls_at && now >= *one.process->falls_at)
-        one.process->ends_at = now, one.left_serving = now;
+      if (one.process->crashes_at && now >= *one.process->crashes_at)
+        one.process->ends_at = now, one.crashed_at = now;
       if (one.process->ends_at && now >= *one.process->ends_at) one.process.reset();
     }
   }
-  void look(Agent& agent) {
+  void observe_instances(Agent& agent) {
     if (agent.runs()) {
       for (Instance& one : instances) {
         if (one.agent != agent.number || !agent.runs()) continue;
@@ -278,167 +284,178 @@
           seen.drains = process.drains, seen.version = process.version;
           seen.drained = process.drained_at && now >= *process.drained_at;
         }
-        guarded([&] { agent.keeper->observe(now, one.name, seen); });
+        run_guarded([&] { agent.lease_owner->observe(now, one.name, seen); });
       }
-      if (agent.runs()) guarded([&] { agent.keeper->on_timer(now); });
+      if (agent.runs()) run_guarded([&] { agent.lease_owner->on_timer(now); });
     }
-    at(now + milliseconds(100), [this, &agent] { look(agent); });
+    schedule(now + milliseconds(100), [this, &agent] { observe_instances(agent); });
   }
 
-  // ---- The network: from one agent to another, with loss, doubles and delay. What runs at the other end
-  // runs only where that one runs, in the life to which it was sent if `life` says so.
-  void send(std::size_t from, std::size_t to, std::function<void()> what) {
-    for (int copy = 0; copy < (drawn() < shape.doubled ? 2 : 1); ++copy) {
+  // ---- The network
+  // Sends a message from one agent to another, with loss, duplicates and delay. `on_arrival` runs at the
+  // receiver; it waits while the receiver is suspended and is dropped if the receiver is down.
+  void send(std::size_t from, std::size_t to, std::function<void()> on_arrival) {
+    for (int copy = 0; copy < (draw_share() < shape.doubled ? 2 : 1); ++copy) {
       result.messages += 1;
-      if (from != to && (drawn() < shape.loss || agents[from]->cut || agents[to]->cut)) continue;
-      const Duration way = from == to ? Duration(100) : between(1, 40);
-      at(now + way, [this, to, what] { deliver(to, what); });
+      if (from != to && (draw_share() < shape.loss || agents[from]->is_cut_off || agents[to]->is_cut_off))
+        continue;
+      const Duration delay = from == to ? Duration(100) : draw_between(1, 40);
+      schedule(now + delay, [this, to, on_arrival] { deliver(to, on_arrival); });
     }
   }
-  void deliver(std::size_t to, const std::function<void()>& what) {
+  void deliver(std::size_t to, const std::function<void()>& on_arrival) {
     Agent& agent = *agents[to];
-    if (agent.stopped) return at(now + milliseconds(50), [this, to, what] { deliver(to, what); });
-    if (agent.alive) guarded(what);
+    if (agent.suspended)
+      return schedule(now + milliseconds(50), [this, to, on_arrival] { deliver(to, on_arrival); });
+    if (agent.alive) run_guarded(on_arrival);
   }
   std::size_t number_of(const std::string& agent) const {
     return static_cast<std::size_t>(std::stoul(agent.substr(1)));
   }
 
-  void coordinate(Coordinator* which) {
-    if (agents[which->at]->runs() && current(which)) guarded([&] { which->rollout.on_timer(now); });
-    if (current(which)) at(now + milliseconds(200), [this, which] { coordinate(which); });
+  // Runs a coordinator's timer every 200 ms for as long as the coordinator exists.
+  void run_timer(Coordinator* which) {
+    if (agents[which->agent_at]->runs() && is_current(which))
+      run_guarded([&] { which->rollout.on_timer(now); });
+    if (is_current(which)) schedule(now + milliseconds(200), [this, which] { run_timer(which); });
   }
-  bool current(const Coordinator* which) const {
+  // False for a coordinator that was replaced when its agent was restarted.
+  bool is_current(const Coordinator* which) const {
     return std::ranges::any_of(coordinators, [&](const auto& one) { return one.get() == which; });
   }
 
   Result play(RolloutPlan plan);
 
   const Shape shape;
-  std::knuth_b chance;
+  std::knuth_b random;
   Timeline time;
   const TimePoint& now = time.now;
-  std::uint64_t passes = 0, kill_at_pass = 0;
-  int named_passes = 0;
+  std::uint64_t point_count = 0, random_kill_at = 0;
+  int named_point_count = 0;
   std::vector<std::unique_ptr<Agent>> agents;
   std::vector<Instance> instances;
   std::map<std::string, std::size_t> by_name;
-  std::map<std::string, int> floor;
-  std::vector<std::unique_ptr<Coordinator>> coordinators, graveyard;
+  std::map<std::string, int> min_serving;
+  std::vector<std::unique_ptr<Coordinator>> coordinators;
+  std::vector<std::unique_ptr<Coordinator>> replaced_coordinators;  // replaced; events still refer to them
   TimePoint killed_at{};
-  bool finished = false;
+  bool finished = false;  // a coordinator was restarted after the end of its rollout
   std::chrono::steady_clock::duration spent{};
   StepKind kind = StepKind::restart;
   Result result;
 
-  // The state in which an instance may rest, by its agent's word and by the truth.
-  bool rests_well(const Instance& one, const InstanceLifecycle& life) const {
-    if (life.state() == InstanceState::serving) return serves(one);
-    return kind == StepKind::drain && life.state() == InstanceState::drained && one.process &&
+  // Whether the instance is in a final state, serving or (after a drain) drained, and really is in the state
+  // that its agent records.
+  bool is_settled(const Instance& one, const InstanceLifecycle& lifecycle) const {
+    if (lifecycle.state() == InstanceState::serving) return is_serving(one);
+    return kind == StepKind::drain && lifecycle.state() == InstanceState::drained && one.process &&
            one.process->drains;
   }
 };
 
-// Asks are sent again, a few times, until they are answered: each is harmless when it comes twice.
+// Requests are sent up to five times until they are answered; a duplicate has no further effect at the
+// receiver.
 void RolloutSimulation::Impl::Coordinator::request_leases(const std::string& agent,
-                                                          const std::vector<std::string>& wanted) {
-  Impl& m = model;
-  const std::size_t to = m.number_of(agent);
-  const TimePoint first_sent = m.now;
+                                                          const std::vector<std::string>& instances) {
+  Impl& sim = simulation;
+  const std::size_t to = sim.number_of(agent);
+  const TimePoint first_sent = sim.now;
   const std::string key = "claims " + agent + std::to_string(first_sent.count());
-  const LeaseRequest ask{rollout.plan().id, rollout.plan().who, wanted, rollout.plan().lease_duration,
-                         rollout.plan().take_over};
-  const std::size_t from = at;
-  const std::function<void(int)> send = [&m, this, from, to, agent, key, ask, first_sent](int) {
-    m.send(from, to, [&m, this, from, to, agent, key, ask, first_sent] {
-      const LeaseTable::Answer answer = m.agents[to]->keeper->acquire(m.now, ask);
+  const LeaseRequest request{rollout.plan().id, rollout.plan().who, instances, rollout.plan().lease_duration,
+                             rollout.plan().take_over};
+  const std::size_t from = agent_at;
+  const std::function<void(int)> send = [&sim, this, from, to, agent, key, request, first_sent](int) {
+    sim.send(from, to, [&sim, this, from, to, agent, key, request, first_sent] {
+      const LeaseTable::Answer answer = sim.agents[to]->lease_owner->acquire(sim.now, request);
       std::string holder = answer.fault;
       for (const auto& held : answer.conflicts) holder = held.instance + " is held by " + held.lease.who;
-      m.send(to, from, [&m, this, agent, key, answer, holder, first_sent] {
-        if (!m.current(this) || !answered.insert(key).second) return;
-        rollout.on_lease_response(m.now, first_sent, agent, answer.granted, answer.fences, holder);
+      sim.send(to, from, [&sim, this, agent, key, answer, holder, first_sent] {
+        if (!sim.is_current(this) || !answered.insert(key).second) return;
+        rollout.on_lease_response(sim.now, first_sent, agent, answer.granted, answer.fences, holder);
       });
     });
   };
   for (int n = 0; n < 5; ++n) {
-    m.at(m.now + milliseconds(700 * n), [&m, this, from, key, send, n] {
-      if (m.agents[from]->runs() && m.current(this) && !answered.contains(key)) send(n);
+    sim.schedule(sim.now + milliseconds(700 * n), [&sim, this, from, key, send, n] {
+      if (sim.agents[from]->runs() && sim.is_current(this) && !answered.contains(key)) send(n);
     });
   }
-  m.pass("claims asked", at);
+  sim.reach_point("claims asked", agent_at);
 }
 
 void RolloutSimulation::Impl::Coordinator::renew(const std::string& agent,
-                                                 const std::vector<std::string>& wanted) {
-  Impl& m = model;
-  const std::size_t to = m.number_of(agent), from = at;
-  const TimePoint sent = m.now;
-  m.send(from, to,
-         [&m, this, from, to, agent, wanted, sent, id = rollout.plan().id,
-          lease_duration = rollout.plan().lease_duration] {
-           const bool live = m.agents[to]->keeper->renew(m.now, id, wanted, lease_duration);
-           m.send(to, from, [&m, this, agent, sent, live] {
-             if (m.current(this)) rollout.on_renewal_response(m.now, sent, agent, live);
+                                                 const std::vector<std::string>& instances) {
+  Impl& sim = simulation;
+  const std::size_t to = sim.number_of(agent), from = agent_at;
+  const TimePoint sent = sim.now;
+  sim.send(from, to,
+           [&sim, this, from, to, agent, instances, sent, id = rollout.plan().id,
+            lease_duration = rollout.plan().lease_duration] {
+             const bool live = sim.agents[to]->lease_owner->renew(sim.now, id, instances, lease_duration);
+             sim.send(to, from, [&sim, this, agent, sent, live] {
+               if (sim.is_current(this)) rollout.on_renewal_response(sim.now, sent, agent, live);
+             });
            });
-         });
-  m.pass("claims renewed", at);
+  sim.reach_point("claims renewed", agent_at);
 }
 
 void RolloutSimulation::Impl::Coordinator::release(const std::string& agent) {
-  Impl& m = model;
-  const std::size_t to = m.number_of(agent);
-  m.send(at, to, [&m, to, id = rollout.plan().id] { m.agents[to]->keeper->release(m.now, id); });
-  m.pass("claims released", at);
+  Impl& sim = simulation;
+  const std::size_t to = sim.number_of(agent);
+  sim.send(agent_at, to,
+           [&sim, to, id = rollout.plan().id] { sim.agents[to]->lease_owner->release(sim.now, id); });
+  sim.reach_point("claims released", agent_at);
 }
 
 void RolloutSimulation::Impl::Coordinator::step(const std::string& agent, const std::string& instance,
                                                 const Step& step) {
-  Impl& m = model;
-  const std::size_t to = m.number_of(agent), from = at;
-  const std::string key = "step " + instance + std::to_string(m.now.count());
-  m.result.steps += 1;
+  Impl& sim = simulation;
+  const std::size_t to = sim.number_of(agent), from = agent_at;
+  const std::string key = "step " + instance + std::to_string(sim.now.count());
+  sim.result.steps += 1;
   for (int n = 0; n < 5; ++n) {
-    m.at(m.now + milliseconds(700 * n), [&m, this, from, to, key, instance, step] {
-      if (!m.agents[from]->runs() || !m.current(this) || answered.contains(key)) return;
-      m.send(from, to, [&m, this, from, to, key, instance, step] {
-        LeaseOwner& keeper = *m.agents[to]->keeper;
+    sim.schedule(sim.now + milliseconds(700 * n), [&sim, this, from, to, key, instance, step] {
+      if (!sim.agents[from]->runs() || !sim.is_current(this) || answered.contains(key)) return;
+      sim.send(from, to, [&sim, this, from, to, key, instance, step] {
+        LeaseOwner& lease_owner = *sim.agents[to]->lease_owner;
         std::string fault;
-        const bool accepted = keeper.step(m.now, instance, step, fault);
-        if (accepted && step.fence != keeper.leases().last_fence(instance))
-          m.fault(m.result.fence_breaks, instance + " takes a step under an old fence");
-        m.send(to, from, [&m, this, key, instance, accepted, fault] {
-          if (!m.current(this) || !answered.insert(key).second) return;
-          rollout.on_step_response(m.now, instance, accepted, fault);
+        const bool accepted = lease_owner.step(sim.now, instance, step, fault);
+        if (accepted && step.fence != lease_owner.leases().last_fence(instance))
+          sim.add_violation(sim.result.fence_breaks, instance + " takes a step under an old fence");
+        sim.send(to, from, [&sim, this, key, instance, accepted, fault] {
+          if (!sim.is_current(this) || !answered.insert(key).second) return;
+          rollout.on_step_response(sim.now, instance, accepted, fault);
         });
       });
     });
   }
-  m.pass("step asked", at);
+  sim.reach_point("step asked", agent_at);
 }
 
 void RolloutSimulation::Impl::Coordinator::request_fleet_status() {
-  Impl& m = model;
-  for (std::size_t to = 0; to < m.agents.size(); ++to) {
-    m.send(at, to, [&m, this, to, from = at] {
-      struct Shown {
+  Impl& sim = simulation;
+  for (std::size_t to = 0; to < sim.agents.size(); ++to) {
+    sim.send(agent_at, to, [&sim, this, to, from = agent_at] {
+      struct Status {
         std::string name, zone;
-        InstanceState condition;
-        std::optional<InstanceLifecycle::CompletedStep> past;
+        InstanceState state;
+        std::optional<InstanceLifecycle::CompletedStep> last_step;
       };
-      std::vector<Shown> shown;
-      for (const Instance& one : m.instances) {
+      std::vector<Status> statuses;
+      for (const Instance& one : sim.instances) {
         if (one.agent != to) continue;
-        const InstanceLifecycle* life = m.agents[to]->keeper->lifecycle(one.name);
-        shown.push_back({one.name, one.zone, life->state(), life->last_step()});
+        const InstanceLifecycle* lifecycle = sim.agents[to]->lease_owner->lifecycle(one.name);
+        statuses.push_back({one.name, one.zone, lifecycle->state(), lifecycle->last_step()});
       }
-      m.send(to, from, [&m, this, shown] {
-        if (!m.current(this)) return;
-        for (const Shown& one : shown) {
-          rollout.on_instance_state(m.now, one.name, one.zone, one.condition);
-          if (one.past && one.past->step.operation == rollout.plan().id)
-            rollout.on_step_ended(m.now, one.name, one.past->step, one.past->end, one.past->detail);
+      sim.send(to, from, [&sim, this, statuses] {
+        if (!sim.is_current(this)) return;
+        for (const Status& one : statuses) {
+          rollout.on_instance_state(sim.now, one.name, one.zone, one.state);
+          if (one.last_step && one.last_step->step.operation == rollout.plan().id)
+            rollout.on_step_ended(sim.now, one.name, one.last_step->step, one.last_step->end,
+                                  one.last_step->detail);
         }
-        rollout.on_service_level(m.now, 1.0);
+        rollout.on_service_level(sim.now, 1.0);
       });
     });
   }
@@ -446,65 +463,66 @@
 
 RolloutSimulation::Result RolloutSimulation::Impl::play(RolloutPlan plan) {
   for (const Instance& one : instances) plan.targets.push_back({one.name, agents[one.agent]->name, one.zone});
-  floor = plan.min_serving, kind = plan.kind;
-  // Somewhere within the run; a rollout of this size passes some twenty points an instance.
-  kill_at_pass = 1 + chance() % (20 * instances.size());
-  for (const auto& agent : agents) at(between(0, 100), [this, &a = *agent] { look(a); });
+  min_serving = plan.min_serving, kind = plan.kind;
+  // For "random": a point somewhere within the run. A rollout reaches about twenty points per instance.
+  random_kill_at = 1 + random() % (20 * instances.size());
+  for (const auto& agent : agents)
+    schedule(draw_between(0, 100), [this, &a = *agent] { observe_instances(a); });
   coordinators.push_back(std::make_unique<Coordinator>(*this, 0, plan));
   Coordinator* first = coordinators.front().get();
-  at(milliseconds(300), [this, first] { guarded([&] { first->rollout.begin(now); }); });
+  schedule(milliseconds(300), [this, first] { run_guarded([&] { first->rollout.begin(now); }); });
   const auto follow = [this] {
-    for (const auto& one : coordinators) coordinate(one.get());
+    for (const auto& one : coordinators) run_timer(one.get());
   };
-  at(milliseconds(310), follow);
-  // Where an agent comes back with its rollout, that one is woken, too.
-  std::vector<const Coordinator*> woken = {first};
-  if (drawn() < shape.cut_off) {
-    const std::size_t whom = chance() % agents.size();
-    const TimePoint from = between(500, 8000), to = from + between(500, 20000);
-    at(from, [this, whom] { agents[whom]->cut = true; });
-    at(to, [this, whom] { agents[whom]->cut = false; });
+  schedule(milliseconds(310), follow);
+  // Coordinators whose timer runs. The loop below starts that of each one restored after its agent's restart.
+  std::vector<const Coordinator*> with_timer = {first};
+  if (draw_share() < shape.cut_off) {
+    const std::size_t whom = random() % agents.size();
+    const TimePoint from = draw_between(500, 8000), to = from + draw_between(500, 20000);
+    schedule(from, [this, whom] { agents[whom]->is_cut_off = true; });
+    schedule(to, [this, whom] { agents[whom]->is_cut_off = false; });
   }
-  if (drawn() < shape.stopped) {
-    const std::size_t whom = chance() % agents.size();
-    const TimePoint from = between(500, 8000), to = from + between(500, 20000);
-    at(from, [this, whom] { agents[whom]->stopped = true; });
-    at(to, [this, whom] { agents[whom]->stopped = false; });
+  if (draw_share() < shape.stopped) {
+    const std::size_t whom = random() % agents.size();
+    const TimePoint from = draw_between(500, 8000), to = from + draw_between(500, 20000);
+    schedule(from, [this, whom] { agents[whom]->suspended = true; });
+    schedule(to, [this, whom] { agents[whom]->suspended = false; });
   }
   if (shape.rival) {
-    at(between(1000, 6000), [this, plan] {
+    schedule(draw_between(1000, 6000), [this, plan] {
       RolloutPlan other = plan;
       other.id = "rival", other.who = "bob", other.take_over = true, other.kind = StepKind::restart;
       coordinators.push_back(std::make_unique<Coordinator>(*this, agents.size() - 1, other));
       Coordinator* rival = coordinators.back().get();
-      if (agents[rival->at]->runs()) guarded([&] { rival->rollout.begin(now); });
-      coordinate(rival);
+      if (agents[rival->agent_at]->runs()) run_guarded([&] { rival->rollout.begin(now); });
+      run_timer(rival);
     });
   }
-  // Half of the machine's time is not simulated: the fleet rests once nothing is under way any more.
-  const Duration longest = seconds(400) + plan.lease_duration * 3;
+  // Ends as soon as nothing is in progress any more, which saves about half of the run time.
+  const Duration max_duration = seconds(400) + plan.lease_duration * 3;
   Duration quiet_since{-1};
-  while (!time.over() && now < longest) {
-    time.step([&] { pass_time(); });
+  while (!time.is_empty() && now < max_duration) {
+    time.run_next([&] { update_processes(); });
     for (const auto& one : coordinators) {
-      if (std::ranges::find(woken, one.get()) == woken.end())
-        woken.push_back(one.get()), coordinate(one.get());
+      if (std::ranges::find(with_timer, one.get()) == with_timer.end())
+        with_timer.push_back(one.get()), run_timer(one.get());
     }
     const bool over = std::ranges::all_of(coordinators, [&](const auto& one) {
-      return one->rollout.over() || !agents[one->at]->alive || finished ||
+      return one->rollout.over() || !agents[one->agent_at]->alive || finished ||
              one->rollout.state() == Rollout::State::paused;
     });
     if (over && result.lasted == Duration(0) && coordinators.front()->rollout.over()) result.lasted = now;
     const bool settled = std::ranges::all_of(instances, [&](const Instance& one) {
       const Agent& agent = *agents[one.agent];
       if (!agent.alive) return !shape.comes_back;
-      const InstanceLifecycle& life = *agent.keeper->lifecycle(one.name);
-      const bool held = agent.keeper->leases().lease_on(now, one.name).has_value();
-      return !life.current_step() && !held && rests_well(one, life);
+      const InstanceLifecycle& lifecycle = *agent.lease_owner->lifecycle(one.name);
+      const bool is_leased = agent.lease_owner->leases().lease_on(now, one.name).has_value();
+      return !lifecycle.current_step() && !is_leased && is_settled(one, lifecycle);
     });
     if (over && settled) {
       if (quiet_since < Duration(0)) quiet_since = now;
-      // Long enough for what is still on its way.
+      // Lets messages in flight arrive.
       if (now - quiet_since > seconds(5)) break;
     } else {
       quiet_since = Duration(-1);
@@ -515,30 +533,31 @@
   result.state = coordinators.front()->rollout.state();
   for (const Instance& one : instances) {
     const Agent& agent = *agents[one.agent];
-    if (!agent.alive) continue;  // it is known that nobody looks after it
-    const InstanceLifecycle& life = *agent.keeper->lifecycle(one.name);
-    const bool falls = one.process ? false : shape.falls > 0 && life.crash_count() > 0;
-    const bool known = !life.current_step() &&
-                       (falls ? life.state() == InstanceState::down || life.state() == InstanceState::starting
-                              : rests_well(one, life) && one.process->version == life.version());
+    if (!agent.alive) continue;  // the instance has no agent that could know its state
+    const InstanceLifecycle& lifecycle = *agent.lease_owner->lifecycle(one.name);
+    const bool crashes = one.process ? false : shape.falls > 0 && lifecycle.crash_count() > 0;
+    const bool known =
+        !lifecycle.current_step() &&
+        (crashes ? lifecycle.state() == InstanceState::down || lifecycle.state() == InstanceState::starting
+                 : is_settled(one, lifecycle) && one.process->version == lifecycle.version());
     if (!known)
-      fault(result.unknown_states,
-            one.name + " is " + std::string(name_of(life.state())) + ", version " +
-                std::to_string(life.version()) +
-                (one.process ? ", runs " + std::to_string(one.process->version) : ", no process") +
-                (life.current_step() ? ", a step is under way" : ""));
+      add_violation(result.unknown_states,
+                    one.name + " is " + std::string(name_of(lifecycle.state())) + ", version " +
+                        std::to_string(lifecycle.version()) +
+                        (one.process ? ", runs " + std::to_string(one.process->version) : ", no process") +
+                        (lifecycle.current_step() ? ", a step is under way" : ""));
   }
   result.going_back = coordinators.front()->rollout.rolling_back();
   for (const Instance& one : instances) result.versions[one.name] = one.process ? one.process->version : 0;
-  // What the rollout calls done is so.
+  // Instances that the rollout reports as done have to run its version.
   if (!shape.rival && plan.kind == StepKind::change && shape.falls == 0) {
     const Rollout& rollout = coordinators.front()->rollout;
     for (const auto& [name, stage] : rollout.stages()) {
       const Instance& one = instance(name);
       if (stage == Rollout::Stage::done && agents[one.agent]->alive && one.process &&
           one.process->version != plan.version && !rollout.rolling_back())
-        fault(result.unknown_states,
-              name + " is called done and runs " + std::to_string(one.process->version));
+        add_violation(result.unknown_states,
+                      name + " is called done and runs " + std::to_string(one.process->version));
     }
   }
   result.decision_us = std::chrono::duration<double, std::micro>(spent).count() /
--- a/src/lab/simulations/rollout_simulation.h
+++ b/src/lab/simulations/rollout_simulation.h
@@ -1,7 +1,7 @@
-// A fleet of agents and instances on a simulated clock and network, deterministic by its seed: the real
-// decisions of fleet/ (leases, lives, keepers, rollouts), with agents that are killed at named points,
-// stopped or cut off, and messages that are lost, doubled and late. What breaks a rule is seen from outside,
-// by what happens to the instances.
+// Simulates rollouts over a fleet of agents and instances. Runs the production decisions of fleet/ (leases,
+// instance lifecycles, lease owners, rollouts) on a simulated clock and network; equal seeds give equal runs.
+// Agents are killed at named points, suspended or partitioned; messages are lost, duplicated and late. The
+// simulation checks the rules itself, by what happens to the instances.
 #pragma once
 
 #include <cstdint>
@@ -21,34 +21,47 @@
   struct Shape {
     std::uint64_t seed = 1;
     int agents = 3, instances_each = 2, zones = 2;
-    double loss = 0, doubled = 0;  // of messages
-    std::string kill_at = "";      // a named point, or "random" for one of those that are passed; empty: none
-    std::string kill_whom = "passer";  // who passes the point, "coordinator" instead, or "both"
-    int kill_pass = 1;                 // at which passing of the point
-    bool comes_back = true;            // those that were killed start again
-    double cut_off = 0, stopped = 0;   // shares of seeds in which an agent is cut off or stopped for a while
-    double falls = 0, hangs = 0;       // of instances: fall after their new start, do not end when asked
-    bool rival = false;                // a second operator takes over partway
+    double loss = 0, doubled = 0;  // probabilities that a message is lost or duplicated
+    // The kill point at which an agent is killed: one of all_points(), "random" for any of those that the run
+    // reaches, or empty for none.
+    std::string kill_at = "";
+    // The agent that is killed: "passer" for the one that reaches the point, "coordinator" for that of the
+    // first rollout, or "both".
+    std::string kill_whom = "passer";
+    int kill_pass = 1;                // the agent is killed when the point is reached for this time, from 1
+    bool comes_back = true;           // killed agents are started again
+    double cut_off = 0, stopped = 0;  // probabilities that one agent is partitioned or suspended for a while
+    double falls = 0;    // probability that an instance crashes right after the start of a version
+                         // other than 1
+    double hangs = 0;    // probability that an instance ignores requests to shut down
+    bool rival = false;  // a second operator starts a rollout that takes over the leases
   };
   struct Result {
     bool over = false;
     fleet::Rollout::State state{};
-    std::uint64_t unknown_states = 0, fence_breaks = 0, below_floor = 0, early_give_ups = 0;
+    // Violations.
+    std::uint64_t unknown_states =
+        0;  // instances whose real state differs from their agent's record at the end
+    std::uint64_t fence_breaks = 0;    // steps accepted under an old fence
+    std::uint64_t below_floor = 0;     // instances taken out of service below their zone's minimum
+    std::uint64_t early_give_ups = 0;  // leases that expired at the agent before they did at the coordinator
     std::uint64_t messages = 0, decisions = 0, steps = 0;
     bool killed = false;
-    fleet::Duration lasted{}, recovery{};  // of the rollout; from the kill until all is known and settled
-    double decision_us = 0;                // on average, on this machine
-    std::set<std::string> points;          // that were passed
-    bool going_back = false;
-    std::map<std::string, int> versions;  // that run at the end, by instance; 0: none
-    std::vector<std::string> faults;
+    fleet::Duration lasted{};             // of the rollout
+    fleet::Duration recovery{};           // from the kill until no step, lease or unsettled instance is left
+    double decision_us = 0;               // wall time per decision, mean
+    std::set<std::string> points;         // kill points that were reached
+    bool going_back = false;              // the rollout is rolled back
+    std::map<std::string, int> versions;  // running at the end, by instance; 0: no process
+    std::vector<std::string> faults;      // the first few violations, as text
   };
   explicit RolloutSimulation(const Shape& shape);
   ~RolloutSimulation();
   RolloutSimulation(const RolloutSimulation&) = delete;
   RolloutSimulation& operator=(const RolloutSimulation&) = delete;
-  // `plan` gets its targets here.
+  // Runs the plan over all instances; its targets are filled in here. Call once.
   Result play(fleet::RolloutPlan plan);
+  // Returns the names of all kill points.
   static const std::vector<std::string>& all_points();
 
  private:
--- a/src/lab/simulations/timeline.h
+++ b/src/lab/simulations/timeline.h
@@ -1,5 +1,5 @@
-// The clock of a simulated fleet: what is to happen, by its time, and where that is the same by who came
-// first. It knows nothing of what happens.
+// The event queue and clock of a simulation. Events run in order of their time; events of the same time run
+// in the order in which they were scheduled.
 #pragma once
 
 #include <algorithm>
@@ -14,40 +14,46 @@
 class Timeline {
  public:
   using Span = std::chrono::microseconds;
-  Span now{};  // of the event at hand
+  Span now{};  // simulated time: that of the event that runs, or until which run() has run
 
-  void at(Span when, std::function<void()> what) { events_.push({when, next_++, std::move(what)}); }
-  bool over() const { return events_.empty(); }
-  // The next event; its time is now, unless that has passed. `first` comes before it.
-  void step(const std::function<void()>& first = {}) {
+  // Schedules an action. One whose time has already passed runs without setting the clock back.
+  void schedule(Span when, std::function<void()> action) {
+    events_.push({when, next_sequence_++, std::move(action)});
+  }
+  bool is_empty() const { return events_.empty(); }
+  // Runs the next event, after advancing the clock to its time and calling `before`. The queue must not be
+  // empty.
+  void run_next(const std::function<void()>& before = {}) {
     const Event event = events_.top();
     events_.pop();
     now = std::max(now, event.when);
-    ++steps_;
-    if (first) first();
-    event.what();
+    ++event_count_;
+    if (before) before();
+    event.action();
   }
-  // All up to then, or until it is enough.
-  void run(Span until, const std::function<bool()>& enough = {}) {
+  // Runs all events up to `until` and sets the clock to `until`. With `is_done`, stops after the event that
+  // makes it true, and leaves the clock at the last event in any case.
+  void run(Span until, const std::function<bool()>& is_done = {}) {
     while (!events_.empty() && events_.top().when <= until) {
-      step();
-      if (enough && enough()) return;
+      run_next();
+      if (is_done && is_done()) return;
     }
-    if (!enough) now = until;
+    if (!is_done) now = until;
   }
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t event_count() const { return event_count_; }
 
  private:
   struct Event {
     Span when;
-    std::uint64_t order;
-    std::function<void()> what;
+    std::uint64_t sequence;
+    std::function<void()> action;
+    // std::priority_queue returns its greatest element first: the earliest event is the greatest.
     bool operator<(const Event& other) const {
-      return when != other.when ? when > other.when : order > other.order;
+      return when != other.when ? when > other.when : sequence > other.sequence;
     }
   };
   std::priority_queue<Event> events_;
-  std::uint64_t next_ = 0, steps_ = 0;
+  std::uint64_t next_sequence_ = 0, event_count_ = 0;
 };
 
 }  // namespace pearchute::lab
