--- a/tests/test_capacity.cpp
+++ b/tests/test_capacity.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "capacity_bench.h"
+#include "capacity_test_helpers.h"
 #include "lab/capacity/capacity_command.h"
 #include "lab/capacity/capacity_model.h"
 #include "lab/capacity/capacity_page.h"
--- a/tests/test_characterization_decisions.cpp
+++ b/tests/test_characterization_decisions.cpp
@@ -1,13 +1,13 @@
-// Characterization of the decisions: digests of all that they do, from seeded runs that turn every switch of
-// a service on and off. The expected values were taken from version 1.1.0 at commit 00483fc. They are not
-// changed by work that renames or restructures: a digest that differs there is a decision that has changed.
-// Whoever changes a decision on purpose takes the new values from the failing test's output and says so in
-// the commit.
+// Characterization tests of the decisions. They compare digests of all actions, in seeded runs that turn
+// every switch of a service on and off, with expected values from version 1.1.0 at commit 00483fc. Renaming
+// and restructuring must not change these values: a different digest means that a decision has changed. For
+// an intended change of a decision, the new values are in the output of the failing test, and the commit
+// explains the change.
 //
-// Wire: managers in the simulator's adapter, a process of its own, which is spoken to in the wire's text
-// alone. Events: the events and calls of the daemon that this wire lacks. Rules: what is checked at the
-// sockets. ManyManagers: the simulation of a hundred managers. Only decision_calls.h follows the C++
-// interface.
+// Wire: managers in the simulator's adapter, a separate process that is addressed only by its text protocol.
+// Events: the events and calls of the daemon that this protocol lacks. Rules: the rules that the daemon
+// checks before it writes to a socket. ManyManagers: the simulation of many managers over the same engines.
+// Only decision_calls.h depends on the C++ interface of the decisions.
 #include <gtest/gtest.h>
 
 #include <cinttypes>
@@ -27,7 +27,7 @@
 constexpr std::int64_t wire_run_us = 12'000'000;
 constexpr std::array<std::uint64_t, 2> wire_seeds = {11, 12};
 
-// Each entry names what it switches beside the common settings.
+// Each scenario is named after what it changes in the common settings.
 std::vector<Scenario> scenarios() {
   const Settings keys = {
       {"classes.2.byArrival", "true"}, {"classes.3.byArrival", "true"}, {"obligations.orderPause", "300000"}};
@@ -55,7 +55,11 @@
       {"retry_budget", {}, budget},
       {"slow_start_shared", {.managers = 3, .engines = 7, .engine_restarts = true}, slow_start},
       {"slow_start_turns",
-       {.managers = 12, .engines = 6, .engine_restarts = true, .manager_crashes = true, .clock_doubt = true},
+       {.managers = 12,
+        .engines = 6,
+        .engine_restarts = true,
+        .manager_crashes = true,
+        .starts_with_cached_list = true},
        slow_start},
       {"data_loads", loads, data_loads},
       {"probes", {}, probes},
@@ -92,10 +96,10 @@
       {"list_on_request",
        {.list_changes = true, .manager_crashes = true},
        {{"discovery", "on_request"}, {"obligations.askWithin", "6000000"}}},
-      {"list_changes", {.list_changes = true, .manager_crashes = true, .clock_doubt = true}, {}},
+      {"list_changes", {.list_changes = true, .manager_crashes = true, .starts_with_cached_list = true}, {}},
       {"late_wakes", {.requests_per_second = 200, .late_wakes_percent = 70}, {}},
       {"overload", {.managers = 3, .engines = 3, .requests_per_second = 400}, {}},
-      {"no_estimates", {.estimates_percent = 0, .tells_bills = false}, {{"classes.0.aimStretch", "0"}}},
+      {"no_estimates", {.estimates_percent = 0, .reports_bills = false}, {{"classes.0.aimStretch", "0"}}},
       {"pool", {.managers = 12, .engines = 8, .requests_per_second = 260}, {}},
       {"one_attempt", {}, {{"limits.attemptsCap", "1"}}},
       {"all_on",
@@ -125,7 +129,8 @@
 
 TEST_P(Wire, RepliesAreTheSame) {
   const Scenario& scenario = GetParam();
-  std::map<std::uint64_t, std::future<WireResult>> runs;  // by seed, side by side: most of a run is waiting
+  std::map<std::uint64_t, std::future<WireResult>>
+      runs;  // by seed; they run concurrently, since most of a run is waiting
   for (const std::uint64_t seed : wire_seeds) {
     runs[seed] = std::async(std::launch::async, [&scenario, seed] {
       return WireSimulation(PEARCHUTE_DRILL, scenario, seed, wire_run_us).run();
@@ -157,7 +162,7 @@
   }
 }
 
-// One manager in this process, and the world that it acts on, seeded.
+// One manager in this process, with simulated clients and engines; equal seeds give equal runs.
 class EventsRun : private WorldCalls {
  public:
   EventsRun(const Settings& settings, std::uint64_t seed, std::int64_t mean_gap_us)
@@ -168,9 +173,9 @@
     schedule(now_ + 1000, [this] { arrive(); });
     while (!queue_.empty() && queue_.begin()->first <= until) {
       now_ = queue_.begin()->first;
-      const auto act_now = std::move(queue_.begin()->second);
+      const auto action = std::move(queue_.begin()->second);
       queue_.erase(queue_.begin());
-      act_now();
+      action();
       if (++events_ % 97 == 0) note(manager_.beliefs(now_));
       if (events_ % 41 == 0 && last_ > 3) note(manager_.queued_for(now_, last_ - 3) + "\n");
       if (events_ % 1201 == 0) relist();
@@ -187,8 +192,8 @@
   struct Request {
     int request_class = 0;
     bool is_open = true;
-    std::vector<std::pair<int, bool>> attempts;  // engine, and whether it is out
-    std::vector<std::int64_t> sent;
+    std::vector<std::pair<int, bool>> attempts;  // engine, and whether the attempt is running
+    std::vector<std::int64_t> sent_at;           // by attempt
   };
 
   void note(const std::string& text) { digest_.add(text); }
@@ -198,8 +203,8 @@
     if (kind == "giving_up") kind += line.substr(line.rfind(' '));
     ++kinds_[kind];
   }
-  void schedule(std::int64_t when, std::function<void()> later) {
-    queue_.emplace(std::max(when, now_ + 1), std::move(later));
+  void schedule(std::int64_t when, std::function<void()> action) {
+    queue_.emplace(std::max(when, now_ + 1), std::move(action));
   }
 
   std::vector<EngineFacts> engines() {
@@ -228,9 +233,9 @@
     facts.tenant = static_cast<int>(numbers_.between(-1, 1));
     facts.key = static_cast<std::uint64_t>(numbers_.between(0, 6));
     facts.arrival_order_known = !numbers_.percent(3);
-    facts.time_left = numbers_.percent(5) ? numbers_.between(0, 50'000) : of.give_up_us;
+    facts.time_left = numbers_.percent(5) ? numbers_.between(0, 50'000) : of.timeout_us;
     if (numbers_.percent(85)) {
-      facts.work_ms = static_cast<double>(numbers_.between(of.least_work_us, of.most_work_us)) / 1000;
+      facts.work_ms = static_cast<double>(numbers_.between(of.min_work_us, of.max_work_us)) / 1000;
     }
     if (numbers_.percent(85)) facts.memory_mb = static_cast<double>(numbers_.between(20, 1500));
     facts.data_set = numbers_.between(0, 9);
@@ -258,19 +263,19 @@
     const bool finishes = how == End::done && request.is_open;
     if (finishes) request.is_open = false;
     const double share = numbers_.percent(40) ? static_cast<double>(numbers_.between(0, 16)) / 16 : -1;
-    manager_.ended(now_, id, attempt, how, now_ - request.sent[at], finishes, share);
+    manager_.ended(now_, id, attempt, how, now_ - request.sent_at[at], finishes, share);
   }
   void attempt_begins(std::uint64_t id, int) override {
     Request& request = requests_[id];
     const int attempt = static_cast<int>(request.attempts.size());
     request.attempts.push_back({0, true});
-    request.sent.push_back(now_);
+    request.sent_at.push_back(now_);
     const ClassShape& of = class_shapes[static_cast<std::size_t>(request.request_class)];
     static constexpr End ends[] = {End::error, End::full,       End::timed_out, End::unreachable,
                                    End::reset, End::never_sent, End::full,      End::error};
     const End how = numbers_.percent(75) ? End::done : ends[numbers_.between(0, 7)];
     const std::int64_t lasts =
-        how == End::timed_out ? of.give_up_us : numbers_.between(1'000, of.most_work_us);
+        how == End::timed_out ? of.timeout_us : numbers_.between(1'000, of.max_work_us);
     schedule(now_ + lasts, [this, id, attempt, how] { end(id, attempt, how); });
     const int hint = static_cast<int>(numbers_.between(0, 9));
     schedule(now_ + lasts / 2, [this, id, attempt, hint] {
@@ -287,19 +292,19 @@
   }
   void request_ends(std::uint64_t id) override { requests_[id].is_open = false; }
   void wake_later(std::int64_t delay, std::uint64_t mark) override {
-    const std::int64_t late = numbers_.percent(6) ? numbers_.between(30'000, 200'000) : 0;
-    schedule(now_ + delay + late, [this, mark] { manager_.on_wakeup(now_, mark); });
+    const std::int64_t lateness = numbers_.percent(6) ? numbers_.between(30'000, 200'000) : 0;
+    schedule(now_ + delay + lateness, [this, mark] { manager_.on_wakeup(now_, mark); });
   }
 
   SeededNumbers numbers_;
   std::int64_t mean_gap_us_, now_ = 0;
   std::uint64_t last_ = 0;
   int events_ = 0;
-  std::multimap<std::int64_t, std::function<void()>> queue_;  // by time, then as scheduled
+  std::multimap<std::int64_t, std::function<void()>> queue_;  // by time, then in the order of scheduling
   std::map<std::uint64_t, Request> requests_;
   std::map<std::string, int> kinds_;
   Digest digest_;
-  ManagerUnderTest manager_;  // last: it acts as it is made
+  ManagerUnderTest manager_;  // the last member, because its constructor acts
 };
 
 Settings event_settings() {
@@ -393,7 +398,7 @@
   }
 }
 
-// Requests, attempts and their ends as they might come at the sockets, whether or not the rules allow them.
+// Random requests, attempts and ends of attempts, whether or not the rules allow them.
 class RulesRun {
  public:
   RulesRun(const Settings& settings, std::uint64_t seed) : numbers_(seed), rules_(settings) {}
@@ -415,7 +420,7 @@
     std::uint64_t id = 0, key = 0;
     int request_class = 0, attempts = 0, engine = 1;
     std::int64_t end = 0;
-    bool is_out = false;
+    bool is_running = false;
   };
 
   void note(const std::string& text) { digest_.add(text + "\n"); }
@@ -447,23 +452,23 @@
     const double work_ms = static_cast<double>(numbers_.between(10, 1500));
     const double largest_ms = static_cast<double>(numbers_.between(100, 2500));
     const int mode = numbers_.percent(5) ? static_cast<int>(numbers_.between(1, 2)) : 0;
-    const std::int64_t told = numbers_.percent(30) ? numbers_.between(1'000, 2'000'000) : 0;
+    const std::int64_t time_told = numbers_.percent(30) ? numbers_.between(1'000, 2'000'000) : 0;
     const bool answered = numbers_.percent(3), client_is_there = !numbers_.percent(3);
     const std::string text = rules_.forbids(now_, request.id, engine, work_ms, largest_ms, request.end,
-                                            answered, client_is_there, mode, told);
+                                            answered, client_is_there, mode, time_told);
     note(text);
     if (!text.starts_with("- - ") && !numbers_.percent(10)) return;
     rules_.left(now_, request.id, engine, work_ms, largest_ms, request.attempts > 0);
-    request.attempts += 1, request.is_out = true, request.engine = engine;
+    request.attempts += 1, request.is_running = true, request.engine = engine;
     if (numbers_.percent(5)) {
       rules_.taken_back(request.id);
-      request.attempts -= 1, request.is_out = false;
+      request.attempts -= 1, request.is_running = false;
     }
   }
   void end(Request& request) {
     if (numbers_.percent(15)) rules_.called_off(now_, request.id);
     rules_.ended(now_, request.id, request.engine, static_cast<End>(numbers_.between(0, 7)));
-    request.is_out = false;
+    request.is_running = false;
   }
   void step() {
     if (open_.size() < 12 && numbers_.percent(35)) take();
@@ -473,18 +478,18 @@
     Request& request = open_[at];
     const std::int64_t drawn = numbers_.between(0, 99);
     if (drawn < 50) {
-      if (request.is_out) end(request);
+      if (request.is_running) end(request);
       else send(request);
     } else if (drawn < 65) {
       rules_.answering(now_, request.end, numbers_.percent(3));
       rules_.over(request.id);
-      if (request.is_out) rules_.ended(now_, request.id, request.engine, End::stopped);
+      if (request.is_running) rules_.ended(now_, request.id, request.engine, End::stopped);
       open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
     } else if (drawn < 75) {
-      const std::int64_t doubt =
+      const std::int64_t uncertain_since =
           numbers_.percent(50) ? std::max<std::int64_t>(1, now_ - numbers_.between(0, 5'000'000)) : 0;
       note(rules_.repeating(now_, request.request_class, static_cast<int>(numbers_.between(0, 3)),
-                            static_cast<int>(numbers_.between(0, 1)), doubt));
+                            static_cast<int>(numbers_.between(0, 1)), uncertain_since));
     } else if (drawn < 85) {
       note(rules_.closing(numbers_.percent(50), numbers_.percent(30), numbers_.percent(30)));
     } else if (drawn < 90) {
--- a/tests/test_slope_fits.cpp
+++ b/tests/test_slope_fits.cpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "capacity_bench.h"
+#include "capacity_test_helpers.h"
 #include "lab/capacity/capacity_command.h"
 #include "lab/capacity/simulated_slopes.h"
 #include "lab/capacity/slope.h"
--- a/tests/wire_simulation.h
+++ b/tests/wire_simulation.h
@@ -1,7 +1,7 @@
-// A closed-loop simulator that speaks only the text of the simulator's wire: managers in the adapter's
-// process, engines, clients and the list of engines here. The same seed gives the same run, in integers
-// throughout. It knows nothing of the C++ interface of the decisions, so a change of that interface leaves it
-// as it is.
+// A closed-loop simulation of a service. The managers run in the adapter's process, which is addressed only
+// by the text protocol of the simulator; engines, clients and the list of engines are simulated here. Equal
+// seeds give equal runs, because all calculations are in integers. The simulation doesn't use the C++
+// interface of the decisions, so a change of that interface doesn't change it.
 #pragma once
 
 #include <algorithm>
@@ -20,16 +20,16 @@
 
 namespace pearchute::test {
 
-// The settings of a service, by their names on the wire.
+// The settings of a service, by their names in the protocol.
 using Settings = std::map<std::string, std::string>;
 
-// Classes of requests that every simulated service has, by position.
+// The classes of requests of every simulated service, by position.
 enum RequestClass { lookup, report, update, charge, load, scan, class_count };
 
 struct ClassShape {
   const char* name;
   int threads;
-  std::int64_t give_up_us, least_work_us, most_work_us;
+  std::int64_t timeout_us, min_work_us, max_work_us;
 };
 inline constexpr std::array<ClassShape, class_count> class_shapes = {
     {{"lookup", 1, 2'000'000, 20'000, 160'000},
@@ -41,29 +41,30 @@
 
 struct ServiceShape {
   int managers = 4, engines = 6;
-  int requests_per_second = 110;  // over all managers
+  int requests_per_second = 110;  // at all managers together
   std::array<int, class_count> class_weights = {50, 15, 15, 10, 5, 5};
-  int estimates_percent = 90;    // of the requests that tell the work they need
-  int withdrawn_percent = 3;     // of the requests
-  int streaming_percent = 5;     // of the attempts
-  int late_wakes_percent = 0;    // of the wakes, up to 400 ms late
-  bool engine_faults = true;     // engines get slow, silent, full, failing, unreachable for a while
-  bool engine_restarts = false;  // engines start anew
-  bool list_changes = false;     // engines drain, go and come back
+  int estimates_percent = 90;    // requests with an estimate of their work, and as many of their memory
+  int withdrawn_percent = 3;     // requests that their client withdraws
+  int streaming_percent = 5;     // attempts that report the start of their result
+  int late_wakes_percent = 0;    // wakeups that come up to 400 ms late
+  bool engine_faults = true;     // engines are slow, silent, full, failing or unreachable for a while
+  bool engine_restarts = false;  // engines are restarted
+  bool list_changes = false;     // engines drain, leave the list and return
   bool manager_crashes = false;
-  bool clock_doubt = false;  // managers start with a remembered list
-  bool tells_bills = true;   // answers tell what the request needed
+  bool starts_with_cached_list = false;
+  bool reports_bills = true;  // answers include the work and memory that the request needed
 };
 
 struct Scenario {
   const char* name;
   ServiceShape shape;
-  Settings settings;  // beside, or in place of, those that all services have
+  Settings settings;  // added to common_settings(), or in place of them
 };
 
-// For GoogleTest, which names a failing case so.
+// GoogleTest prints a failing case by this.
 inline void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
 
+// The manager's actions, by position in action_names, in the order of the counts in the expected values.
 enum ActionKind {
   transmit,
   assign_terms,
@@ -81,9 +82,9 @@
     "NOTIFY_ME", "PROBE",        "TRACK",        "REMARK"};
 
 struct WireResult {
-  std::uint64_t digest = 0;
-  std::array<int, action_kinds> actions{};
-  int events = 0;
+  std::uint64_t digest = 0;                 // of all replies of the adapter
+  std::array<int, action_kinds> actions{};  // counts by kind
+  int events = 0;                           // sent to the managers
 };
 
 inline Settings common_settings() {
@@ -112,7 +113,7 @@
                        {"prices.crossZone", "0.04"},
                        {"prices.probe", "0.05"}};
   const char* const repeats[] = {"pure", "pure", "token", "side_effect", "token", "pure"};
-  const char* const service_times[] = {"300000", "1500000", "800000", "1000000", "3000000", "1500000"};
+  const char* const objectives[] = {"300000", "1500000", "800000", "1000000", "3000000", "1500000"};
   const char* const values[] = {"1", "20", "2", "3", "2", "4"};
   for (int i = 0; i < class_count; ++i) {
     const std::string prefix = "classes." + std::to_string(i) + ".";
@@ -120,8 +121,8 @@
     settings[prefix + "name"] = class_shapes[at].name;
     settings[prefix + "repeat"] = repeats[at];
     settings[prefix + "window"] = "3000000";
-    settings[prefix + "slo"] = service_times[at];
-    settings[prefix + "giveUp"] = std::to_string(class_shapes[at].give_up_us);
+    settings[prefix + "slo"] = objectives[at];
+    settings[prefix + "giveUp"] = std::to_string(class_shapes[at].timeout_us);
     settings[prefix + "worth"] = values[at];
     settings[prefix + "aimStretch"] = "2";
   }
@@ -130,7 +131,7 @@
 
 class WireSimulation {
  public:
-  // `program` is the adapter's executable; `duration_us` is simulated time.
+  // `program` is the path of the adapter's executable; `duration_us` is simulated time.
   WireSimulation(const char* program, const Scenario& scenario, std::uint64_t seed, std::int64_t duration_us)
       : adapter_(program), shape_(scenario.shape), numbers_(seed), duration_us_(duration_us) {
     settings_ = common_settings();
@@ -147,6 +148,7 @@
     managers_.resize(static_cast<std::size_t>(shape_.managers));
   }
 
+  // Runs the whole simulation. Call once. Throws std::runtime_error if the adapter fails.
   WireResult run() {
     schedule_all();
     while (!queue_.empty() && queue_.begin()->first <= duration_us_) {
@@ -155,56 +157,57 @@
       addressed_ = -1;
       const int events_before = result_.events;
       while (!queue_.empty() && queue_.begin()->first <= now_) {
-        const auto act = std::move(queue_.begin()->second);
+        const auto action = std::move(queue_.begin()->second);
         queue_.erase(queue_.begin());
-        act();
+        action();
       }
       if (result_.events == events_before) continue;
       const std::string reply = adapter_.exchange(batch_ + "END\n");
       digest_.add(reply);
       apply(reply);
     }
-    if (adapter_.finish() != 0) throw std::runtime_error("the adapter failed");
+    if (adapter_.finish() != 0) throw std::runtime_error("the adapter ended with an error");
     result_.digest = digest_.value();
     return result_;
   }
 
  private:
   static constexpr std::int64_t round_us = 5000;
-  enum class Condition { well, slow, silent, failing, full, unreachable, resetting };
+  enum class Condition { healthy, slow, silent, failing, full, unreachable, resetting };
   struct Engine {
     int zone = 0;
     std::int64_t cell = 0;
     bool is_large = false;
-    std::int64_t online_since = 0;  // 0: not told
+    std::int64_t online_since = 0;  // us; 0: left out of its entry in the list
     std::string mode = "up";
-    Condition condition = Condition::well;
+    Condition condition = Condition::healthy;
     int threads = 0, attempts = 0;
     std::int64_t memory_mb = 0;
-    std::map<std::int64_t, int> loads;  // running loads by data set
+    std::map<std::int64_t, int> loads;  // running load attempts by data set
     int cores() const { return is_large ? 8 : 4; }
     std::int64_t size_mb() const { return is_large ? 16000 : 8000; }
   };
   struct Attempt {
     int engine = 0;
-    std::int64_t sent = 0, grant_mb = 0;
-    bool is_out = true;
+    std::int64_t sent_at = 0, grant_mb = 0;
+    bool is_running = true;
   };
   struct Request {
-    int manager = 0, life = 0, request_class = 0;
+    int manager = 0, incarnation = 0, request_class = 0;
     std::int64_t work_us = 0, need_mb = 0, data_set = 0, grant_mb = 0;
     bool is_open = true;
     std::vector<Attempt> attempts;
   };
   struct Manager {
-    int life = 0;
+    int incarnation = 0;  // counts launches
     bool is_up = false, has_list = false;
   };
 
-  void at(std::int64_t when, std::function<void()> act) {
-    queue_.emplace(std::max(when, now_ + 1), std::move(act));
+  void schedule(std::int64_t when, std::function<void()> action) {
+    queue_.emplace(std::max(when, now_ + 1), std::move(action));
   }
-  void line(int manager, const std::string& text) {
+  // Adds an event for a manager to the batch.
+  void send_event(int manager, const std::string& text) {
     if (addressed_ != manager) batch_ += "AT\tmanager=" + std::to_string(manager) + "\n";
     addressed_ = manager;
     batch_ += text + "\n";
@@ -213,37 +216,41 @@
   static std::string field(const char* name, std::int64_t value) {
     return std::string("\t") + name + "=" + std::to_string(value);
   }
+  // Formats a number of thousandths as a decimal fraction.
   static std::string thousandths(std::int64_t value) {
     std::string digits = std::to_string(value % 1000);
     return std::to_string(value / 1000) + "." + std::string(3 - digits.size(), '0') + digits;
   }
   Manager& manager(int number) { return managers_[static_cast<std::size_t>(number)]; }
   Engine& engine(int number) { return engines_[static_cast<std::size_t>(number)]; }
-  bool lives(int number, int life) { return manager(number).is_up && manager(number).life == life; }
+  // Whether the manager still runs, in this incarnation.
+  bool is_running(int number, int incarnation) {
+    return manager(number).is_up && manager(number).incarnation == incarnation;
+  }
 
   void schedule_all() {
-    for (int i = 0; i < shape_.managers; ++i) at(1 + i * 3000, [this, i] { launch(i); });
-    at(50'000, [this] { arrive(); });
-    if (shape_.engine_faults) at(400'000, [this] { change_condition(); });
-    if (shape_.engine_restarts) at(1'500'000, [this] { restart_engine(); });
-    if (shape_.list_changes) at(1'000'000, [this] { change_list(); });
-    if (shape_.manager_crashes) at(2'500'000, [this] { crash_manager(); });
+    for (int i = 0; i < shape_.managers; ++i) schedule(1 + i * 3000, [this, i] { launch(i); });
+    schedule(50'000, [this] { arrive(); });
+    if (shape_.engine_faults) schedule(400'000, [this] { change_condition(); });
+    if (shape_.engine_restarts) schedule(1'500'000, [this] { restart_engine(); });
+    if (shape_.list_changes) schedule(1'000'000, [this] { change_list(); });
+    if (shape_.manager_crashes) schedule(2'500'000, [this] { crash_manager(); });
   }
 
   void launch(int number) {
     Manager& one = manager(number);
     one.is_up = true, one.has_list = false;
-    one.life += 1;
+    one.incarnation += 1;
     static constexpr const char* zones[] = {"east", "west", "north"};
     std::string text = "LAUNCH\tnonce64=" + std::to_string(numbers_.next() >> 1);
     text += field("me", number) + "\tzone=" + zones[number % 3];
     for (const auto& [name, value] : settings_) text += "\t" + name + "=" + value;
-    line(number, text);
+    send_event(number, text);
     if (settings_["discovery"] == "on_request") return;
-    if (shape_.clock_doubt) tell_list(number, "remembered", all_engines());
-    const int life = one.life;
-    at(now_ + numbers_.between(5'000, 300'000), [this, number, life] {
-      if (lives(number, life)) tell_list(number, "all", all_engines());
+    if (shape_.starts_with_cached_list) send_list(number, "remembered", all_engines());
+    const int incarnation = one.incarnation;
+    schedule(now_ + numbers_.between(5'000, 300'000), [this, number, incarnation] {
+      if (is_running(number, incarnation)) send_list(number, "all", all_engines());
     });
   }
 
@@ -254,7 +261,7 @@
     }
     return all;
   }
-  void tell_list(int number, const char* mode, const std::vector<int>& which) {
+  void send_list(int number, const char* mode, const std::vector<int>& which) {
     static constexpr const char* zones[] = {"east", "west", "north"};
     batch_ += "POOL" + field("bank", number) + field("rows", static_cast<std::int64_t>(which.size())) + "\n";
     for (const int i : which) {
@@ -265,15 +272,15 @@
       if (one.online_since > 0) batch_ += field("onlineSince", one.online_since);
       batch_ += "\n";
     }
-    line(number, std::string("MEMBERSHIP") + field("version", ++list_version_) + "\tmode=" + mode +
-                     field("bank", number));
+    send_event(number, std::string("MEMBERSHIP") + field("version", ++list_version_) + "\tmode=" + mode +
+                           field("bank", number));
     manager(number).has_list = true;
   }
-  void tell_change_to_all(int changed) {
+  void send_change_to_all(int changed) {
     for (int i = 0; i < shape_.managers; ++i) {
-      const int life = manager(i).life;
-      at(now_ + numbers_.between(5'000, 200'000), [this, i, life, changed] {
-        if (lives(i, life) && manager(i).has_list) tell_list(i, "changes", {changed});
+      const int incarnation = manager(i).incarnation;
+      schedule(now_ + numbers_.between(5'000, 200'000), [this, i, incarnation, changed] {
+        if (is_running(i, incarnation) && manager(i).has_list) send_list(i, "changes", {changed});
       });
     }
   }
@@ -283,39 +290,39 @@
                                           Condition::full, Condition::unreachable, Condition::resetting};
     const int which = static_cast<int>(numbers_.between(0, shape_.engines - 1));
     engine(which).condition = kinds[numbers_.between(0, 5)];
-    at(now_ + numbers_.between(300'000, 2'500'000),
-       [this, which] { engine(which).condition = Condition::well; });
-    at(now_ + numbers_.between(400'000, 1'200'000), [this] { change_condition(); });
+    schedule(now_ + numbers_.between(300'000, 2'500'000),
+             [this, which] { engine(which).condition = Condition::healthy; });
+    schedule(now_ + numbers_.between(400'000, 1'200'000), [this] { change_condition(); });
   }
   void restart_engine() {
     const int which = static_cast<int>(numbers_.between(0, shape_.engines - 1));
     engine(which).online_since = now_;
-    tell_change_to_all(which);
-    at(now_ + numbers_.between(800'000, 2'000'000), [this] { restart_engine(); });
+    send_change_to_all(which);
+    schedule(now_ + numbers_.between(800'000, 2'000'000), [this] { restart_engine(); });
   }
   void change_list() {
     const int which = static_cast<int>(numbers_.between(0, shape_.engines - 1));
     engine(which).mode = numbers_.percent(50) ? "draining" : "removed";
-    tell_change_to_all(which);
-    at(now_ + numbers_.between(500'000, 2'000'000), [this, which] {
+    send_change_to_all(which);
+    schedule(now_ + numbers_.between(500'000, 2'000'000), [this, which] {
       engine(which).mode = "up";
-      tell_change_to_all(which);
+      send_change_to_all(which);
     });
     if (numbers_.percent(40)) {
       for (int i = 0; i < shape_.managers; ++i) {
-        if (manager(i).is_up && manager(i).has_list) tell_list(i, "all", all_engines());
+        if (manager(i).is_up && manager(i).has_list) send_list(i, "all", all_engines());
       }
     }
-    at(now_ + numbers_.between(700'000, 1'800'000), [this] { change_list(); });
+    schedule(now_ + numbers_.between(700'000, 1'800'000), [this] { change_list(); });
   }
   void crash_manager() {
     const int which = static_cast<int>(numbers_.between(0, shape_.managers - 1));
     if (manager(which).is_up) {
-      line(which, "CRASH_NOW");
+      send_event(which, "CRASH_NOW");
       manager(which).is_up = false;
-      at(now_ + numbers_.between(50'000, 900'000), [this, which] { launch(which); });
+      schedule(now_ + numbers_.between(50'000, 900'000), [this, which] { launch(which); });
     }
-    at(now_ + numbers_.between(1'500'000, 3'000'000), [this] { crash_manager(); });
+    schedule(now_ + numbers_.between(1'500'000, 3'000'000), [this] { crash_manager(); });
   }
 
   int draw_class() {
@@ -331,22 +338,22 @@
   }
   void arrive() {
     const std::int64_t mean_gap = 1'000'000 / shape_.requests_per_second;
-    at(now_ + numbers_.between(1, 2 * mean_gap), [this] { arrive(); });
+    schedule(now_ + numbers_.between(1, 2 * mean_gap), [this] { arrive(); });
     const int number = static_cast<int>(numbers_.between(0, shape_.managers - 1));
     if (!manager(number).is_up) return;
     Request request;
-    request.manager = number, request.life = manager(number).life;
+    request.manager = number, request.incarnation = manager(number).incarnation;
     request.request_class = draw_class();
     const ClassShape& of = class_shapes[static_cast<std::size_t>(request.request_class)];
-    request.work_us = numbers_.between(of.least_work_us, of.most_work_us);
+    request.work_us = numbers_.between(of.min_work_us, of.max_work_us);
     request.need_mb = numbers_.between(50, 1500);
     request.data_set = numbers_.between(0, numbers_.between(1, 12));
     const std::int64_t handle = ++last_handle_;
     std::string text = "REQ" + field("handle", handle) + "\ttype=" + of.name;
-    text += field("expiresIn", numbers_.percent(4) ? numbers_.between(1, 60'000) : of.give_up_us);
+    text += field("expiresIn", numbers_.percent(4) ? numbers_.between(1, 60'000) : of.timeout_us);
     text += field("target", numbers_.between(1, 9));
     if (numbers_.percent(70)) text += numbers_.percent(80) ? "\tparty=acme" : "\tparty=zenith";
-    // Estimates scatter by a third about what is needed.
+    // An estimate differs from the real need by up to a third.
     if (numbers_.percent(shape_.estimates_percent)) {
       text += field("guess", request.work_us * numbers_.between(67, 133) / 100) + "\tflags=1";
     }
@@ -355,16 +362,16 @@
     }
     text += field("sourceSet", request.data_set);
     if (numbers_.percent(shape_.withdrawn_percent)) {
-      at(now_ + numbers_.between(5'000, 800'000), [this, handle] { withdraw(handle); });
+      schedule(now_ + numbers_.between(5'000, 800'000), [this, handle] { withdraw(handle); });
     }
     requests_[handle] = request;
-    line(number, text);
+    send_event(number, text);
   }
   void withdraw(std::int64_t handle) {
     Request& request = requests_.at(handle);
-    if (!request.is_open || !lives(request.manager, request.life)) return;
+    if (!request.is_open || !is_running(request.manager, request.incarnation)) return;
     request.is_open = false;
-    line(request.manager, "WITHDRAWN" + field("handle", handle));
+    send_event(request.manager, "WITHDRAWN" + field("handle", handle));
   }
 
   std::string usage_of(const Engine& one) {
@@ -376,35 +383,37 @@
   void answer(std::int64_t handle, std::size_t copy, const std::string& state) {
     Request& request = requests_.at(handle);
     Attempt& attempt = request.attempts[copy];
-    if (!attempt.is_out) return;
-    attempt.is_out = false;
+    if (!attempt.is_running) return;
+    attempt.is_running = false;
     const ClassShape& of = class_shapes[static_cast<std::size_t>(request.request_class)];
     Engine& one = engine(attempt.engine);
     one.threads -= of.threads, one.attempts -= 1, one.memory_mb -= attempt.grant_mb;
     if (request.request_class == load) one.loads[request.data_set] -= 1;
-    if (!lives(request.manager, request.life)) return;
+    if (!is_running(request.manager, request.incarnation)) return;
     const bool finishes = state == "OK" && request.is_open;
     if (finishes) request.is_open = false;
     std::string text = "ANSWER" + field("handle", handle) + field("copy", static_cast<std::int64_t>(copy)) +
-                       "\tstateCode=" + state + field("elapsed", now_ - attempt.sent) +
+                       "\tstateCode=" + state + field("elapsed", now_ - attempt.sent_at) +
                        field("finished", finishes);
-    if (state == "OK" && shape_.tells_bills) {
+    if (state == "OK" && shape_.reports_bills) {
       text += field("bill", request.work_us / 1000 * 4096 + request.need_mb / 4);
     }
     if (settings_["feedback.how"] != "probe" && numbers_.percent(60)) text += usage_of(one);
-    line(request.manager, text);
+    send_event(request.manager, text);
   }
   void answer_at(std::int64_t when, std::int64_t handle, std::size_t copy, const std::string& state) {
-    at(when, [this, handle, copy, state] { answer(handle, copy, state); });
+    schedule(when, [this, handle, copy, state] { answer(handle, copy, state); });
   }
   void note_at(std::int64_t when, std::int64_t handle, std::size_t copy, const std::string& text) {
-    at(when, [this, handle, copy, text] {
+    schedule(when, [this, handle, copy, text] {
       const Request& request = requests_.at(handle);
-      if (!request.attempts[copy].is_out || !lives(request.manager, request.life)) return;
-      line(request.manager, text + field("handle", handle) + field("copy", static_cast<std::int64_t>(copy)));
+      if (!request.attempts[copy].is_running || !is_running(request.manager, request.incarnation)) return;
+      send_event(request.manager,
+                 text + field("handle", handle) + field("copy", static_cast<std::int64_t>(copy)));
     });
   }
 
+  // Starts an attempt on an engine and decides by the engine's condition when and how it ends.
   void begin_attempt(std::int64_t handle, int to) {
     Request& request = requests_.at(handle);
     const ClassShape& of = class_shapes[static_cast<std::size_t>(request.request_class)];
@@ -417,29 +426,29 @@
     if (request.request_class == load) one.loads[request.data_set] += 1;
 
     const std::int64_t soon = now_ + numbers_.between(1'000, 20'000);
-    const int luck = static_cast<int>(numbers_.between(0, 99));
+    const int drawn = static_cast<int>(numbers_.between(0, 99));
     const Condition condition = one.condition;
     if (one.mode == "removed" || condition == Condition::unreachable) {
       return answer_at(now_ + 50'000, handle, copy, "UNAVAILABLE");
     }
     if (condition == Condition::silent) {
-      return answer_at(now_ + of.give_up_us, handle, copy, "DEADLINE_EXCEEDED");
+      return answer_at(now_ + of.timeout_us, handle, copy, "DEADLINE_EXCEEDED");
     }
     if (condition == Condition::full || threads_before >= 3 * one.cores()) {
       return answer_at(soon, handle, copy, "RESOURCE_EXHAUSTED");
     }
-    if (condition == Condition::failing && luck < 60) return answer_at(soon, handle, copy, "INTERNAL");
-    if (condition == Condition::resetting && luck < 60) return answer_at(soon, handle, copy, "ABORTED");
-    if (luck >= 98) return answer_at(soon, handle, copy, luck == 98 ? "INTERNAL" : "TOO_LATE");
+    if (condition == Condition::failing && drawn < 60) return answer_at(soon, handle, copy, "INTERNAL");
+    if (condition == Condition::resetting && drawn < 60) return answer_at(soon, handle, copy, "ABORTED");
+    if (drawn >= 98) return answer_at(soon, handle, copy, drawn == 98 ? "INTERNAL" : "TOO_LATE");
 
     std::int64_t service_us = request.work_us / of.threads * std::max(one.cores(), one.threads) / one.cores();
     service_us = service_us * numbers_.between(80, 125) / 100;
     if (condition == Condition::slow) service_us *= numbers_.between(4, 12);
     if (behind_load) service_us += 600'000;
     if (now_ < one.online_since + 3'000'000) service_us = service_us * 3 / 2;
-    const std::int64_t end = now_ + std::min(service_us, of.give_up_us);
+    const std::int64_t end = now_ + std::min(service_us, of.timeout_us);
     if (behind_load) note_at(now_ + 10'000, handle, copy, "NOTE\tkind=3\tamount=2");
-    else if (luck < 4) note_at(now_ + 10'000, handle, copy, "NOTE\tkind=3\tamount=1");
+    else if (drawn < 4) note_at(now_ + 10'000, handle, copy, "NOTE\tkind=3\tamount=1");
     if (request.grant_mb > 0 && request.grant_mb < request.need_mb) {
       note_at(soon, handle, copy,
               "NOTE\tkind=2\tamount=" + std::to_string(request.need_mb - request.grant_mb));
@@ -449,10 +458,10 @@
       note_at(when, handle, copy, "NOTE\tkind=1\tamount=" + thousandths(done));
     }
     if (numbers_.percent(shape_.streaming_percent)) note_at((now_ + end) / 2, handle, copy, "STREAMING");
-    answer_at(end, handle, copy, service_us > of.give_up_us ? "DEADLINE_EXCEEDED" : "OK");
+    answer_at(end, handle, copy, service_us > of.timeout_us ? "DEADLINE_EXCEEDED" : "OK");
   }
 
-  // The fields of one line of a reply.
+  // Returns the fields of one line of a reply by name; "action" is the first word.
   static std::map<std::string, std::string> fields_of(std::string_view text) {
     std::map<std::string, std::string> fields;
     std::size_t tab = text.find('\t');
@@ -488,41 +497,42 @@
     } else if (action == "ASSIGN_TERMS") {
       requests_.at(number("handle")).grant_mb = number("memoryGrant");
     } else if (action == "STOP_ATTEMPT") {
-      // An answer that is on its way may come first.
+      // The attempt ends after a delay, so that an answer in flight may arrive first.
       const std::int64_t delay = numbers_.between(1'000, 40'000);
       answer_at(now_ + delay, number("handle"), static_cast<std::size_t>(number("copy")), "CANCELLED");
     } else if (action == "REJECT" || action == "END_FAILED") {
       requests_.at(number("handle")).is_open = false;
     } else if (action == "NOTIFY_ME") {
-      wake(by, number("in"), fields["mark"]);
+      schedule_wakeup(by, number("in"), fields["mark"]);
     } else if (action == "PROBE") {
       answer_probe(by, static_cast<int>(number("engine")) - 1);
     } else if (action == "TRACK") {
       answer_track(by);
     }
   }
-  void wake(int by, std::int64_t delay, const std::string& mark) {
+  void schedule_wakeup(int by, std::int64_t delay, const std::string& mark) {
     if (numbers_.percent(shape_.late_wakes_percent)) delay += numbers_.between(30'000, 400'000);
-    const int life = manager(by).life;
-    at(now_ + delay, [this, by, life, mark] {
-      if (lives(by, life)) line(by, "WAKE\tmark=" + mark);
+    const int incarnation = manager(by).incarnation;
+    schedule(now_ + delay, [this, by, incarnation, mark] {
+      if (is_running(by, incarnation)) send_event(by, "WAKE\tmark=" + mark);
     });
   }
   void answer_probe(int by, int which) {
-    const int life = manager(by).life;
-    at(now_ + 2'000, [this, by, life, which] {
-      if (!lives(by, life)) return;
-      const bool well = engine(which).condition != Condition::unreachable;
-      line(by, "PING_RESULT" + field("engine", which + 1) + "\tstateCode=" + (well ? "OK" : "UNAVAILABLE") +
-                   field("elapsed", 1'500) + usage_of(engine(which)));
+    const int incarnation = manager(by).incarnation;
+    schedule(now_ + 2'000, [this, by, incarnation, which] {
+      if (!is_running(by, incarnation)) return;
+      const bool is_reachable = engine(which).condition != Condition::unreachable;
+      send_event(by, "PING_RESULT" + field("engine", which + 1) +
+                         "\tstateCode=" + (is_reachable ? "OK" : "UNAVAILABLE") + field("elapsed", 1'500) +
+                         usage_of(engine(which)));
     });
   }
   void answer_track(int by) {
-    const int life = manager(by).life;
-    at(now_ + numbers_.between(10'000, 120'000), [this, by, life] {
-      if (!lives(by, life)) return;
-      if (numbers_.percent(60)) line(by, "MEMBERSHIP\tmode=refused");
-      else tell_list(by, "all", all_engines());
+    const int incarnation = manager(by).incarnation;
+    schedule(now_ + numbers_.between(10'000, 120'000), [this, by, incarnation] {
+      if (!is_running(by, incarnation)) return;
+      if (numbers_.percent(60)) send_event(by, "MEMBERSHIP\tmode=refused");
+      else send_list(by, "all", all_engines());
     });
   }
 
@@ -531,12 +541,12 @@
   Settings settings_;
   SeededNumbers numbers_;
   std::int64_t duration_us_, now_ = 0, last_handle_ = 0, list_version_ = 0;
-  std::multimap<std::int64_t, std::function<void()>> queue_;  // by time, then as scheduled
+  std::multimap<std::int64_t, std::function<void()>> queue_;  // by time, then in the order of scheduling
   std::vector<Engine> engines_;
   std::vector<Manager> managers_;
   std::map<std::int64_t, Request> requests_;
   std::string batch_;
-  int addressed_ = -1;
+  int addressed_ = -1;  // the manager of the last event in the batch
   Digest digest_;
   WireResult result_;
 };
