--- a/src/lab/capacity/capacity_page.h
+++ b/src/lab/capacity/capacity_page.h
@@ -1,6 +1,5 @@
-// The capacity page: the model's tables as Markdown, in sections of a page. A section lies between the
-// markers
-// `<!-- capacity:NAME -->` and `<!-- capacity:end -->`, each alone on its line. Without I/O: text to text.
+// The capacity page: the model's tables as Markdown, in sections of a page. A section lies between the lines
+// `<!-- capacity:NAME -->` and `<!-- capacity:end -->`. Without I/O: text to text.
 #pragma once
 
 #include <string>
--- a/src/lab/simulations/level_checker.h
+++ b/src/lab/simulations/level_checker.h
@@ -33,8 +33,8 @@
   // Violations: summaries with counts, agents or versions that were never published or written, and summaries
   // that a reader takes for younger than they are.
   std::uint64_t unfounded_count = 0, stale_as_fresh_count = 0;
-  std::uint64_t check_count = 0,
-                written_count = 0;      // calls of check_reader() with a summary; summaries written
+  std::uint64_t check_count = 0;        // calls of check_reader() for a known summary
+  std::uint64_t written_count = 0;      // summaries written
   std::vector<std::string> violations;  // the first few, as text
 
  private:
--- a/src/lab/simulations/level_simulation.h
+++ b/src/lab/simulations/level_simulation.h
@@ -54,9 +54,8 @@
   };
   struct Recovery {
     Fault fault{};
-    fleet::Duration recovered{};  // from the end of the fault until every agent sees the whole fleet
-    std::uint64_t cut_off_blind =
-        0;  // agents without a fresh summary of their own region when the fault ends
+    fleet::Duration recovered{};      // from the end of the fault until every agent sees the whole fleet
+    std::uint64_t cut_off_blind = 0;  // agents without a fresh summary of their own region at the fault's end
   };
   struct Result {
     // Violations.
--- a/src/lab/simulations/rollout_simulation.cpp
+++ b/src/lab/simulations/rollout_simulation.cpp
@@ -74,11 +74,11 @@
   };
   struct Agent final : LeaseOwner::Host {
     Agent(Impl& sim, std::size_t n) : simulation(sim), number(n), name("a" + std::to_string(n)) {}
-    bool write(const std::map<std::string, LeaseOwner::PersistedInstance>& kept,
-               const std::string& why) override {
-      simulation.reach_point("before " + why, number);
-      for (const auto& [instance, one] : kept) disk[instance] = one;
-      simulation.reach_point("after " + why, number);
+    bool write(const std::map<std::string, LeaseOwner::PersistedInstance>& persisted,
+               const std::string& reason) override {
+      simulation.reach_point("before " + reason, number);
+      for (const auto& [instance, one] : persisted) disk[instance] = one;
+      simulation.reach_point("after " + reason, number);
       return true;
     }
     void start(const std::string& instance, int version) override {
@@ -119,9 +119,9 @@
       simulation.reach_point("killed", number);
     }
     void step_ended(const std::string&, const Step&, StepEnd, const std::string&) override {}
-    void lease_ended(const std::string& instance, const Lease& lease, LeaseTable::EndReason why) override {
-      if (why != LeaseTable::EndReason::run_out) return;
-      // By now the lease must have expired at the coordinator, which counts it from the request.
+    void lease_ended(const std::string& instance, const Lease& lease, LeaseTable::EndReason reason) override {
+      if (reason != LeaseTable::EndReason::run_out) return;
+      // By now the lease must have expired at the coordinator, which counts its duration from the request.
       for (const auto& coordinator : simulation.coordinators) {
         if (!coordinator || coordinator->rollout.plan().id != lease.operation) continue;
         const auto until = coordinator->rollout.lease_until(name);
@@ -181,13 +181,15 @@
     result.killed = true;
     killed_at = now;
     const std::size_t coordinator = coordinators.empty() ? agent : coordinators.front()->agent_at;
-    std::set<std::size_t> whom;
-    if (shape.kill_whom != "coordinator") whom.insert(agent);
-    if (shape.kill_whom != "passer") whom.insert(coordinator);
-    for (const std::size_t one : whom) kill(one);
-    if (!whom.contains(agent)) return;
+    std::set<std::size_t> killed;
+    if (shape.kill_whom != "coordinator") killed.insert(agent);
+    if (shape.kill_whom != "passer") killed.insert(coordinator);
+    for (const std::size_t one : killed) kill(one);
+    if (!killed.contains(agent)) return;
     throw Killed{};
   }
+  // Kills an agent. If the shape asks for it, the agent is started again later, with its coordinators
+  // restored from what they persisted.
   void kill(std::size_t number) {
     Agent& agent = *agents[number];
     agent.alive = false;
@@ -199,11 +201,11 @@
       for (auto& coordinator : coordinators) {
         if (coordinator->agent_at != number || coordinator->persisted_state == Rollout::State::planned)
           continue;
-        auto fresh = std::make_unique<Coordinator>(*this, number, coordinator->rollout.plan());
+        auto replacement = std::make_unique<Coordinator>(*this, number, coordinator->rollout.plan());
         const auto stages = coordinator->persisted_stages;
         const auto state = coordinator->persisted_state;
         replaced_coordinators.push_back(std::move(coordinator));
-        coordinator = std::move(fresh);
+        coordinator = std::move(replacement);
         const bool was_over = is_over(state);
         coordinator->persisted_state = state, coordinator->persisted_stages = stages;
         if (was_over) {
@@ -213,16 +215,17 @@
         run_guarded([&] { coordinator->rollout.restore(now, stages); });
         // After a while the operator resumes or aborts the rollout.
         const bool resumes = random() % 2;
-        schedule(now + draw_between(500, 4000), [this, resumes, which = coordinator.get()] {
-          if (agents[which->agent_at]->runs())
-            run_guarded([&] { resumes ? which->rollout.resume(now) : which->rollout.abort(now); });
+        schedule(now + draw_between(500, 4000), [this, resumes, restored = coordinator.get()] {
+          if (agents[restored->agent_at]->runs())
+            run_guarded([&] { resumes ? restored->rollout.resume(now) : restored->rollout.abort(now); });
         });
       }
     });
   }
   void start(Agent& agent) {
     agent.lease_owner = std::make_unique<LeaseOwner>(agent);
-    for (const auto& [instance, kept] : agent.disk) agent.lease_owner->add_instance(now, instance, kept);
+    for (const auto& [instance, persisted] : agent.disk)
+      agent.lease_owner->add_instance(now, instance, persisted);
   }
   // Runs decisions of an agent, which may be killed meanwhile, and counts their wall time.
   template <class Action>
@@ -264,6 +267,7 @@
       add_violation(result.below_floor,
                     name + " stops, with " + std::to_string(others) + " others in " + one.zone);
   }
+  // Ends the processes whose time has come.
   void update_processes() {
     for (Instance& one : instances) {
       if (!one.process) continue;
@@ -272,6 +276,7 @@
       if (one.process->ends_at && now >= *one.process->ends_at) one.process.reset();
     }
   }
+  // Lets an agent observe its instances and run its timer, every 100 ms.
   void observe_instances(Agent& agent) {
     if (agent.runs()) {
       for (Instance& one : instances) {
@@ -314,14 +319,15 @@
   }
 
   // Runs a coordinator's timer every 200 ms for as long as the coordinator exists.
-  void run_timer(Coordinator* which) {
-    if (agents[which->agent_at]->runs() && is_current(which))
-      run_guarded([&] { which->rollout.on_timer(now); });
-    if (is_current(which)) schedule(now + milliseconds(200), [this, which] { run_timer(which); });
+  void run_timer(Coordinator* coordinator) {
+    if (agents[coordinator->agent_at]->runs() && is_current(coordinator))
+      run_guarded([&] { coordinator->rollout.on_timer(now); });
+    if (is_current(coordinator))
+      schedule(now + milliseconds(200), [this, coordinator] { run_timer(coordinator); });
   }
   // False for a coordinator that was replaced when its agent was restarted.
-  bool is_current(const Coordinator* which) const {
-    return std::ranges::any_of(coordinators, [&](const auto& one) { return one.get() == which; });
+  bool is_current(const Coordinator* coordinator) const {
+    return std::ranges::any_of(coordinators, [&](const auto& one) { return one.get() == coordinator; });
   }
 
   Result play(RolloutPlan plan);
@@ -339,7 +345,7 @@
   std::vector<std::unique_ptr<Coordinator>> coordinators;
   std::vector<std::unique_ptr<Coordinator>> replaced_coordinators;  // replaced; events still refer to them
   TimePoint killed_at{};
-  bool finished = false;  // a coordinator was restarted after the end of its rollout
+  bool finished = false;  // a coordinator was restored after the end of its rollout
   std::chrono::steady_clock::duration spent{};
   StepKind kind = StepKind::restart;
   Result result;
--- a/src/lab/simulations/rollout_simulation.h
+++ b/src/lab/simulations/rollout_simulation.h
@@ -25,23 +25,21 @@
     // The kill point at which an agent is killed: one of all_points(), "random" for any of those that the run
     // reaches, or empty for none.
     std::string kill_at = "";
-    // The agent that is killed: "passer" for the one that reaches the point, "coordinator" for that of the
-    // first rollout, or "both".
+    // The agent that is killed: "passer" for the one that reaches the point, "coordinator" for the one that
+    // coordinates the first rollout, or "both".
     std::string kill_whom = "passer";
     int kill_pass = 1;                // the agent is killed when the point is reached for this time, from 1
     bool comes_back = true;           // killed agents are started again
     double cut_off = 0, stopped = 0;  // probabilities that one agent is partitioned or suspended for a while
-    double falls = 0;    // probability that an instance crashes right after the start of a version
-                         // other than 1
-    double hangs = 0;    // probability that an instance ignores requests to shut down
-    bool rival = false;  // a second operator starts a rollout that takes over the leases
+    double falls = 0;                 // probability that a version other than 1 crashes right after its start
+    double hangs = 0;                 // probability that an instance ignores requests to shut down
+    bool rival = false;               // a second operator starts a rollout that takes over the leases
   };
   struct Result {
     bool over = false;
     fleet::Rollout::State state{};
     // Violations.
-    std::uint64_t unknown_states =
-        0;  // instances whose real state differs from their agent's record at the end
+    std::uint64_t unknown_states = 0;  // instances at the end whose real state isn't what their agent records
     std::uint64_t fence_breaks = 0;    // steps accepted under an old fence
     std::uint64_t below_floor = 0;     // instances taken out of service below their zone's minimum
     std::uint64_t early_give_ups = 0;  // leases that expired at the agent before they did at the coordinator
@@ -51,7 +49,7 @@
     fleet::Duration recovery{};           // from the kill until no step, lease or unsettled instance is left
     double decision_us = 0;               // wall time per decision, mean
     std::set<std::string> points;         // kill points that were reached
-    bool going_back = false;              // the rollout is rolled back
+    bool going_back = false;              // the first rollout was rolled back
     std::map<std::string, int> versions;  // running at the end, by instance; 0: no process
     std::vector<std::string> faults;      // the first few violations, as text
   };
--- a/tests/test_characterization_decisions.cpp
+++ b/tests/test_characterization_decisions.cpp
@@ -5,9 +5,9 @@
 // explains the change.
 //
 // Wire: managers in the simulator's adapter, a separate process that is addressed only by its text protocol.
-// Events: the events and calls of the daemon that this protocol lacks. Rules: the rules that the daemon
-// checks before it writes to a socket. ManyManagers: the simulation of many managers over the same engines.
-// Only decision_calls.h depends on the C++ interface of the decisions.
+// Events: the events and calls of the daemon that this protocol lacks. Rules: the RuleGuard and its
+// records, which check attempts, retries, closed connections and admissions. ManyManagers: the simulation of
+// many managers over the same engines. Only decision_calls.h depends on the C++ interface of the decisions.
 #include <gtest/gtest.h>
 
 #include <cinttypes>
