--- a/src/lab/simulations/many_managers.cpp
+++ b/src/lab/simulations/many_managers.cpp
@@ -117,7 +117,8 @@
     const std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - wall_start;
     simulation.seen.calls += 1, simulation.seen.call_us += elapsed.count();
     while (!to_cancel.empty()) {
-      const auto [request, number] = to_cancel.back();
+      const RequestId request = to_cancel.back().first;
+      const int number = to_cancel.back().second;
       to_cancel.pop_back();
       for (auto& engine : simulation.engines) {
         std::erase_if(engine.running,
--- a/src/lab/simulations/rollout_simulation.cpp
+++ b/src/lab/simulations/rollout_simulation.cpp
@@ -299,7 +299,7 @@
   // ---- The network
   // Sends a message from one agent to another, with loss, duplicates and delay. `on_arrival` runs at the
   // receiver; it waits while the receiver is suspended and is dropped if the receiver is down.
-  void send(std::size_t from, std::size_t to, std::function<void()> on_arrival) {
+  void send(std::size_t from, std::size_t to, const std::function<void()>& on_arrival) {
     for (int copy = 0; copy < (draw_share() < shape.doubled ? 2 : 1); ++copy) {
       result.messages += 1;
       if (from != to && (draw_share() < shape.loss || agents[from]->is_cut_off || agents[to]->is_cut_off))
--- a/tests/test_capacity.cpp
+++ b/tests/test_capacity.cpp
@@ -352,9 +352,9 @@
   each_changed_figure_is_found(page, sections);
   // A page for other slopes differs.
   const std::vector<Slope> others = slopes.empty() ? small_slopes() : std::vector<Slope>();
-  Target whole = target;
-  whole.not_measured.clear();
-  expect_parts(error_of([&] { check_page(page, page_sections(whole, others)); }), {"the page", "--write"});
+  Target complete = target;
+  complete.not_measured.clear();
+  expect_parts(error_of([&] { check_page(page, page_sections(complete, others)); }), {"the page", "--write"});
 }
 
 void the_command_names_what_is_wrong() {
