--- a/src/admin/caller.cpp
+++ b/src/admin/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "admin/caller.h"
+#include "admin/admin_client.h"
 
 #include <array>
 #include <utility>
--- a/src/admin/caller.h
+++ b/src/admin/admin_client.h
@@ -14,7 +14,8 @@
 #include "admin.pb.h"
 #include "admin/endpoint.h"
 #include "admin/frames.h"
-#include "net/driver.h"
+#include "net/connection.h"
+#include "net/event_loop.h"
 
 namespace pearchute::admin {
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -7,7 +7,7 @@
 #include "admin.pb.h"
 #include "errors/error.h"
 #include "net/log.h"
-#include "net/owner_door.h"
+#include "net/owner_socket.h"
 
 namespace pearchute::admin {
 
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -11,8 +11,10 @@
 
 #include "admin/admin_config.h"
 #include "admin/session.h"
+#include "net/connection.h"
 #include "net/deferred_deletion.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::admin {
 
--- a/src/agent/config_service.h
+++ b/src/agent/config_service.h
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string>
 
-#include "admin/caller.h"
+#include "admin/admin_client.h"
 #include "agent/peers.h"
 #include "agent/process_supervisor.h"
 #include "fleet/config_spread.h"
--- a/src/agent/coordinator.cpp
+++ b/src/agent/coordinator.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "agent/loop_time.h"
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 #include "net/log.h"
 
 namespace pearchute::agent {
--- a/src/agent/gossip_codec.cpp
+++ b/src/agent/gossip_codec.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 
 namespace pearchute::agent {
 
--- a/src/agent/loop_time.h
+++ b/src/agent/loop_time.h
@@ -4,7 +4,7 @@
 
 #include "core/types.h"
 #include "fleet/time.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
 
 namespace pearchute::agent {
 
--- a/src/agent/manager_client.h
+++ b/src/agent/manager_client.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-#include "admin/caller.h"
+#include "admin/admin_client.h"
 #include "fleet/instance_lifecycle.h"
 
 namespace pearchute::agent {
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "agent/loop_time.h"
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 #include "net/log.h"
 #include "system/retries.h"
 
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -16,7 +16,7 @@
 #include "agent/manager_client.h"
 #include "agent/processes.h"
 #include "fleet/lease_owner.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
 #include "store/store.h"
 
 namespace pearchute::agent {
--- a/src/agent/wire.cpp
+++ b/src/agent/rollout_codec.cpp
@@ -1,4 +1,4 @@
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 
 #include <algorithm>
 #include <array>
--- a/src/agent/rollout_driver.cpp
+++ b/src/agent/rollout_driver.cpp
@@ -1,7 +1,7 @@
 #include "agent/rollout_driver.h"
 
 #include "agent/loop_time.h"
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 #include "net/log.h"
 
 namespace pearchute::agent {
--- a/src/agent/rpc_server.cpp
+++ b/src/agent/rpc_server.cpp
@@ -8,7 +8,7 @@
 #include "errors/error.h"
 #include "net/addresses.h"
 #include "net/log.h"
-#include "net/owner_door.h"
+#include "net/owner_socket.h"
 
 namespace pearchute::agent {
 
--- a/src/agent/rpc_server.h
+++ b/src/agent/rpc_server.h
@@ -13,6 +13,7 @@
 
 #include "agent/agent_config.h"
 #include "net/event_loop_thread.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::agent {
 
--- a/src/agent/rpc_service.cpp
+++ b/src/agent/rpc_service.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "agent/loop_time.h"
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 #include "errors/error.h"
 #include "net/log.h"
 
--- a/src/ctl/agent_client.cpp
+++ b/src/ctl/agent_client.cpp
@@ -3,8 +3,8 @@
 #include <future>
 
 #include "agent/grpc_credentials.h"
+#include "agent/rollout_codec.h"
 #include "agent/rpc_deadline.h"
-#include "agent/wire.h"
 
 namespace pearchute::ctl {
 
--- a/src/ctl/batch_executor.h
+++ b/src/ctl/batch_executor.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "admin/caller.h"
+#include "admin/admin_client.h"
 #include "ctl/fleet_file.h"
 #include "net/event_loop_thread.h"
 
--- a/src/ctl/rollouts.cpp
+++ b/src/ctl/rollouts.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <thread>
 
-#include "agent/wire.h"
+#include "agent/rollout_codec.h"
 #include "ctl/agents.h"
 
 namespace pearchute::ctl {
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -7,9 +7,10 @@
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 
-#include "engines/list.h"
+#include "engines/endpoint_list.h"
 #include "front/front.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
+#include "net/listening_socket.h"
 #include "net/log.h"
 
 namespace pearchute::net {
--- a/src/engines/list.cpp
+++ b/src/engines/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "engines/list.h"
+#include "engines/endpoint_list.h"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
--- a/src/engines/list.h
+++ b/src/engines/endpoint_list.h
@@ -11,9 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "engines/feed.h"
+#include "engines/event_stream.h"
 #include "engines/start_times.h"
-#include "net/driver.h"
+#include "net/connection.h"
+#include "net/event_loop.h"
 #include "net/log.h"
 #include "service/deployment.h"
 
--- a/src/engines/engines.cpp
+++ b/src/engines/engine_pool.cpp
@@ -1,9 +1,10 @@
-#include "engines/engines.h"
+#include "engines/engine_pool.h"
 
 #include <algorithm>
 #include <optional>
 
 #include "net/addresses.h"
+#include "net/connection.h"
 
 namespace pearchute::net {
 
--- a/src/engines/engines.h
+++ b/src/engines/engine_pool.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "engines/resp.h"
-#include "net/driver.h"
+#include "engines/engine_session.h"
+#include "net/event_loop.h"
 #include "net/log.h"
 #include "service/deployment.h"
 
--- a/src/engines/resp.cpp
+++ b/src/engines/engine_session.cpp
@@ -1,4 +1,4 @@
-#include "engines/resp.h"
+#include "engines/engine_session.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/engines/feed.cpp
+++ b/src/engines/event_stream.cpp
@@ -1,4 +1,4 @@
-#include "engines/feed.h"
+#include "engines/event_stream.h"
 
 namespace pearchute::net {
 
--- a/src/front/request_parser.cpp
+++ b/src/front/request_parser.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <limits>
 
-#include "engines/resp.h"
+#include "engines/engine_session.h"
 #include "service/flatten.h"
 
 namespace pearchute::net {
--- a/src/lab/load/client_connection.h
+++ b/src/lab/load/client_connection.h
@@ -10,7 +10,8 @@
 #include <string_view>
 
 #include "lab/load/load_checker.h"
-#include "net/driver.h"
+#include "net/connection.h"
+#include "net/event_loop.h"
 #include "net/http.h"
 
 namespace pearchute::lab {
--- a/src/lab/load/stand_in_engine_pool.cpp
+++ b/src/lab/load/stand_in_engine_pool.cpp
@@ -8,8 +8,10 @@
 #include <random>
 #include <unordered_map>
 
-#include "engines/resp.h"
+#include "engines/engine_session.h"
+#include "net/connection.h"
 #include "net/deferred_deletion.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::lab {
 
--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -7,7 +7,8 @@
 #include <filesystem>
 #include <vector>
 
-#include "engines/resp.h"
+#include "engines/engine_session.h"
+#include "net/connection.h"
 
 namespace pearchute::lab {
 
--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -8,9 +8,9 @@
 
 #include "admin.pb.h"
 #include "admin/admin_server.h"
-#include "engines/list.h"
+#include "engines/endpoint_list.h"
 #include "fleet/config_version.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
 #include "service/deployment.h"
 
 namespace pearchute::lab {
--- a/src/lab/stand_ins/clients.cpp
+++ b/src/lab/stand_ins/clients.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "net/connection.h"
+
 namespace pearchute::lab {
 
 using std::chrono::milliseconds;
--- a/src/lab/stand_ins/clients.h
+++ b/src/lab/stand_ins/clients.h
@@ -12,7 +12,7 @@
 
 #include "lab/checkers/history_checker.h"
 #include "net/deferred_deletion.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
 #include "net/http.h"
 
 namespace pearchute::lab {
--- a/src/lab/stand_ins/engine.cpp
+++ b/src/lab/stand_ins/engine.cpp
@@ -2,7 +2,8 @@
 
 #include <algorithm>
 
-#include "engines/resp.h"
+#include "engines/engine_session.h"
+#include "net/connection.h"
 
 namespace pearchute::lab {
 
--- a/src/lab/stand_ins/engine.h
+++ b/src/lab/stand_ins/engine.h
@@ -15,7 +15,8 @@
 
 #include "lab/checkers/history_checker.h"
 #include "net/deferred_deletion.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::lab {
 
--- a/src/lab/stand_ins/engine_list_channel.cpp
+++ b/src/lab/stand_ins/engine_list_channel.cpp
@@ -2,6 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
+#include "net/connection.h"
+
 namespace pearchute::lab {
 
 class StandInChannel::Line final : public net::Connection::Listener, public net::HttpServerSide::Listener {
--- a/src/lab/stand_ins/engine_list_channel.h
+++ b/src/lab/stand_ins/engine_list_channel.h
@@ -9,8 +9,9 @@
 #include <vector>
 
 #include "net/deferred_deletion.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
 #include "net/http.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::lab {
 
--- a/src/lab/stand_ins/relay.cpp
+++ b/src/lab/stand_ins/relay.cpp
@@ -6,6 +6,8 @@
 
 #include <deque>
 
+#include "net/connection.h"
+
 namespace pearchute::lab {
 
 using std::chrono::milliseconds;
--- a/src/lab/stand_ins/relay.h
+++ b/src/lab/stand_ins/relay.h
@@ -13,7 +13,8 @@
 #include <vector>
 
 #include "lab/checkers/history_checker.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::lab {
 
--- a/src/lab/stand_ins/test_cluster.h
+++ b/src/lab/stand_ins/test_cluster.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "admin/caller.h"
+#include "admin/admin_client.h"
 #include "lab/stand_ins/clients.h"
 #include "lab/stand_ins/engine.h"
 #include "lab/stand_ins/engine_list_channel.h"
--- a/src/net/wire.cpp
+++ b/src/net/connection.cpp
@@ -1,9 +1,11 @@
 // Connection: one TCP connection, from connecting to closing.
+#include "net/connection.h"
+
 #include <algorithm>
 #include <array>
 #include <cstring>
 
-#include "net/driver.h"
+#include "net/event_loop.h"
 
 namespace pearchute::net {
 
--- a/src/net/deferred_deletion.h
+++ b/src/net/deferred_deletion.h
@@ -5,7 +5,8 @@
 #include <memory>
 #include <vector>
 
-#include "net/driver.h"
+#include "net/connection.h"
+#include "net/event_loop.h"
 
 namespace pearchute::net {
 
--- a/src/net/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,11 +1,13 @@
 // Loop and BufferPool: polling, timers, posted callbacks.
+#include "net/event_loop.h"
+
 #include <sys/epoll.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "net/driver.h"
+#include "net/connection.h"
 #include "net/log.h"
 
 namespace pearchute::net {
--- a/src/net/event_loop_thread.h
+++ b/src/net/event_loop_thread.h
@@ -10,7 +10,7 @@
 #include <thread>
 #include <type_traits>
 
-#include "net/driver.h"
+#include "net/event_loop.h"
 
 namespace pearchute::net {
 
--- a/src/net/door.cpp
+++ b/src/net/listening_socket.cpp
@@ -1,8 +1,10 @@
 // ListeningSocket: accepting connections.
+#include "net/listening_socket.h"
+
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "net/driver.h"
+#include "net/event_loop.h"
 
 namespace pearchute::net {
 
--- a/src/net/owner_door.cpp
+++ b/src/net/owner_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/owner_door.h"
+#include "net/owner_socket.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
--- a/src/net/owner_door.h
+++ b/src/net/owner_socket.h
@@ -6,7 +6,8 @@
 #include <memory>
 #include <string>
 
-#include "net/driver.h"
+#include "net/event_loop.h"
+#include "net/listening_socket.h"
 
 namespace pearchute::net {
 
--- a/tests/scripted_engine.h
+++ b/tests/scripted_engine.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "daemon_fixture.h"
-#include "engines/resp.h"
+#include "engines/engine_session.h"
 
 namespace pearchute::test {
 
--- a/tests/test_characterization_wire.cpp
+++ b/tests/test_characterization_wire.cpp
@@ -18,7 +18,7 @@
 #include "admin/session.h"
 #include "core/rule_guard.h"
 #include "daemon_fixture.h"
-#include "engines/resp.h"
+#include "engines/engine_session.h"
 #include "net/log.h"
 #include "net/reasons.h"
 #include "scripted_discovery.h"
--- a/tests/test_daemon.cpp
+++ b/tests/test_daemon.cpp
@@ -3,9 +3,10 @@
 // SIGTERM.
 #include <fstream>
 
-#include "engines/engines.h"
+#include "engines/engine_pool.h"
 #include "lab/stand_ins/engine.h"
 #include "lab/stand_ins/engine_list_channel.h"
+#include "net/connection.h"
 #include "net/event_loop_thread.h"
 #include "sockets.h"
 
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -14,7 +14,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "engines/engines.h"
+#include "engines/engine_pool.h"
 #include "lab/stand_ins/admin_endpoints.h"
 #include "lab/stand_ins/test_cluster.h"
 
--- a/tests/test_load.cpp
+++ b/tests/test_load.cpp
@@ -12,6 +12,8 @@
 #include "lab/checkers/process_usage.h"
 #include "lab/load/load_cluster.h"
 #include "lab/load/load_generator.h"
+#include "net/connection.h"
+#include "net/listening_socket.h"
 
 using namespace pearchute;
 using namespace pearchute::lab;
--- a/tests/test_stalls.cpp
+++ b/tests/test_stalls.cpp
@@ -4,6 +4,7 @@
 #include <cstring>
 
 #include "daemon_fixture.h"
+#include "net/connection.h"
 #include "scenarios.h"
 
 using namespace pearchute::test;
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -6,11 +6,11 @@
 #include <random>
 #include <string>
 
-#include "engines/feed.h"
-#include "engines/list.h"
-#include "engines/resp.h"
+#include "engines/endpoint_list.h"
+#include "engines/engine_session.h"
+#include "engines/event_stream.h"
 #include "front/statement.h"
-#include "net/driver.h"
+#include "net/event_loop.h"
 #include "net/http.h"
 #include "service/flatten.h"
 
