--- a/src/lab/faults/fault_control.h
+++ b/src/lab/faults/fault_control.h
@@ -1,7 +1,7 @@
-// The memory that the laboratory shares with a program whose system calls it makes fail: how often each kind
-// of failure is to strike, how far the wall clock is off, and how often each kind has struck which call. A
-// plain file, mapped by both; all fields are lock-free atomics, so that either side may be killed at any
-// time.
+// The memory that the laboratory shares with a program under fault injection: the share of calls that fail
+// for each kind of fault, the offset of the wall clock, and counters of the calls that failed or passed. It
+// is a plain file that both processes map; all fields are lock-free atomics, so that either process may be
+// killed at any time.
 #pragma once
 
 #include <array>
@@ -12,27 +12,27 @@
 
 namespace pearchute::lab {
 
-// What Linux documents as failing for a moment. Which error number is drawn, where there are several, is up
-// to the seed.
+// Transient failures that Linux documents. Where a kind lists several error numbers, the seed decides which
+// one a call returns.
 enum class FaultKind : std::size_t {
-  receive_interrupted,  // recv: EINTR, nothing read
-  receive_short,        // recv: fewer bytes than there are
-  receive_broken,       // recv on an engine's connection: ETIMEDOUT, EHOSTUNREACH
-  send_interrupted,     // send: EINTR, nothing written
-  send_short,           // send: fewer bytes than would go
+  receive_interrupted,  // recv, recvmsg: EINTR, nothing read
+  receive_short,        // recv: returns fewer bytes than are available
+  receive_broken,       // recv on a connection that the program opened: ETIMEDOUT, EHOSTUNREACH
+  send_interrupted,     // send, sendmsg: EINTR, nothing written
+  send_short,           // send: writes fewer bytes than the socket would take
   accept_fails,         // accept: ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM
-  accept_odd,           // accept: of the one connection, as accept(2) has them: ETIMEDOUT, EPROTO, ENOSR, ...
-  socket_fails,         // socket: ENFILE, EMFILE, ENOBUFS
-  connect_fails,        // connect: EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH
-  connect_interrupted,  // connect: EINTR, nothing begun
+  accept_odd,     // accept: errors of one connection, listed in accept(2): ETIMEDOUT, EPROTO, ENOSR, ...
+  socket_fails,   // socket: ENFILE, EMFILE, ENOBUFS
+  connect_fails,  // connect: EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH
+  connect_interrupted,  // connect: EINTR, no connection started
   watch_fails,          // epoll_ctl: ENOMEM, ENOSPC
-  wait_interrupted,     // epoll_wait, poll: EINTR, some time into the wait
-  open_fails,           // open of a regular file: ENFILE, EMFILE, EINTR
-  resolve_slow,         // getaddrinfo: a second and a half, then EAI_AGAIN
+  wait_interrupted,     // epoll_wait, poll: EINTR after part of the wait
+  open_fails,           // open, fopen: ENFILE, EMFILE, EINTR
+  resolve_slow,         // getaddrinfo: EAI_AGAIN after 1.5 s
   process_fails,        // fork: EAGAIN, ENOMEM
-  folder_write_fails,   // write, pwrite below the folder: ENOSPC, EIO
-  folder_write_short,   // the same: fewer bytes than asked
-  folder_sync_fails,    // fsync, fdatasync below the folder: EIO, ENOSPC
+  folder_write_fails,   // write, pwrite of a file in the folder: ENOSPC, EIO
+  folder_write_short,   // write, pwrite of a file in the folder: fewer bytes than requested
+  folder_sync_fails,    // fsync, fdatasync of a file in the folder: EIO, ENOSPC
   count
 };
 inline constexpr std::size_t fault_kinds = static_cast<std::size_t>(FaultKind::count);
@@ -45,19 +45,21 @@
     "folder_write_short",  "folder_sync_fails"};
 
 struct FaultControl {
-  std::array<std::atomic<std::uint32_t>, fault_kinds> per_million;  // of the calls, that fail
-  std::array<std::atomic<std::uint64_t>, fault_kinds> struck;       // calls that have failed so far
-  std::array<std::atomic<std::uint64_t>, fault_kinds> passed;       // calls of that kind that went on
+  std::array<std::atomic<std::uint32_t>, fault_kinds> per_million;  // failing calls per million
+  std::array<std::atomic<std::uint64_t>, fault_kinds> struck;       // calls that failed
+  std::array<std::atomic<std::uint64_t>, fault_kinds>
+      passed;  // calls that passed while their share was above 0
   std::atomic<std::int64_t> wall_clock_offset_ns;
-  std::atomic<std::uint64_t> wall_clock_reads;  // that were answered with an offset other than 0
+  std::atomic<std::uint64_t> wall_clock_reads;  // reads that returned a shifted time
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
 
-// The environment of a program whose calls are to fail.
-inline constexpr const char* fault_control_variable = "PEARCHUTE_FAULT_CONTROL";  // the file to map
-inline constexpr const char* fault_seed_variable = "PEARCHUTE_FAULT_SEED";        // a number
+// Environment variables that the preloaded library reads.
+inline constexpr const char* fault_control_variable = "PEARCHUTE_FAULT_CONTROL";  // path of the control file
+inline constexpr const char* fault_seed_variable = "PEARCHUTE_FAULT_SEED";        // decimal number
 inline constexpr const char* fault_program_variable =
-    "PEARCHUTE_FAULT_PROGRAM";                                                  // its file name; others pass
-inline constexpr const char* fault_folder_variable = "PEARCHUTE_FAULT_FOLDER";  // where writes may fail
+    "PEARCHUTE_FAULT_PROGRAM";  // file name of the executable; no fault in others
+inline constexpr const char* fault_folder_variable =
+    "PEARCHUTE_FAULT_FOLDER";  // writes and syncs fail only for files in this folder
 
 }  // namespace pearchute::lab
--- a/src/lab/faults/fault_injection.cpp
+++ b/src/lab/faults/fault_injection.cpp
@@ -13,15 +13,15 @@
 FaultInjection::FaultInjection(std::string library, std::string file, std::string program, std::uint64_t seed)
     : library_(std::move(library)), file_(std::move(file)), program_(std::move(program)), seed_(seed) {
   if (::access(library_.c_str(), R_OK) != 0)
-    throw SystemError("the library of faults is not there", library_,
+    throw SystemError("fault injection library not found", library_,
                       "build the laboratory (PEARCHUTE_LAB=ON)");
   const int descriptor = ::open(file_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (descriptor < 0 || ::ftruncate(descriptor, sizeof(FaultControl)) != 0)
-    throw SystemError("the control file of faults can't be made", file_);
+    throw SystemError("can't create the fault control file", file_);
   void* mapped = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
   ::close(descriptor);
-  if (mapped == MAP_FAILED) throw SystemError("the control file of faults can't be mapped", file_);
-  control_ = static_cast<FaultControl*>(mapped);  // all zero: nothing fails
+  if (mapped == MAP_FAILED) throw SystemError("can't map the fault control file", file_);
+  control_ = static_cast<FaultControl*>(mapped);  // all zero: no call fails
 }
 
 FaultInjection::~FaultInjection() {
@@ -30,12 +30,14 @@
 }
 
 std::vector<std::pair<std::string, std::string>> FaultInjection::environment() const {
-  return {{"LD_PRELOAD", library_},
-          {"ASAN_OPTIONS", "verify_asan_link_order=0"},  // a sanitized program has its own library behind
-          {fault_control_variable, file_},
-          {fault_seed_variable, std::to_string(seed_)},
-          {fault_program_variable, program_},
-          {fault_folder_variable, folder_}};
+  return {
+      {"LD_PRELOAD", library_},
+      {"ASAN_OPTIONS",
+       "verify_asan_link_order=0"},  // a sanitizer's runtime would refuse to load after the preloaded library
+      {fault_control_variable, file_},
+      {fault_seed_variable, std::to_string(seed_)},
+      {fault_program_variable, program_},
+      {fault_folder_variable, folder_}};
 }
 
 void FaultInjection::set(FaultKind kind, double share) {
--- a/src/lab/faults/fault_injection.h
+++ b/src/lab/faults/fault_injection.h
@@ -1,5 +1,5 @@
-// The laboratory's hold on one program whose system calls are to fail: makes the control file, sets how often
-// each kind strikes while the program runs, steps its wall clock, and reads what has struck.
+// Controls fault injection in one program: creates the control file, sets the share of failing calls while
+// the program runs, steps the wall clock that the program reads, and reads the counters of injected faults.
 #pragma once
 
 #include <chrono>
@@ -14,24 +14,26 @@
 
 class FaultInjection {
  public:
-  // `file` is made anew and goes with this object. `library` is the preloaded library's path. Throws
+  // Creates the control file at `file`, or truncates it; the destructor removes it. `library` is the path of
+  // the preloaded library and `program` the file name of the executable in which calls fail. Throws
   // SystemError.
   FaultInjection(std::string library, std::string file, std::string program, std::uint64_t seed);
   ~FaultInjection();
   FaultInjection(const FaultInjection&) = delete;
   FaultInjection& operator=(const FaultInjection&) = delete;
 
-  // What the program's environment has to hold, by name.
+  // The environment variables, as name and value, that the program must be started with.
   std::vector<std::pair<std::string, std::string>> environment() const;
-  void set_folder(std::string folder) { folder_ = std::move(folder); }  // before the program starts
+  void set_folder(std::string folder) { folder_ = std::move(folder); }  // call before environment()
 
+  // Makes calls of this kind fail with probability `share`, from 0 to 1.
   void set(FaultKind kind, double share);
   void set_none();
-  void step_wall_clock(std::chrono::nanoseconds offset);  // from the machine's own time
+  void step_wall_clock(std::chrono::nanoseconds offset);  // relative to the machine's time
 
-  std::uint64_t struck(FaultKind kind) const;
-  std::uint64_t passed(FaultKind kind) const;
-  std::uint64_t wall_clock_reads() const;  // while the clock was off
+  std::uint64_t struck(FaultKind kind) const;  // calls that failed
+  std::uint64_t passed(FaultKind kind) const;  // calls that passed while their share was above 0
+  std::uint64_t wall_clock_reads() const;      // reads that returned a shifted time
 
  private:
   const std::string library_, file_, program_;
--- a/src/lab/faults/fault_injector.cpp
+++ b/src/lab/faults/fault_injector.cpp
@@ -1,7 +1,8 @@
-// A preloaded library that makes system calls of one named program fail now and then, as Linux documents that
-// they may, and shifts its wall clock. It is built with the laboratory and never linked into a program. Which
-// calls fail follows from the seed and the calls made so far; how many of each kind have failed is counted in
-// the shared control file (fault_control.h). Without that file, or in another program, every call passes.
+// A library for LD_PRELOAD that makes a share of the system calls of one named program fail with errors that
+// Linux documents, and shifts the wall clock that the program reads. It is built with the laboratory and
+// never linked into a program. The seed and the number of random draws so far decide which calls fail; the
+// shared control file (fault_control.h) counts the failures of each kind. Without that file, or in another
+// program, every call passes.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -36,7 +37,7 @@
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-// The next definition of the function named, looked up once.
+// Declares `real`, the definition of the function that this library overrides; looked up once.
 #define NEXT(name) static const auto real = next_function<decltype(::name)>(#name)
 
 class Injector {
@@ -113,13 +114,13 @@
   char folder_[4096] = {};
 };
 
-// Never destroyed: calls are made until the very end of the process.
+// Never destroyed, because the process makes system calls until it exits, after static destructors have run.
 Injector& injector() {
   static Injector* const only = new Injector;
   return *only;
 }
 
-// Of this program's own connections, by their own port.
+// Marks the local ports of connections that this program opened.
 std::array<std::atomic<bool>, 65536> outgoing_ports{};
 
 void note_outgoing(int descriptor) {
@@ -131,8 +132,8 @@
   errno = before;
 }
 
-// Whether this side has opened the connection. Those that it has accepted are clients', whose break is their
-// own doing and no failure of a call.
+// Whether this program opened the connection. Accepted connections belong to clients; a break of one of those
+// is the client's action and no failure of a system call, so they are not broken.
 bool is_outgoing(int descriptor) {
   sockaddr_in own{}, peer{};
   socklen_t own_size = sizeof own, peer_size = sizeof peer;
@@ -147,7 +148,7 @@
   return length < 2 ? length : 1 + injector().draw() % (length - 1);
 }
 
-// Whether a write fails, with its error number set; else its length may have become shorter.
+// Returns whether the write fails, with errno set. If it doesn't fail, `length` may have been shortened.
 bool folder_write_fails(int descriptor, size_t& length) {
   if (!injector().active() || !injector().is_below_folder(descriptor)) return false;
   if (injector().strikes(FaultKind::folder_write_fails)) return injector().fail_with({ENOSPC, EIO}) < 0;
@@ -160,8 +161,8 @@
   return injector().strikes(FaultKind::folder_sync_fails) && injector().fail_with({EIO, ENOSPC}) < 0;
 }
 
-// With its error number set.
-bool accept_is_to_fail() {
+// Sets errno if it returns true.
+bool accept_fails() {
   if (injector().strikes(FaultKind::accept_fails))
     return injector().fail_with({ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM}) < 0;
   if (injector().strikes(FaultKind::accept_odd))
@@ -170,8 +171,8 @@
   return false;
 }
 
-// A wait that ends by a signal some time into it.
-void wait_part_of(int timeout_ms) {
+// Sleeps for a random part of the timeout, 50 ms at most, as before a signal interrupts a wait.
+void sleep_for_part_of(int timeout_ms) {
   if (timeout_ms <= 1) return;
   const auto part_ms = injector().draw() % static_cast<std::uint64_t>(std::min(timeout_ms, 50));
   const timespec part{0, static_cast<long>(part_ms) * 1'000'000};
@@ -202,13 +203,13 @@
 
 int accept(int descriptor, sockaddr* address, socklen_t* size) {
   NEXT(accept);
-  if (accept_is_to_fail()) return -1;
+  if (accept_fails()) return -1;
   return real(descriptor, address, size);
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
   NEXT(accept4);
-  if (accept_is_to_fail()) return -1;
+  if (accept_fails()) return -1;
   return real(descriptor, address, size, flags);
 }
 
@@ -236,19 +237,19 @@
   return real(descriptor, operation, watched, event);
 }
 
-int epoll_wait(int descriptor, epoll_event* events, int most, int timeout_ms) {
+int epoll_wait(int descriptor, epoll_event* events, int max_events, int timeout_ms) {
   NEXT(epoll_wait);
   if (timeout_ms != 0 && injector().strikes(FaultKind::wait_interrupted)) {
-    wait_part_of(timeout_ms);
+    sleep_for_part_of(timeout_ms);
     return injector().fail_with({EINTR});
   }
-  return real(descriptor, events, most, timeout_ms);
+  return real(descriptor, events, max_events, timeout_ms);
 }
 
 int poll(pollfd* descriptors, nfds_t count, int timeout_ms) {
   NEXT(poll);
   if (injector().strikes(FaultKind::wait_interrupted)) {
-    wait_part_of(timeout_ms);
+    sleep_for_part_of(timeout_ms);
     return injector().fail_with({EINTR});
   }
   return real(descriptors, count, timeout_ms);
@@ -274,7 +275,7 @@
   return real(path, flags, mode);
 }
 
-// The C library opens its streams by itself, past the two above.
+// The C library opens streams internally, without calling the two functions above.
 FILE* fopen(const char* path, const char* mode) {
   NEXT(fopen);
   if (injector().strikes(FaultKind::open_fails))
@@ -292,8 +293,8 @@
 int getaddrinfo(const char* node, const char* service, const addrinfo* hints, addrinfo** result) {
   NEXT(getaddrinfo);
   if (injector().strikes(FaultKind::resolve_slow)) {
-    constexpr timespec patience{1, 500'000'000};
-    ::nanosleep(&patience, nullptr);
+    constexpr timespec delay{1, 500'000'000};
+    ::nanosleep(&delay, nullptr);
     return EAI_AGAIN;
   }
   return real(node, service, hints, result);
