--- a/src/lab/checkers/history_checker.cpp
+++ b/src/lab/checkers/history_checker.cpp
@@ -11,303 +11,328 @@
   return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-void HistoryChecker::fault(std::uint64_t& count, const std::string& what) {
+void HistoryChecker::report_violation(std::uint64_t& count, const std::string& description) {
   ++count;
-  if (verdict_.faults.size() < 20) verdict_.faults.push_back(what);
+  if (verdict_.faults.size() < 20) verdict_.faults.push_back(description);
 }
 
-void HistoryChecker::own_delay(Time delay) {
+void HistoryChecker::on_own_delay(Time delay) {
   const Time now = steady_now();
-  constexpr std::chrono::seconds counts_for(2);
-  while (!delays_.empty() && delays_.front().first + counts_for < now) delays_.pop_front();
-  constexpr milliseconds least(5);
-  if (delay >= least) delays_.emplace_back(now, delay);
+  constexpr std::chrono::seconds kept_for(2);
+  while (!own_delays_.empty() && own_delays_.front().first + kept_for < now) own_delays_.pop_front();
+  constexpr milliseconds min_delay(5);
+  if (delay >= min_delay) own_delays_.emplace_back(now, delay);
 }
 
-Time HistoryChecker::slack() const {
-  Time most = milliseconds(10);  // two ways through a relay, and the network's own
-  for (const auto& [when, delay] : delays_) most = std::max<Time>(most, milliseconds(10) + 2 * delay);
-  return most;
+Time HistoryChecker::clock_tolerance() const {
+  constexpr milliseconds network_time(10);  // twice the way through a relay, and the network itself
+  Time tolerance = network_time;
+  for (const auto& [when, delay] : own_delays_)
+    tolerance = std::max<Time>(tolerance, network_time + 2 * delay);
+  return tolerance;
 }
 
-void HistoryChecker::engine_starts(const std::string& engine, int cores) {
+void HistoryChecker::on_engine_started(const std::string& engine, int cores) {
   if (!terms_.cold) return;
-  cold_[engine] = {steady_now(), terms_.cold->most_work_ms(cores), {}};
+  warming_engines_[engine] = {steady_now(), terms_.cold->most_work_ms(cores), {}};
 }
 
-// Its order counts from when its last byte is with the manager's machine.
+// A request takes its place in the order of its key when its last byte has reached the manager's machine.
 void HistoryChecker::written(const std::string& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.is_closed()) return;
-  Job& job = at->second;
+  const auto at = requests_.find(id);
+  if (at == requests_.end() || at->second.is_closed()) return;
+  Request& request = at->second;
   if (terms_.ration) {
-    std::deque<Time>& taken = taken_[job.manager];
-    taken.push_back(steady_now());
-    while (taken.front() + terms_.ration->window + std::chrono::seconds(1) < steady_now()) taken.pop_front();
+    std::deque<Time>& accepted = accepted_[request.manager];
+    accepted.push_back(steady_now());
+    while (accepted.front() + terms_.ration->window + std::chrono::seconds(1) < steady_now())
+      accepted.pop_front();
   }
-  if (!job.kind.in_order) return;
-  Line& line = lines_[job.key];
-  line.manager = job.manager;
-  job.turn = line.next_turn++;
-  line.earlier.push_back(id);
+  if (!request.kind.in_order) return;
+  KeyQueue& queue = key_queues_[request.key];
+  queue.manager = request.manager;
+  request.sequence = queue.next_sequence++;
+  queue.pending.push_back(id);
 }
 
 void HistoryChecker::crossed(const std::string& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || !at->second.kind.in_order) return;
-  std::erase(lines_[at->second.key].earlier, id);
+  const auto at = requests_.find(id);
+  if (at == requests_.end() || !at->second.kind.in_order) return;
+  std::erase(key_queues_[at->second.key].pending, id);
   std::erase_if(overtaken_, [&](const Overtaken& one) { return one.earlier == id; });
 }
 
 void HistoryChecker::sent(const std::string& id, int manager, const Kind& kind, std::uint64_t key,
                           Time until) {
-  // What has been over for long is forgotten: late second answers come within seconds.
-  while (!over_.empty() && over_.front().first + std::chrono::seconds(10) < steady_now()) {
-    jobs_.erase(over_.front().second);
-    over_.pop_front();
+  // Requests are kept for 10 s after they close, because a second answer would arrive within seconds.
+  while (!closed_.empty() && closed_.front().first + std::chrono::seconds(10) < steady_now()) {
+    requests_.erase(closed_.front().second);
+    closed_.pop_front();
   }
-  Job& job = jobs_[id];
-  job.manager = manager, job.kind = kind, job.key = key, job.until = until;
-  ++verdict_.sent, ++open_;
+  Request& request = requests_[id];
+  request.manager = manager, request.kind = kind, request.key = key, request.deadline = until;
+  ++verdict_.sent, ++open_count_;
 }
 
-void HistoryChecker::closed(const std::string& id, Job& job) {
-  --open_;
-  over_.emplace_back(steady_now(), id);
-  if (job.kind.in_order && lines_[job.key].out == id && !job.is_out()) lines_[job.key].out.clear();
-  judge_overtaken();
+void HistoryChecker::close(const std::string& id, Request& request) {
+  --open_count_;
+  closed_.emplace_back(steady_now(), id);
+  if (request.kind.in_order && key_queues_[request.key].running_id == id && !request.is_running())
+    key_queues_[request.key].running_id.clear();
+  check_overtaken();
 }
 
-// What the earlier one still lacked when the later one began came in the moments after, or never should have.
-void HistoryChecker::judge_overtaken() {
-  constexpr milliseconds on_its_way(60);
+// When a later request starts, the earlier one may still be open here because its answer is on the way. It
+// counts as a violation only if the earlier one stays open.
+void HistoryChecker::check_overtaken() {
+  constexpr milliseconds max_answer_delay(60);
   std::erase_if(overtaken_, [&](const Overtaken& one) {
-    const auto at = jobs_.find(one.earlier);
-    const bool has_ended = at == jobs_.end() || at->second.is_closed();
-    const bool is_due = steady_now() - one.at > on_its_way + slack();
-    if (is_due && !dead_managers_.contains(at == jobs_.end() ? -1 : at->second.manager))
-      fault(verdict_.disorder, one.later + " began while " + one.earlier + " of its key was open");
+    const auto at = requests_.find(one.earlier);
+    const bool has_ended = at == requests_.end() || at->second.is_closed();
+    const bool is_due = steady_now() - one.at > max_answer_delay + clock_tolerance();
+    if (is_due && !killed_managers_.contains(at == requests_.end() ? -1 : at->second.manager))
+      report_violation(verdict_.disorder,
+                       one.later + " started while " + one.earlier + " of the same key was open");
     return has_ended || is_due;
   });
 }
 
-void HistoryChecker::forget_lines_of(int manager) {
+void HistoryChecker::reset_manager_state(int manager) {
   std::erase_if(overtaken_, [&](const Overtaken& one) {
-    const auto at = jobs_.find(one.earlier);
-    return at == jobs_.end() || at->second.manager == manager;
+    const auto at = requests_.find(one.earlier);
+    return at == requests_.end() || at->second.manager == manager;
   });
-  for (auto& [key, line] : lines_) {
-    if (line.manager != manager) continue;
-    line.out.clear(), line.earlier.clear();
-    line.rests_until = {}, line.last_begun = line.next_turn - 1;
+  for (auto& [key, queue] : key_queues_) {
+    if (queue.manager != manager) continue;
+    queue.running_id.clear(), queue.pending.clear();
+    queue.quiet_until = {}, queue.last_started_sequence = queue.next_sequence - 1;
   }
-  taken_.erase(manager), further_.erase(manager);
+  accepted_.erase(manager), retries_.erase(manager);
 }
 
 void HistoryChecker::answered(const std::string& id, Answer answer) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) return fault(verdict_.doubled, "an answer to no job: " + id);
-  Job& job = at->second;
-  if (std::exchange(job.excused, false)) return void(++job.answers);  // what the killed manager had written
-  if (++job.answers > 1 || job.given_up) return fault(verdict_.doubled, "a second answer to " + id);
+  const auto at = requests_.find(id);
+  if (at == requests_.end())
+    return report_violation(verdict_.doubled, "an answer to an unknown request: " + id);
+  Request& request = at->second;
+  if (std::exchange(request.excused, false))
+    return void(++request.answers);  // written before the manager was killed
+  if (++request.answers > 1 || request.given_up)
+    return report_violation(verdict_.doubled, "a second answer to " + id);
   ++(answer == Answer::done ? verdict_.done : answer == Answer::refused ? verdict_.refused : verdict_.failed);
-  // The way back may take a moment where the machine is busy.
-  if (steady_now() > job.until + milliseconds(50)) fault(verdict_.late, "an answer after its time: " + id);
-  closed(id, job);
+  // On a busy machine the answer may take a moment to arrive.
+  if (steady_now() > request.deadline + milliseconds(50))
+    report_violation(verdict_.late, "an answer after the deadline: " + id);
+  close(id, request);
 }
 
 void HistoryChecker::unanswered(const std::string& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.answers > 0 || at->second.given_up) return;
+  const auto at = requests_.find(id);
+  if (at == requests_.end() || at->second.answers > 0 || at->second.given_up) return;
   at->second.given_up = true;
-  if (dead_managers_.contains(at->second.manager)) {
+  if (killed_managers_.contains(at->second.manager)) {
     ++verdict_.excused;
-    return closed(id, at->second);
+    return close(id, at->second);
   }
-  fault(verdict_.lost, "no answer to " + id + ", sent to manager " + std::to_string(at->second.manager));
-  closed(id, at->second);
+  report_violation(verdict_.lost,
+                   "no answer to " + id + ", sent to manager " + std::to_string(at->second.manager));
+  close(id, at->second);
 }
 
 void HistoryChecker::withdrawn(const std::string& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.answers > 0 || at->second.given_up) return;
+  const auto at = requests_.find(id);
+  if (at == requests_.end() || at->second.answers > 0 || at->second.given_up) return;
   at->second.given_up = true;
   at->second.left_at = steady_now();
   ++verdict_.withdrawn;
-  closed(id, at->second);
+  close(id, at->second);
 }
 
 void HistoryChecker::unreached(const std::string& id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.answers > 0 || at->second.given_up) return;
+  const auto at = requests_.find(id);
+  if (at == requests_.end() || at->second.answers > 0 || at->second.given_up) return;
   at->second.given_up = true;
   ++verdict_.unreached;
-  closed(id, at->second);
+  close(id, at->second);
 }
 
-// Order, rests and rations count from a manager's start.
+// Order, quiet periods and retry budgets start afresh with the manager's process.
 void HistoryChecker::manager_lives(int manager) {
-  dead_managers_.erase(manager);
-  forget_lines_of(manager);
+  killed_managers_.erase(manager);
+  reset_manager_state(manager);
 }
 
 void HistoryChecker::manager_died(int manager) {
-  dead_managers_.insert(manager);
-  for (auto& [id, job] : jobs_) {
-    if (job.manager != manager || job.answers > 0 || job.given_up) continue;
-    job.given_up = job.excused = true;
+  killed_managers_.insert(manager);
+  for (auto& [id, request] : requests_) {
+    if (request.manager != manager || request.answers > 0 || request.given_up) continue;
+    request.given_up = request.excused = true;
     ++verdict_.excused;
-    closed(id, job);
+    close(id, request);
   }
-  forget_lines_of(manager);
+  reset_manager_state(manager);
 }
 
-void HistoryChecker::told_wait(const std::string& id, milliseconds wait) {
-  constexpr milliseconds slack(150);
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) return;
-  const Time left = at->second.until - steady_now();
-  if (wait > left + slack)
-    fault(verdict_.waits_too_long, id + " is to wait " + std::to_string(wait.count()) + " ms, " +
-                                       std::to_string(left.count() / 1000) + " ms are left");
+void HistoryChecker::on_time_limit_received(const std::string& id, milliseconds wait) {
+  constexpr milliseconds tolerance(150);
+  const auto at = requests_.find(id);
+  if (at == requests_.end()) return;
+  const Time left = at->second.deadline - steady_now();
+  if (wait > left + tolerance)
+    report_violation(verdict_.waits_too_long, id + " has a time limit of " + std::to_string(wait.count()) +
+                                                  " ms, but " + std::to_string(left.count() / 1000) +
+                                                  " ms are left");
 }
 
-void HistoryChecker::begun(const std::string& engine, const std::string& id, bool lay_unread) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) return;
-  Job& job = at->second;
+void HistoryChecker::begun(const std::string& engine, const std::string& id, bool was_backlogged) {
+  const auto at = requests_.find(id);
+  if (at == requests_.end()) return;
+  Request& request = at->second;
   const Time now = steady_now();
-  auto& wants = wants_[{engine, job.manager}];
-  wants.push_back(now);
-  while (wants.front() + std::chrono::seconds(1) < now) wants.pop_front();
-  if (const auto drained = drained_.find({engine, job.manager}); drained != drained_.end())
-    drained->second.last = now;
-  constexpr milliseconds leaving_heard_within(100);
-  const bool order_is_unknown = lay_unread && unseen_give_ups_;
-  if (!order_is_unknown && job.left_at && now > *job.left_at + leaving_heard_within)
-    fault(verdict_.after_leaving, id + " reaches " + engine + " " +
-                                      std::to_string((now - *job.left_at).count() / 1000) +
-                                      " ms after its client has left");
-  for (const Run& run : job.runs) {
-    const bool is_out = !run.over && (job.kind.once || !unseen_give_ups_);
-    if (is_out) fault(verdict_.overlaps, id + " reaches " + engine + " while it is out at " + run.engine);
-    else if (job.kind.once && !run.turned_away)
-      fault(verdict_.twice_run, id + " is run by " + engine + " after " + run.engine);
+  auto& recent = recent_attempts_[{engine, request.manager}];
+  recent.push_back(now);
+  while (recent.front() + std::chrono::seconds(1) < now) recent.pop_front();
+  if (const auto drain = drains_.find({engine, request.manager}); drain != drains_.end())
+    drain->second.last_attempt_at = now;
+  constexpr milliseconds max_withdrawal_delay(100);
+  const bool order_is_unknown = was_backlogged && unseen_give_ups_;
+  if (!order_is_unknown && request.left_at && now > *request.left_at + max_withdrawal_delay)
+    report_violation(verdict_.after_leaving, id + " reaches " + engine + " " +
+                                                 std::to_string((now - *request.left_at).count() / 1000) +
+                                                 " ms after its client left");
+  for (const Attempt& attempt : request.attempts) {
+    const bool still_runs = !attempt.has_ended && (request.kind.once || !unseen_give_ups_);
+    if (still_runs)
+      report_violation(verdict_.overlaps, id + " reaches " + engine + " while it runs on " + attempt.engine);
+    else if (request.kind.once && !attempt.was_rejected)
+      report_violation(verdict_.twice_run, id + " is run by " + engine + " after " + attempt.engine);
   }
-  judge_place(engine, id, job);
-  judge_ration(id, job);
-  judge_cold_budget(engine, job);
-  if (job.kind.in_order && !order_is_unknown) judge_order(id, job);
-  job.runs.push_back({engine});
+  check_zone(engine, id, request);
+  check_retry_budget(id, request);
+  check_slow_start(engine, request);
+  if (request.kind.in_order && !order_is_unknown) check_order(id, request);
+  request.attempts.push_back({engine});
 }
 
-void HistoryChecker::judge_order(const std::string& id, Job& job) {
-  Line& line = lines_[job.key];
+void HistoryChecker::check_order(const std::string& id, Request& request) {
+  KeyQueue& queue = key_queues_[request.key];
   const Time now = steady_now();
-  if (!jobs_.contains(line.out)) line.out.clear();
-  if (!line.out.empty() && line.out != id && !unseen_give_ups_)
-    fault(verdict_.disorder, id + " begins while " + line.out + " is out");
-  else if (job.turn < line.last_begun) fault(verdict_.disorder, id + " begins after a later one of its key");
-  std::erase_if(line.earlier, [&](const std::string& one) {
-    const auto at = jobs_.find(one);
-    return at == jobs_.end() || (at->second.is_closed() && !at->second.is_out());
+  if (!requests_.contains(queue.running_id)) queue.running_id.clear();
+  if (!queue.running_id.empty() && queue.running_id != id && !unseen_give_ups_)
+    report_violation(verdict_.disorder, id + " starts while " + queue.running_id + " of the same key runs");
+  else if (request.sequence < queue.last_started_sequence)
+    report_violation(verdict_.disorder, id + " starts after a later request of the same key");
+  std::erase_if(queue.pending, [&](const std::string& one) {
+    const auto at = requests_.find(one);
+    return at == requests_.end() || (at->second.is_closed() && !at->second.is_running());
   });
-  for (const std::string& one : line.earlier) {
+  for (const std::string& one : queue.pending) {
     if (one == id) break;
-    if (!jobs_.at(one).is_closed()) overtaken_.push_back({one, id, now});
+    if (!requests_.at(one).is_closed()) overtaken_.push_back({one, id, now});
   }
-  const bool is_first = job.runs.empty();
-  if (is_first && line.rests_until > Time(0)) ++verdict_.rests_seen;
-  if (is_first && now + slack() < line.rests_until)
-    fault(verdict_.unrested, id + " begins " + std::to_string((line.rests_until - now).count() / 1000) +
-                                 " ms before its key has rested");
-  line.last_begun = std::max(line.last_begun, job.turn);
-  line.out = id;
+  const bool is_first = request.attempts.empty();
+  if (is_first && queue.quiet_until > Time(0)) ++verdict_.rests_seen;
+  if (is_first && now + clock_tolerance() < queue.quiet_until)
+    report_violation(verdict_.unrested, id + " starts " +
+                                            std::to_string((queue.quiet_until - now).count() / 1000) +
+                                            " ms before the end of its key's quiet period");
+  queue.last_started_sequence = std::max(queue.last_started_sequence, request.sequence);
+  queue.running_id = id;
 }
 
-void HistoryChecker::judge_place(const std::string& engine, const std::string& id, const Job& job) {
+void HistoryChecker::check_zone(const std::string& engine, const std::string& id, const Request& request) {
   const auto zone = zones_.find(engine);
-  if (job.kind.zones.empty() || zone == zones_.end() || job.kind.zones.contains(zone->second)) return;
-  fault(verdict_.misplaced, id + " reaches " + engine + " in " + zone->second);
+  if (request.kind.zones.empty() || zone == zones_.end() || request.kind.zones.contains(zone->second)) return;
+  report_violation(verdict_.misplaced,
+                   id + " reaches " + engine + " in zone " + zone->second + ", where its type may not run");
 }
 
-void HistoryChecker::judge_ration(const std::string& id, const Job& job) {
-  if (!terms_.ration || job.runs.empty()) return;
+void HistoryChecker::check_retry_budget(const std::string& id, const Request& request) {
+  if (!terms_.ration || request.attempts.empty()) return;
   ++verdict_.further_seen;
   const Time now = steady_now(), window = terms_.ration->window;
-  std::deque<Time>& further = further_[job.manager];
-  further.push_back(now);
-  // What was seen a little late may lie at either edge of the window.
-  while (further.front() + window < now + slack()) further.pop_front();
-  const std::deque<Time>& taken = taken_[job.manager];
-  const auto earned_by = std::ranges::count_if(taken, [&](Time at) { return at + window + slack() >= now; });
-  const double most = terms_.ration->few + terms_.ration->share * static_cast<double>(earned_by);
-  if (static_cast<double>(further.size()) > most)
-    fault(verdict_.over_ration, id + " is further attempt " + std::to_string(further.size()) +
-                                    " of manager " + std::to_string(job.manager) + ", " +
-                                    std::to_string(most) + " are allowed");
+  std::deque<Time>& retries = retries_[request.manager];
+  retries.push_back(now);
+  // Events may be recorded late, so those close to either edge of the window count in the manager's favour.
+  while (retries.front() + window < now + clock_tolerance()) retries.pop_front();
+  const std::deque<Time>& accepted = accepted_[request.manager];
+  const auto accepted_count =
+      std::ranges::count_if(accepted, [&](Time at) { return at + window + clock_tolerance() >= now; });
+  const double max_retries = terms_.ration->few + terms_.ration->share * static_cast<double>(accepted_count);
+  if (static_cast<double>(retries.size()) > max_retries)
+    report_violation(verdict_.over_ration, id + " is retry " + std::to_string(retries.size()) +
+                                               " of manager " + std::to_string(request.manager) + ", " +
+                                               std::to_string(max_retries) + " are allowed");
 }
 
-// The budget and what is put down to chance, both counted in requests of mean work.
-void HistoryChecker::judge_cold_budget(const std::string& engine, const Job& job) {
-  const auto at = cold_.find(engine);
-  if (at == cold_.end()) return;
+// Compares the work within the window to the limit plus a tolerance for chance, 2 to 3 standard deviations of
+// a Poisson count; both are counted in requests of mean work.
+void HistoryChecker::check_slow_start(const std::string& engine, const Request& request) {
+  const auto at = warming_engines_.find(engine);
+  if (at == warming_engines_.end()) return;
   WarmingEngine& cold = at->second;
   const Time now = steady_now();
-  if (now > cold.since + terms_.cold->lasts) return void(cold_.erase(at));
+  if (now > cold.since + terms_.cold->lasts) return void(warming_engines_.erase(at));
   ++verdict_.cold_seen;
-  cold.work.emplace_back(now, job.kind.usual_work_ms);
-  while (cold.work.front().first + Time(terms_.cold->window) < now + slack()) cold.work.pop_front();
+  cold.work_ms.emplace_back(now, request.kind.usual_work_ms);
+  while (cold.work_ms.front().first + Time(terms_.cold->window) < now + clock_tolerance())
+    cold.work_ms.pop_front();
   double sum = 0;
-  for (const auto& [when, work] : cold.work) sum += work;
-  const double mean = std::max(sum / static_cast<double>(cold.work.size()), 1e-3);
+  for (const auto& [when, work] : cold.work_ms) sum += work;
+  const double mean = std::max(sum / static_cast<double>(cold.work_ms.size()), 1e-3);
   const double budget = cold.limit_ms / mean;
-  const double chance = budget < 30 ? 3 * std::sqrt(budget) + 3 : 2 * std::sqrt(budget) + 2;
-  if (sum / mean > budget + chance)
-    fault(verdict_.over_cold_budget, engine + " is cold and is sent " + std::to_string(sum) +
-                                         " ms of work, " + std::to_string(cold.limit_ms) + " are allowed");
+  const double tolerance = budget < 30 ? 3 * std::sqrt(budget) + 3 : 2 * std::sqrt(budget) + 2;
+  if (sum / mean > budget + tolerance)
+    report_violation(verdict_.over_cold_budget, engine + " is cold and received " + std::to_string(sum) +
+                                                    " ms of work, " + std::to_string(cold.limit_ms) +
+                                                    " are allowed");
 }
 
 void HistoryChecker::ended(const std::string& engine, const std::string& id, RunEnd how) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) return;
-  Job& job = at->second;
-  for (Run& run : job.runs) {
-    if (run.engine == engine && !run.over) run.over = true, run.turned_away = how == RunEnd::turned_away;
+  const auto at = requests_.find(id);
+  if (at == requests_.end()) return;
+  Request& request = at->second;
+  for (Attempt& attempt : request.attempts) {
+    if (attempt.engine == engine && !attempt.has_ended)
+      attempt.has_ended = true, attempt.was_rejected = how == RunEnd::turned_away;
   }
-  if (!job.kind.in_order) return;
-  Line& line = lines_[job.key];
-  if (line.out == id) line.out.clear();
-  const bool end_is_unsure = how == RunEnd::given_up || how == RunEnd::cut;
-  const bool lives = !dead_managers_.contains(job.manager);
-  if (end_is_unsure && terms_.order_rest && lives) line.rests_until = steady_now() + Time(*terms_.order_rest);
+  if (!request.kind.in_order) return;
+  KeyQueue& queue = key_queues_[request.key];
+  if (queue.running_id == id) queue.running_id.clear();
+  const bool is_outcome_uncertain = how == RunEnd::given_up || how == RunEnd::cut;
+  const bool manager_runs = !killed_managers_.contains(request.manager);
+  if (is_outcome_uncertain && terms_.order_rest && manager_runs)
+    queue.quiet_until = steady_now() + Time(*terms_.order_rest);
 }
 
-void HistoryChecker::drain_came(const std::string& engine, int manager, Time came) {
-  Drained& drained = drained_[{engine, manager}];
-  drained = {came, came};
-  for (const Time want : wants_[{engine, manager}]) drained.last = std::max(drained.last, want);
+void HistoryChecker::drain_came(const std::string& engine, int manager, Time ordered_at) {
+  Drain& drain = drains_[{engine, manager}];
+  drain = {ordered_at, ordered_at};
+  for (const Time at : recent_attempts_[{engine, manager}])
+    drain.last_attempt_at = std::max(drain.last_attempt_at, at);
   ++verdict_.drains;
 }
 
 void HistoryChecker::drain_over(const std::string& engine, int manager) {
-  const auto at = drained_.find({engine, manager});
-  if (at == drained_.end()) return;
-  const Time delay = at->second.last - at->second.came;
+  const auto at = drains_.find({engine, manager});
+  if (at == drains_.end()) return;
+  const Time delay = at->second.last_attempt_at - at->second.ordered_at;
   verdict_.drain_delays.push_back(delay);
   if (delay > milliseconds(500))
-    fault(verdict_.late_over_500ms, "manager " + std::to_string(manager) + " sent to " + engine + " " +
-                                        std::to_string(delay.count() / 1000) + " ms after its order");
-  drained_.erase(at);
+    report_violation(verdict_.late_over_500ms, "manager " + std::to_string(manager) + " sent an attempt to " +
+                                                   engine + " " + std::to_string(delay.count() / 1000) +
+                                                   " ms after the order to drain it");
+  drains_.erase(at);
 }
 
 const HistoryChecker::Verdict& HistoryChecker::verdict() {
-  std::vector<std::string> up;
-  for (const auto& [id, job] : jobs_) {
-    if (job.answers == 0 && !job.given_up && steady_now() > job.until + milliseconds(500)) up.push_back(id);
+  std::vector<std::string> overdue;
+  for (const auto& [id, request] : requests_) {
+    if (request.answers == 0 && !request.given_up && steady_now() > request.deadline + milliseconds(500))
+      overdue.push_back(id);
   }
-  for (const std::string& id : up) unanswered(id);
-  judge_overtaken();
+  for (const std::string& id : overdue) unanswered(id);
+  check_overtaken();
   return verdict_;
 }
 
--- a/src/lab/checkers/history_checker.h
+++ b/src/lab/checkers/history_checker.h
@@ -1,5 +1,5 @@
-// What stand-in clients and engines saw of each job, with times, and the rules checked by it alone: never by
-// the managers' own word. Times are the machine's steady clock.
+// Checks the service rules from what stand-in clients and engines observed of each request. The checker never
+// uses reports of the managers. All times are readings of the machine's steady clock.
 #pragma once
 
 #include <algorithm>
@@ -21,111 +21,122 @@
 
 enum class Answer { done, refused, failed };
 
+// Records events of requests, managers and engines as they happen, and counts violations of the rules. Not
+// thread-safe.
 class HistoryChecker {
  public:
+  // The rules for the requests of one reservation type.
   struct Kind {
-    bool once = false;              // must never be begun twice unless the first was turned away
-    bool in_order = false;          // jobs of one key one at a time, as sent
-    std::set<std::string> zones{};  // where it may run; everywhere where none is named
-    double usual_work_ms = 0;       // what it counts against a cold engine's budget
+    bool once = false;              // a second attempt may start only if the engine rejected the first
+    bool in_order = false;          // requests of one key run one at a time, in the order they were sent
+    std::set<std::string> zones{};  // zones in which attempts may run; empty: all
+    double usual_work_ms = 0;       // work that an attempt adds to the slow start of a cold engine
   };
-  // How a run ends, as its engine sees it.
+  // How an attempt ends, as its engine observes it.
   enum class RunEnd {
     answered,
-    turned_away,  // it never ran
-    given_up,     // the manager's word
+    turned_away,  // the engine rejected it and ran nothing
+    given_up,     // the manager cancelled it
     cut,          // its connection ended
   };
-  // What the rules ask beyond those that need no figures. Nothing where it is never told.
+  // Sets the rules that need figures; a rule without figures is not checked.
   void set_terms(const ServiceTerms& terms) { terms_ = terms; }
   void set_zone(const std::string& engine, const std::string& zone) { zones_[engine] = zone; }
-  // It counts as cold from now on; `cores` says how much it is to be sent.
-  void engine_starts(const std::string& engine, int cores);
-  // How late this laboratory's own thread was just now: what it sees happened up to so much earlier.
-  void own_delay(Time delay);
+  // The engine has just started and is cold from now on; `cores` determines how much work it may be sent.
+  void on_engine_started(const std::string& engine, int cores);
+  // Reports by how much the stand-ins' own thread is late: an observation may be older than its recorded time
+  // by that much.
+  void on_own_delay(Time delay);
 
-  // It is about to be written; `written` says when its last byte was.
-  void sent(const std::string& job, int manager, const Kind& kind, std::uint64_t key, Time until);
-  void written(const std::string& job);
-  void crossed(
-      const std::string& job);  // the close of its connection: it came to nobody, and is written again
-  void answered(const std::string& job, Answer answer);
-  void unanswered(const std::string& job);  // its connection ended without one, or its time did
-  void withdrawn(const std::string& job);
-  void unreached(const std::string& job);  // no connection: it came to nobody
-  // The manager was killed, or its machine: what is open there is lost through no fault of its own.
+  // The client is about to write the request; `until` is the client's deadline. `written` follows when the
+  // last byte is written.
+  void sent(const std::string& id, int manager, const Kind& kind, std::uint64_t key, Time until);
+  void written(const std::string& id);
+  // The request crossed the manager's close of an idle connection: the manager did not read it, and the
+  // client writes it again.
+  void crossed(const std::string& id);
+  void answered(const std::string& id, Answer answer);
+  void unanswered(const std::string& id);  // its connection or its time ended without an answer
+  void withdrawn(const std::string& id);
+  void unreached(const std::string& id);  // no connection was made, so no manager received the request
+  // The manager or its machine was killed: requests that are open there count as excused, not as lost.
   void manager_died(int manager);
   void manager_lives(int manager);
-  // Engines may not hear of what managers give up (they hang, or are cut off), so what they still run is not
-  // held against the manager. A job that must run once is judged all the same.
+  // With `unseen`, engines may miss cancellations (they hang, or are cut off), so attempts that a manager
+  // gave up and an engine still runs are not counted as violations. Requests of kind `once` are checked
+  // regardless.
   void set_unseen_give_ups(bool unseen) { unseen_give_ups_ = unseen; }
-  // At an engine: how long the manager said that it would wait, when the job came.
-  void told_wait(const std::string& job, std::chrono::milliseconds wait);
-  // At an engine. A run ends when its answer is written, it is given up, or its connection ends.
-  // `lay_unread`: the engine did not read for a while, so it may have come earlier, and in another order.
-  // That counts only together with unseen give-ups.
-  void begun(const std::string& engine, const std::string& job, bool lay_unread = false);
-  void ended(const std::string& engine, const std::string& job, RunEnd how);
+  // An engine received an attempt whose time limit, as sent by the manager, is `wait`.
+  void on_time_limit_received(const std::string& id, std::chrono::milliseconds wait);
+  // An engine received an attempt. It ends when its answer is written, it is cancelled, or its connection
+  // ends. `was_backlogged`: the engine had not been reading, so the attempt may have arrived earlier, and
+  // before or after others; this matters only together with set_unseen_give_ups(true).
+  void begun(const std::string& engine, const std::string& id, bool was_backlogged = false);
+  void ended(const std::string& engine, const std::string& id, RunEnd how);
 
-  // Manager `manager` had the order to drain `engine` at `came`; nothing new may reach it much later.
-  void drain_came(const std::string& engine, int manager, Time came);
+  // The manager received the order to drain the engine at `ordered_at`; no new attempt may reach the engine
+  // more than 500 ms later, until drain_over().
+  void drain_came(const std::string& engine, int manager, Time ordered_at);
   void drain_over(const std::string& engine, int manager);
 
+  // Counts of requests and of violations.
   struct Verdict {
     std::uint64_t sent = 0, done = 0, refused = 0, failed = 0, withdrawn = 0, unreached = 0;
     std::uint64_t lost = 0, doubled = 0, late = 0, twice_run = 0, overlaps = 0, disorder = 0;
     std::uint64_t drains = 0, late_over_500ms = 0;
-    std::uint64_t excused = 0;         // open at a manager that was killed
-    std::uint64_t after_leaving = 0;   // begun over 0.1 s after their client had left
-    std::uint64_t waits_too_long = 0;  // told an engine more time than the client has left
-    std::uint64_t unrested = 0;        // begun before their key had rested
-    std::uint64_t misplaced = 0;       // begun where their class may not run
-    std::uint64_t over_ration = 0;     // further attempts beyond the budget
-    std::uint64_t over_cold_budget = 0;
-    std::uint64_t rests_seen = 0, further_seen = 0, cold_seen = 0;  // how often each was put to the test
-    std::vector<Time> drain_delays;   // from the order to the last new dispatch; 0 where none came after
-    std::vector<std::string> faults;  // the first few, in words
+    std::uint64_t excused = 0;           // requests that were open at a manager when it was killed
+    std::uint64_t after_leaving = 0;     // attempts that reached an engine over 0.1 s after the client left
+    std::uint64_t waits_too_long = 0;    // attempts with a time limit beyond the client's remaining time
+    std::uint64_t unrested = 0;          // attempts that started within the quiet period of their key
+    std::uint64_t misplaced = 0;         // attempts in a zone where their type may not run
+    std::uint64_t over_ration = 0;       // retries beyond the retry budget
+    std::uint64_t over_cold_budget = 0;  // attempts beyond the slow start of a cold engine
+    // How often the quiet period, the retry budget and the slow start were checked.
+    std::uint64_t rests_seen = 0, further_seen = 0, cold_seen = 0;
+    std::vector<Time> drain_delays;   // from each order to the last new attempt; 0 where none followed
+    std::vector<std::string> faults;  // descriptions of the first 20 violations
     bool clean() const { return keeps_rules() && late == 0; }
-    // As far as the operators' rules go: an answer up to half a second late only earns nothing.
+    // The operators' rules alone: an answer that is up to half a second late breaks none of them.
     bool keeps_rules() const {
       return lost + doubled + twice_run + overlaps + disorder + late_over_500ms + after_leaving +
                  waits_too_long + unrested + misplaced + over_ration + over_cold_budget ==
              0;
     }
   };
-  // Jobs whose time is not up yet are not judged.
+  // Counts open requests as lost once their deadline passed 500 ms ago; others are not judged yet.
   const Verdict& verdict();
-  std::uint64_t open() const { return open_; }
+  std::uint64_t open() const { return open_count_; }
 
  private:
-  struct Run {
+  struct Attempt {
     std::string engine;
-    bool over = false, turned_away = false;
+    bool has_ended = false, was_rejected = false;
   };
-  struct Job {
+  struct Request {
     int manager = 0;
     Kind kind;
-    std::uint64_t key = 0, turn = 0;
-    Time until{};
+    std::uint64_t key = 0, sequence = 0;
+    Time deadline{};
     int answers = 0;
-    bool given_up = false;
-    bool excused = false;         // its manager was killed; an answer may have been on its way
-    std::optional<Time> left_at;  // by its client
-    std::vector<Run> runs;
+    bool given_up = false;        // closed without an answer
+    bool excused = false;         // its manager was killed and may have written an answer before
+    std::optional<Time> left_at;  // when its client withdrew it
+    std::vector<Attempt> attempts;
     bool is_closed() const { return answers > 0 || given_up; }
-    bool is_out() const {
-      return std::ranges::any_of(runs, [](const Run& run) { return !run.over; });
+    bool is_running() const {
+      return std::ranges::any_of(attempts, [](const Attempt& attempt) { return !attempt.has_ended; });
     }
   };
-  // The jobs of a key at one manager.
-  struct Line {
+  // The requests of one ordered key at one manager.
+  struct KeyQueue {
     int manager = 0;
-    std::uint64_t next_turn = 1, last_begun = 0;
-    std::string out;                  // the job of the key that is out
-    std::deque<std::string> earlier;  // written, and not known to be over
-    Time rests_until{};
+    std::uint64_t next_sequence = 1, last_started_sequence = 0;
+    std::string running_id;           // the request that an engine runs, or empty
+    std::deque<std::string> pending;  // written, and not known to have ended
+    Time quiet_until{};
   };
-  // A job began while an earlier one was open; that one has its answer within moments, or it was a break.
+  // A request that started while an earlier one of its key was open. The rules were kept if the earlier one's
+  // answer arrives within moments.
   struct Overtaken {
     std::string earlier, later;
     Time at{};
@@ -133,36 +144,36 @@
   struct WarmingEngine {
     Time since{};
     double limit_ms = 0;
-    std::deque<std::pair<Time, double>> work;
+    std::deque<std::pair<Time, double>> work_ms;
   };
-  struct Drained {
-    Time came{}, last{};
+  struct Drain {
+    Time ordered_at{}, last_attempt_at{};
   };
-  void fault(std::uint64_t& count, const std::string& what);
-  void closed(const std::string& id, Job& job);
-  void judge_order(const std::string& id, Job& job);
-  void judge_overtaken();
-  void judge_place(const std::string& engine, const std::string& id, const Job& job);
-  void judge_ration(const std::string& id, const Job& job);
-  void judge_cold_budget(const std::string& engine, const Job& job);
-  void forget_lines_of(int manager);
-  // What happened may have done so this much earlier than it was seen.
-  Time slack() const;
+  void report_violation(std::uint64_t& count, const std::string& description);
+  void close(const std::string& id, Request& request);
+  void check_order(const std::string& id, Request& request);
+  void check_overtaken();
+  void check_zone(const std::string& engine, const std::string& id, const Request& request);
+  void check_retry_budget(const std::string& id, const Request& request);
+  void check_slow_start(const std::string& engine, const Request& request);
+  void reset_manager_state(int manager);
+  // By how much an event may be older than its recorded time.
+  Time clock_tolerance() const;
 
-  std::map<std::string, Job> jobs_;
-  std::deque<std::pair<Time, std::string>> over_;  // to be forgotten in time
-  std::map<std::uint64_t, Line> lines_;
-  std::map<std::pair<std::string, int>, std::deque<Time>> wants_;  // of the last second
-  std::map<std::pair<std::string, int>, Drained> drained_;
-  std::uint64_t open_ = 0;
+  std::map<std::string, Request> requests_;
+  std::deque<std::pair<Time, std::string>> closed_;  // closing times, for the removal from requests_
+  std::map<std::uint64_t, KeyQueue> key_queues_;
+  std::map<std::pair<std::string, int>, std::deque<Time>> recent_attempts_;  // of the last second
+  std::map<std::pair<std::string, int>, Drain> drains_;
+  std::uint64_t open_count_ = 0;
   bool unseen_give_ups_ = false;
   ServiceTerms terms_;
   std::map<std::string, std::string> zones_;
-  std::map<std::string, WarmingEngine> cold_;
+  std::map<std::string, WarmingEngine> warming_engines_;
   std::vector<Overtaken> overtaken_;
-  std::map<int, std::deque<Time>> taken_, further_;  // by manager, of the ration's window
-  std::deque<std::pair<Time, Time>> delays_;         // when, and how long, of the last two seconds
-  std::set<int> dead_managers_;
+  std::map<int, std::deque<Time>> accepted_, retries_;  // by manager, within the retry budget's window
+  std::deque<std::pair<Time, Time>> own_delays_;        // time of report and delay, of the last two seconds
+  std::set<int> killed_managers_;
   Verdict verdict_;
 };
 
--- a/src/lab/checkers/process_usage.cpp
+++ b/src/lab/checkers/process_usage.cpp
@@ -43,7 +43,7 @@
   const fs::path folder = "/proc/" + std::to_string(process);
   ProcessUsage usage;
   std::ifstream status(folder / "status");
-  bool has_memory = false;  // a process that has ended but was not waited for has none
+  bool has_memory = false;  // a process that has ended and was not waited for has no memory fields
   for (std::string line; std::getline(status, line);) {
     const auto number = [&](const char* name, std::uint64_t& value) {
       if (!line.starts_with(name)) return false;
@@ -71,7 +71,7 @@
 bool ProcessUsageSampler::sample() {
   const std::optional<ProcessUsage> usage = read_process_usage(process_);
   if (!usage) return false;
-  if (samples_.size() < most_samples) samples_.push_back(*usage);
+  if (samples_.size() < max_samples) samples_.push_back(*usage);
   else samples_.back() = *usage;
   return true;
 }
@@ -80,23 +80,23 @@
   return samples_.size() < 2 ? 0 : cpu_share_between(samples_.front(), samples_.back());
 }
 
-double ProcessUsageSampler::most_cpu_share() const {
-  double most = 0;
+double ProcessUsageSampler::max_cpu_share() const {
+  double max_share = 0;
   for (std::size_t i = 1; i < samples_.size(); ++i)
-    most = std::max(most, cpu_share_between(samples_[i - 1], samples_[i]));
-  return most;
+    max_share = std::max(max_share, cpu_share_between(samples_[i - 1], samples_[i]));
+  return max_share;
 }
 
 std::uint64_t ProcessUsageSampler::most_resident_kb() const {
-  std::uint64_t most = 0;
-  for (const ProcessUsage& usage : samples_) most = std::max(most, usage.resident_kb);
-  return most;
+  std::uint64_t max_kb = 0;
+  for (const ProcessUsage& usage : samples_) max_kb = std::max(max_kb, usage.resident_kb);
+  return max_kb;
 }
 
 std::uint64_t ProcessUsageSampler::most_descriptors() const {
-  std::uint64_t most = 0;
-  for (const ProcessUsage& usage : samples_) most = std::max(most, usage.descriptors);
-  return most;
+  std::uint64_t max_count = 0;
+  for (const ProcessUsage& usage : samples_) max_count = std::max(max_count, usage.descriptors);
+  return max_count;
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/stand_ins/admin_endpoints.cpp
+++ b/src/lab/stand_ins/admin_endpoints.cpp
@@ -32,17 +32,18 @@
 Ran run_program(const std::string& program, const std::vector<std::string>& arguments,
                 const std::vector<std::pair<std::string, std::string>>& environment) {
   int pipe[2];
-  if (::pipe2(pipe, O_CLOEXEC) != 0) throw SystemError("no pipe to a program");
-  const int nothing = ::open("/dev/null", O_RDWR | O_CLOEXEC);
-  const auto begun = std::chrono::steady_clock::now();
+  if (::pipe2(pipe, O_CLOEXEC) != 0)
+    throw SystemError("can't create a pipe for the output of a program", program);
+  const int null_device = ::open("/dev/null", O_RDWR | O_CLOEXEC);
+  const auto started_at = std::chrono::steady_clock::now();
   const pid_t child = start_child({.program = program,
                                    .arguments = arguments,
                                    .environment = environment,
                                    .log = {},
-                                   .input = nothing,
+                                   .input = null_device,
                                    .output = pipe[1],
                                    .inherits = true});
-  ::close(nothing);
+  ::close(null_device);
   ::close(pipe[1]);
   Ran ran;
   char buffer[4096];
@@ -51,7 +52,7 @@
   ::close(pipe[0]);
   int status = 0;
   ::waitpid(child, &status, 0);
-  ran.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+  ran.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
   if (WIFEXITED(status)) ran.status = WEXITSTATUS(status);
   return ran;
 }
--- a/src/lab/stand_ins/agent_cluster.cpp
+++ b/src/lab/stand_ins/agent_cluster.cpp
@@ -104,7 +104,7 @@
     : world(site),
       authority(world.folder() + "/keys"),
       agents(number),
-      site_(site),
+      spec_(site),
       managers_each_((static_cast<std::size_t>(site.managers) + number - 1) / number),
       configured_(configured) {
   for (const auto& manager : world.managers())
@@ -174,7 +174,7 @@
 
 std::string AgentCluster::command_of(std::size_t m) {
   const auto& manager = world.managers()[m];
-  return "exec " + site_.pearchuted + " --config " + manager.configuration + " --admin " + manager.admin_file;
+  return "exec " + spec_.pearchuted + " --config " + manager.configuration + " --admin " + manager.admin_file;
 }
 
 std::map<std::string, agent::v1::Instance> AgentCluster::conditions() {
@@ -195,12 +195,12 @@
 }
 
 void AgentCluster::describe(std::ostream& to) {
-  constexpr std::size_t most_lines = 30;
+  constexpr std::size_t max_lines = 30;
   for (Agent& one : agents) {
     const auto shown = one.show();
     to << one.name << (shown ? " shows:\n" + shown->DebugString() : " does not answer\n")
        << "its log ends:\n";
-    for (const std::string& line : last_lines(one.charter + ".log", most_lines)) to << line << "\n";
+    for (const std::string& line : last_lines(one.charter + ".log", max_lines)) to << line << "\n";
   }
 }
 
@@ -221,29 +221,29 @@
 
 agent::v1::Instance AgentCluster::seen(const std::string& name) {
   agent::v1::Instance found;
-  const bool told = wait_for([&] {
+  const bool found_in_time = wait_for([&] {
     const auto all = conditions();
     const auto at = all.find(name);
     if (at != all.end()) found = at->second;
     return at != all.end();
   });
-  if (!told) throw TestClusterError("no agent tells of " + name, world.folder());
+  if (!found_in_time) throw TestClusterError("no agent reports instance " + name, world.folder());
   return found;
 }
 
 agent::v1::Heard AgentCluster::heard(std::size_t who, std::size_t whom) {
   agent::v1::Heard found;
-  const bool told = wait_for([&] {
+  const bool found_in_time = wait_for([&] {
     const auto one = agents[who].heard(agents[whom].name);
     if (one) found = *one;
     return one.has_value();
   });
-  if (!told)
-    throw TestClusterError(agents[who].name + " does not tell of " + agents[whom].name, world.folder());
+  if (!found_in_time)
+    throw TestClusterError(agents[who].name + " does not report agent " + agents[whom].name, world.folder());
   return found;
 }
 
-bool AgentCluster::knows_well(std::size_t who, std::size_t whom) {
+bool AgentCluster::has_current_gossip(std::size_t who, std::size_t whom) {
   const auto known = agents[who].heard(agents[whom].name);
   const auto own = agents[whom].show();
   if (!known || !own || known->freshness() != "fresh" || known->words_size() != own->instances_size())
@@ -258,7 +258,7 @@
 bool AgentCluster::all_know() {
   for (std::size_t a = 0; a < agents.size(); ++a) {
     for (std::size_t b = 0; b < agents.size(); ++b) {
-      if (a != b && !knows_well(a, b)) return false;
+      if (a != b && !has_current_gossip(a, b)) return false;
     }
   }
   return true;
--- a/src/lab/stand_ins/child_process.cpp
+++ b/src/lab/stand_ins/child_process.cpp
@@ -16,48 +16,48 @@
 
 namespace {
 
-constexpr int status_not_run = 127;
+constexpr int exit_status_not_executed = 127;
 
-// Strings as exec wants them; they live as long as this does.
-class Words {
+// Owns strings and provides the null-terminated array of pointers that exec needs.
+class ExecStrings {
  public:
-  void add(std::string word) { words_.push_back(std::move(word)); }
+  void add(std::string string_value) { strings_.push_back(std::move(string_value)); }
   char** pointers() {
     pointers_.clear();
-    for (std::string& word : words_) pointers_.push_back(word.data());
+    for (std::string& string_value : strings_) pointers_.push_back(string_value.data());
     pointers_.push_back(nullptr);
     return pointers_.data();
   }
 
  private:
-  std::vector<std::string> words_;
+  std::vector<std::string> strings_;
   std::vector<char*> pointers_;
 };
 
-Words arguments_of(const ChildProcess& child) {
-  Words words;
-  words.add(child.program.substr(child.program.rfind('/') + 1));
-  for (const std::string& argument : child.arguments) words.add(argument);
-  return words;
+ExecStrings arguments_of(const ChildProcess& child) {
+  ExecStrings strings;
+  strings.add(child.program.substr(child.program.rfind('/') + 1));
+  for (const std::string& argument : child.arguments) strings.add(argument);
+  return strings;
 }
 
-Words environment_of(const ChildProcess& child) {
-  Words words;
+ExecStrings environment_of(const ChildProcess& child) {
+  ExecStrings strings;
   const auto is_named = [&](std::string_view entry) {
     const std::string_view name = entry.substr(0, entry.find('='));
     return std::ranges::any_of(child.environment, [&](const auto& one) { return one.first == name; });
   };
   for (char** entry = environ; *entry; ++entry) {
-    if (!is_named(*entry)) words.add(*entry);
+    if (!is_named(*entry)) strings.add(*entry);
   }
-  for (const auto& [name, value] : child.environment) words.add(name + "=" + value);
-  return words;
+  for (const auto& [name, value] : child.environment) strings.add(name + "=" + value);
+  return strings;
 }
 
-// Only system calls from here on.
-[[noreturn]] void become(const ChildProcess& child, pid_t parent, char** arguments, char** environment) {
-  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a laboratory that dies leaves nothing running
-  if (::getppid() != parent) ::_exit(status_not_run);
+// Runs in the child, so it makes only system calls.
+[[noreturn]] void execute(const ChildProcess& child, pid_t parent, char** arguments, char** environment) {
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no child outlives the laboratory
+  if (::getppid() != parent) ::_exit(exit_status_not_executed);
   if (!child.log.empty()) {
     const int log = ::open(child.log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     ::dup2(log, STDOUT_FILENO), ::dup2(log, STDERR_FILENO);
@@ -66,18 +66,18 @@
   if (child.output >= 0) ::dup2(child.output, STDOUT_FILENO);
   if (!child.inherits) ::close_range(STDERR_FILENO + 1, ~0U, 0);
   ::execve(child.program.c_str(), arguments, environment);
-  ::_exit(status_not_run);
+  ::_exit(exit_status_not_executed);
 }
 
 }  // namespace
 
 pid_t start_child(const ChildProcess& child) {
-  Words arguments = arguments_of(child), environment = environment_of(child);
+  ExecStrings arguments = arguments_of(child), environment = environment_of(child);
   char** const argument_pointers = arguments.pointers();
   char** const environment_pointers = environment.pointers();
   const pid_t parent = ::getpid(), process = ::fork();
-  if (process == 0) become(child, parent, argument_pointers, environment_pointers);
-  if (process < 0) throw SystemError("no process: " + text_of_error(errno), child.program);
+  if (process == 0) execute(child, parent, argument_pointers, environment_pointers);
+  if (process < 0) throw SystemError("can't create a process: " + text_of_error(errno), child.program);
   return process;
 }
 
--- a/src/lab/stand_ins/log_tail.h
+++ b/src/lab/stand_ins/log_tail.h
@@ -1,4 +1,4 @@
-// The end of a program's log, for whoever tells what went wrong.
+// Reads the end of a program's log, for failure reports.
 #pragma once
 
 #include <cstddef>
@@ -8,8 +8,9 @@
 
 namespace pearchute::lab {
 
-// The last lines, oldest first, but for those that hold `without`, where it is not empty. None where there is
-// no such file.
-std::vector<std::string> last_lines(const std::string& file, std::size_t most, std::string_view without = {});
+// Returns the last `max_lines` lines, oldest first, leaving out lines that contain `without` if it is not
+// empty. Returns none if the file can't be read.
+std::vector<std::string> last_lines(const std::string& file, std::size_t max_lines,
+                                    std::string_view without = {});
 
 }  // namespace pearchute::lab
--- a/src/lab/stand_ins/relay.cpp
+++ b/src/lab/stand_ins/relay.cpp
@@ -12,129 +12,133 @@
 
 namespace {
 
-constexpr milliseconds trickles_every(50);
-// What a held direction keeps before its sender has to wait, as a socket's own buffers do.
-constexpr std::size_t most_kept = 1 << 20;
+constexpr milliseconds trickle_interval(50);
+// Once a direction keeps more than this, the relay stops reading from its sender, as a full socket buffer
+// would.
+constexpr std::size_t max_queued_bytes = 1 << 20;
 
 }  // namespace
 
 struct Relay::Side final : net::Connection::Listener {
   Side(Pair& p, Way w, const Poco::Net::StreamSocket& s) : pair(p), way(w), socket(s) {
-    wire = std::make_unique<net::Connection>(loop(), s, *this);
+    connection = std::make_unique<net::Connection>(loop(), s, *this);
   }
   net::Loop& loop() const;
   void on_data(std::string_view bytes) override;
   void on_closed() override;
 
   Pair& pair;
-  const Way way;  // of what it brings
+  const Way way;  // the direction of the bytes that arrive on this side
   Poco::Net::StreamSocket socket;
-  std::unique_ptr<net::Connection> wire;
+  std::unique_ptr<net::Connection> connection;
 };
 
 struct Relay::Pair {
-  struct Lot {
+  struct Chunk {
     TimePoint due;
     std::string bytes;
   };
   explicit Pair(Relay& r) : relay(r) {}
-  void brought(Way way, std::string_view bytes) {
+  void on_bytes(Way way, std::string_view bytes) {
     if (relay.flows_[way].cut) {
-      spoiled = true;
+      has_lost_bytes = true;
       return;
     }
-    kept[way].push_back({relay.loop_.now() + relay.flows_[way].delay, std::string(bytes)});
-    kept_bytes[way] += bytes.size();
-    pump(way);
+    queued[way].push_back({relay.loop_.now() + relay.flows_[way].delay, std::string(bytes)});
+    queued_bytes[way] += bytes.size();
+    forward(way);
   }
-  void ended(Way way) {
-    over[way] = true;
-    if (relay.flows_[way].cut) spoiled = true;
-    else pump(way);
+  void on_end(Way way) {
+    has_ended[way] = true;
+    if (relay.flows_[way].cut) has_lost_bytes = true;
+    else forward(way);
   }
-  // Sends on what may go by now, and comes again for the rest.
-  void pump(Way way) {
+  // Forwards the bytes that are due, and sets a timer for the rest.
+  void forward(Way way) {
     const Flow& flow = relay.flows_[way];
     Side* to = sides[way == there ? back : there].get();
-    if (flow.held || flow.cut || !to || gone) return;
+    if (flow.held || flow.cut || !to || is_dropped) return;
     const TimePoint now = relay.loop_.now();
-    std::optional<TimePoint> again;
-    while (!kept[way].empty() && !again) {
-      Lot& lot = kept[way].front();
-      if (lot.due > now) {
-        again = lot.due;
-      } else if (flow.trickle > 0 && next_drop[way] > now) {
-        again = next_drop[way];
+    std::optional<TimePoint> next_time;
+    while (!queued[way].empty() && !next_time) {
+      Chunk& chunk = queued[way].front();
+      if (chunk.due > now) {
+        next_time = chunk.due;
+      } else if (flow.trickle > 0 && next_trickle[way] > now) {
+        next_time = next_trickle[way];
       } else {
         const std::size_t part =
-            flow.trickle > 0 ? std::min(flow.trickle, lot.bytes.size()) : lot.bytes.size();
-        to->wire->send(std::string_view(lot.bytes).substr(0, part));
-        relay.bytes_[way] += part, kept_bytes[way] -= part;
-        lot.bytes.erase(0, part);
-        if (lot.bytes.empty()) kept[way].pop_front();
-        if (flow.trickle > 0) next_drop[way] = now + trickles_every;
+            flow.trickle > 0 ? std::min(flow.trickle, chunk.bytes.size()) : chunk.bytes.size();
+        to->connection->send(std::string_view(chunk.bytes).substr(0, part));
+        relay.bytes_[way] += part, queued_bytes[way] -= part;
+        chunk.bytes.erase(0, part);
+        if (chunk.bytes.empty()) queued[way].pop_front();
+        if (flow.trickle > 0) next_trickle[way] = now + trickle_interval;
       }
     }
-    if (Side* from = sides[way].get(); from && !over[way]) from->wire->pause(kept_bytes[way] > most_kept);
-    if (again && !awaited[way]) {
-      awaited[way] = true;
-      relay.loop_.at(*again, [this, way, here = std::weak_ptr<bool>(alive)] {
+    if (Side* from = sides[way].get(); from && !has_ended[way])
+      from->connection->pause(queued_bytes[way] > max_queued_bytes);
+    if (next_time && !has_timer[way]) {
+      has_timer[way] = true;
+      relay.loop_.at(*next_time, [this, way, here = std::weak_ptr<bool>(alive)] {
         if (here.expired()) return;
-        awaited[way] = false;
-        pump(way);
+        has_timer[way] = false;
+        forward(way);
       });
     }
-    // The end goes on behind all that came before it.
-    if (kept[way].empty() && over[way]) relay.drop(*this);
+    // The end of data is forwarded after all bytes that preceded it.
+    if (queued[way].empty() && has_ended[way]) relay.drop(*this);
   }
   void reset() {
     for (auto& side : sides) {
-      if (!side || side->wire->closed()) continue;
+      if (!side || side->connection->closed()) continue;
       try {
         side->socket.setLinger(true, 0);
       } catch (const Poco::Exception&) {
-        // A Unix socket knows no reset; its end is one.
+        // A Unix socket has no reset; closing it serves as one.
       }
-      side->wire->close();
+      side->connection->close();
     }
     relay.drop(*this);
   }
 
   Relay& relay;
-  std::array<std::unique_ptr<Side>, 2> sides;  // by the way of what they bring
-  std::array<std::deque<Lot>, 2> kept;
-  std::array<std::size_t, 2> kept_bytes{};
-  std::array<TimePoint, 2> next_drop{};
-  std::array<bool, 2> over{}, awaited{};
-  bool spoiled = false, gone = false;
+  std::array<std::unique_ptr<Side>, 2> sides;  // by the direction of the bytes that arrive on them
+  std::array<std::deque<Chunk>, 2> queued;
+  std::array<std::size_t, 2> queued_bytes{};
+  std::array<TimePoint, 2> next_trickle{};
+  std::array<bool, 2> has_ended{}, has_timer{};
+  bool has_lost_bytes = false, is_dropped = false;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
 net::Loop& Relay::Side::loop() const { return pair.relay.loop_; }
-void Relay::Side::on_data(std::string_view bytes) { pair.brought(way, bytes); }
-void Relay::Side::on_closed() { pair.ended(way); }
+void Relay::Side::on_data(std::string_view bytes) { pair.on_bytes(way, bytes); }
+void Relay::Side::on_closed() { pair.on_end(way); }
 
 Relay::Relay(net::Loop& loop, const std::string& listen, Poco::Net::SocketAddress target)
     : loop_(loop),
-      door_(loop, Poco::Net::SocketAddress(listen), [this](const auto& socket) { took(socket); }),
+      listener_(loop, Poco::Net::SocketAddress(listen), [this](const auto& socket) { on_accepted(socket); }),
       target_(std::move(target)) {}
 
 Relay::~Relay() { *alive_ = false; }
 
-void Relay::took(const Poco::Net::StreamSocket& socket) {
-  ++came_;
+void Relay::on_accepted(const Poco::Net::StreamSocket& socket) {
+  ++accepted_count_;
   auto pair = std::make_unique<Pair>(*this);
   Pair& one = *pair;
   pairs_[&one] = std::move(pair);
   one.sides[there] = std::make_unique<Side>(one, there, socket);
-  // Through a cut nobody hears that somebody would connect; it is reset when the cut is over.
+  // While the direction is cut, the server doesn't see the connection; it is reset when the cut ends.
   if (flows_[there].cut) {
-    one.spoiled = true;
+    one.has_lost_bytes = true;
     return;
   }
   try {
     Poco::Net::StreamSocket to;
-    to.connect(target_, Poco::Timespan(0, 200'000));  // on this machine: at once, or it is not there
+    to.connect(
+        target_,
+        Poco::Timespan(0, 200'000));  // the server is on this machine, so it accepts at once or not at all
     one.sides[back] = std::make_unique<Side>(one, back, to);
   } catch (const Poco::Exception&) {
     one.reset();
@@ -144,27 +148,27 @@
 void Relay::drop(Pair& pair) {
   const auto at = pairs_.find(&pair);
   if (at == pairs_.end()) return;
-  pair.gone = true;
+  pair.is_dropped = true;
   for (auto& side : pair.sides) {
     if (!side) continue;
-    if (side->wire->closed()) loop_.retire(std::move(side->wire));
-    else loop_.finish(std::move(side->wire));
+    if (side->connection->closed()) loop_.retire(std::move(side->connection));
+    else loop_.finish(std::move(side->connection));
   }
-  gone_.push_back(std::move(at->second));
+  dropped_.push_back(std::move(at->second));
   pairs_.erase(at);
   loop_.post([this, alive = alive_] {
-    if (*alive) gone_.clear();
+    if (*alive) dropped_.clear();
   });
 }
 
 void Relay::set(Way way, const Flow& flow) {
-  const bool mended = flows_[way].cut && !flow.cut;
+  const bool cut_ends = flows_[way].cut && !flow.cut;
   flows_[way] = flow;
   std::vector<Pair*> all;
   for (const auto& [key, pair] : pairs_) all.push_back(key);
   for (Pair* pair : all) {
-    if (mended && pair->spoiled) pair->reset();
-    else pair->pump(way);
+    if (cut_ends && pair->has_lost_bytes) pair->reset();
+    else pair->forward(way);
   }
 }
 
@@ -175,11 +179,11 @@
 void Relay::half_close(Way way) {
   for (const auto& [key, pair] : pairs_) {
     const Side* to = key->sides[way == there ? back : there].get();
-    if (to && !to->wire->closed()) ::shutdown(to->socket.impl()->sockfd(), SHUT_WR);
+    if (to && !to->connection->closed()) ::shutdown(to->socket.impl()->sockfd(), SHUT_WR);
   }
 }
 
-// ---- A net of them
+// ---- Relays
 
 Relay& Relays::between(const std::string& from, const std::string& to, const std::string& target) {
   const Poco::Net::SocketAddress at =
@@ -215,18 +219,18 @@
   for (auto& [ends, relay] : all_) relay->set(Flow{});
 }
 
-std::string Relays::strike(std::knuth_b& chance) {
-  if (all_.empty()) return "nothing to strike";
-  auto at = std::next(all_.begin(), static_cast<std::ptrdiff_t>(chance() % all_.size()));
+std::string Relays::strike(std::knuth_b& random) {
+  if (all_.empty()) return "no relay to strike";
+  auto at = std::next(all_.begin(), static_cast<std::ptrdiff_t>(random() % all_.size()));
   const std::string ends = at->first.first + " to " + at->first.second;
   Relay& relay = *at->second;
-  const Relay::Way way = chance() % 2 == 0 ? Relay::there : Relay::back;
+  const Relay::Way way = random() % 2 == 0 ? Relay::there : Relay::back;
   Flow flow;
-  switch (chance() % 7) {
+  switch (random() % 7) {
     case 0:
-      return flow.delay = milliseconds(100 + chance() % 1900), relay.set(flow), ends + ": late";
+      return flow.delay = milliseconds(100 + random() % 1900), relay.set(flow), ends + ": late";
     case 1:
-      return flow.trickle = 1 + chance() % 64, relay.set(way, flow), ends + ": a trickle";
+      return flow.trickle = 1 + random() % 64, relay.set(way, flow), ends + ": a trickle";
     case 2:
       return flow.held = true, relay.set(way, flow), ends + ": held one way";
     case 3:
--- a/src/lab/stand_ins/test_cluster.cpp
+++ b/src/lab/stand_ins/test_cluster.cpp
@@ -35,30 +35,30 @@
   return socket.address().toString();
 }
 
-TestCluster::TestCluster(const ClusterSpec& site) : site_(site) {
+TestCluster::TestCluster(const ClusterSpec& spec) : spec_(spec) {
   ::signal(SIGPIPE, SIG_IGN);
   char folder[] = "/tmp/pearchute-lab-XXXXXX";
-  if (!::mkdtemp(folder)) throw SystemError("no folder for the laboratory's files", "/tmp");
+  if (!::mkdtemp(folder)) throw SystemError("can't create a folder for the laboratory's files", "/tmp");
   folder_ = folder;
-  on([this] { raise(); });
-  for (std::size_t i = 0; i < managers_.size() && site_.starts_managers; ++i) start(i);
+  on([this] { create_stand_ins(); });
+  for (std::size_t i = 0; i < managers_.size() && spec_.starts_managers; ++i) start(i);
 }
 
-void TestCluster::raise() {
-  watch_own_delay(steady_now());
+void TestCluster::create_stand_ins() {
+  report_own_delay(steady_now());
   ServiceTerms terms;
-  terms.order_rest = site_.order_rest, terms.ration = site_.ration;
-  if (site_.cold.lasts.count() > 0) terms.cold = site_.cold;
+  terms.order_rest = spec_.order_rest, terms.ration = spec_.ration;
+  if (spec_.cold.lasts.count() > 0) terms.cold = spec_.cold;
   record_.set_terms(terms);
   channel_ = std::make_unique<StandInChannel>(loop());
-  for (int i = 0; i < site_.engines; ++i) {
-    engines_.push_back(std::make_unique<StandInEngine>(loop(), "e" + std::to_string(i + 1), site_.cores,
-                                                       site_.memory_mb, site_.seed + static_cast<unsigned>(i),
+  for (int i = 0; i < spec_.engines; ++i) {
+    engines_.push_back(std::make_unique<StandInEngine>(loop(), "e" + std::to_string(i + 1), spec_.cores,
+                                                       spec_.memory_mb, spec_.seed + static_cast<unsigned>(i),
                                                        &record_));
-    record_.set_zone(engines_.back()->name(), site_.zones[static_cast<std::size_t>(i) % site_.zones.size()]);
+    record_.set_zone(engines_.back()->name(), spec_.zones[static_cast<std::size_t>(i) % spec_.zones.size()]);
   }
   std::string channel_address = channel_->address();
-  if (site_.relayed) {
+  if (spec_.relayed) {
     const auto relay_to = [this](const std::string& target) {
       return std::make_unique<Relay>(loop(), "127.0.0.1:0", Poco::Net::SocketAddress(target));
     };
@@ -67,12 +67,12 @@
     channel_address = channel_relays_.front()->address();
   }
   channel_->tell(members_now(), true);
-  crowd_ = std::make_unique<StandInClients>(loop(), site_.seed, record_, kind_of);
-  for (int i = 0; i < site_.managers; ++i) {
+  clients_ = std::make_unique<StandInClients>(loop(), spec_.seed, record_, kind_of);
+  for (int i = 0; i < spec_.managers; ++i) {
     Manager& manager = managers_.emplace_back();
     const auto number = static_cast<std::size_t>(i);
     manager.name = "n" + std::to_string(i + 1);
-    manager.zone = site_.zones[number % site_.zones.size()];
+    manager.zone = spec_.zones[number % spec_.zones.size()];
     manager.listen = free_address(number);
     manager.admin = folder_ + "/" + manager.name + ".sock";
     manager.configuration = folder_ + "/" + manager.name + ".json";
@@ -83,7 +83,7 @@
         << "[admin]\nlisten = unix:" << manager.admin << "\norders_file = " << folder_ << "/" << manager.name
         << ".orders\nnotice_ms = 500\n";
     manager.caller = std::make_unique<admin::Caller>(loop(), admin::parse_endpoint("unix:" + manager.admin));
-    crowd_->add_manager(manager.listen);
+    clients_->add_manager(manager.listen);
   }
 }
 
@@ -98,7 +98,7 @@
   }
   on([this] {
     *alive_ = false;
-    crowd_.reset(), managers_.clear(), engine_relays_.clear(), channel_relays_.clear();
+    clients_.reset(), managers_.clear(), engine_relays_.clear(), channel_relays_.clear();
     engines_.clear(), channel_.reset();
     loop().settle();
   });
@@ -106,7 +106,8 @@
   std::filesystem::remove_all(folder_, ignored);
 }
 
-// A manager that a command line has started again is no child of ours: it is asked to end.
+// A manager that a fleet file's command line has started again is no child of this process. It is asked to
+// end over its admin channel, and waited for up to 8 s.
 void TestCluster::end_successor(std::size_t manager) {
   admin::CallEnd how{};
   admin::v1::Call end;
@@ -128,11 +129,11 @@
 }
 
 StandInChannel::Member TestCluster::member(std::size_t engine, const std::string& phase) const {
-  const std::string address = site_.relayed ? engine_relays_[engine]->address() : engines_[engine]->address();
+  const std::string address = spec_.relayed ? engine_relays_[engine]->address() : engines_[engine]->address();
   const auto since = up_since_ms_.find(engine);
   return {engines_[engine]->name(),
           address,
-          site_.zones[engine % site_.zones.size()],
+          spec_.zones[engine % spec_.zones.size()],
           "std",
           phase,
           since == up_since_ms_.end() ? 0 : since->second};
@@ -142,52 +143,52 @@
   const auto unix_now = std::chrono::system_clock::now().time_since_epoch();
   up_since_ms_[engine] = std::chrono::duration_cast<milliseconds>(unix_now).count();
   engines_[engine]->live();
-  record_.engine_starts(engines_[engine]->name(), site_.cores);
+  record_.on_engine_started(engines_[engine]->name(), spec_.cores);
   channel_->tell({member(engine)}, false);
 }
 
-// How late the stand-ins' own thread is, which dates what they see.
-void TestCluster::watch_own_delay(Time due) {
+// Reports how late the stand-ins' thread is, since observations are recorded that much too late.
+void TestCluster::report_own_delay(Time due) {
   const Time now = steady_now();
-  record_.own_delay(std::max(now - due, Time(0)));
-  constexpr milliseconds every(5);
-  loop().at(loop().now() + every, [this, alive = alive_, next = now + Time(every)] {
-    if (*alive) watch_own_delay(next);
+  record_.on_own_delay(std::max(now - due, Time(0)));
+  constexpr milliseconds interval(5);
+  loop().at(loop().now() + interval, [this, alive = alive_, next = now + Time(interval)] {
+    if (*alive) report_own_delay(next);
   });
 }
 
 void TestCluster::write_configuration(std::size_t number, const std::string& channel) {
   const Manager& manager = managers_[number];
-  const auto slowest = std::chrono::duration_cast<std::chrono::microseconds>(site_.slowest).count();
-  const auto sla_time = std::chrono::duration_cast<std::chrono::microseconds>(site_.sla_time).count();
+  const auto slowest = std::chrono::duration_cast<std::chrono::microseconds>(spec_.slowest).count();
+  const auto sla_time = std::chrono::duration_cast<std::chrono::microseconds>(spec_.sla_time).count();
   const auto type = [&](const char* name, const char* repeat, bool in_order, double worth) {
     return json{{"name", name},    {"repeat", repeat},  {"keyScope", "all"}, {"window", 9'000'000},
                 {"slo", sla_time}, {"giveUp", slowest}, {"worth", worth},    {"byArrival", in_order}};
   };
   json local = type("local", "pure", false, 1);
   local["runsIn"] = {"east"};
-  const auto order_rest = std::chrono::duration_cast<std::chrono::microseconds>(site_.order_rest).count();
+  const auto order_rest = std::chrono::duration_cast<std::chrono::microseconds>(spec_.order_rest).count();
   json known = json::array();
-  if (site_.knows_list) known.push_back(StandInChannel::event(1, members_now(), true));
+  if (spec_.knows_list) known.push_back(StandInChannel::event(1, members_now(), true));
   json configuration = {{"name", manager.name},
                         {"listen", manager.listen},
                         {"seed", "1"},
-                        {"limits", {{"sockets", site_.sockets}, {"memory_mb", site_.manager_memory_mb}}},
+                        {"limits", {{"sockets", spec_.sockets}, {"memory_mb", spec_.manager_memory_mb}}},
                         {"channel", channel},
-                        {"known", {{"cursor", site_.knows_list ? 1 : 0}, {"cmds", known}}},
+                        {"known", {{"cursor", spec_.knows_list ? 1 : 0}, {"cmds", known}}},
                         {"settings",
                          {{"classes",
                            {type("quick", "pure", false, 1), type("report", "pure", false, 5),
                             type("load", "token", true, 3), type("once", "side_effect", false, 2), local}},
                           {"hostTypes", {"std"}},
-                          {"failureDomains", site_.zones},
+                          {"failureDomains", spec_.zones},
                           {"zone", manager.zone},
                           {"me", number},
-                          {"nInstances", site_.fleet_managers > 0 ? site_.fleet_managers : site_.managers},
+                          {"nInstances", spec_.fleet_managers > 0 ? spec_.fleet_managers : spec_.managers},
                           {"obligations", {{"stopSendingWithin", 500'000}, {"orderPause", order_rest}}},
                           {"familyInfo",
-                           {{"coresByKind", {site_.cores}},
-                            {"sizeMb", {site_.memory_mb}},
+                           {{"coresByKind", {spec_.cores}},
+                            {"sizeMb", {spec_.memory_mb}},
                             {"takesGrants", true},
                             {"takesPriority", true},
                             {"grantCap", 0.5}}},
@@ -199,19 +200,19 @@
                             {"streamsPerConn", 4},
                             {"retryAfter", true},
                             {"maxRetryAfter", 500'000}}}}}};
-  if (site_.cold.lasts.count() > 0) {
+  if (spec_.cold.lasts.count() > 0) {
     const auto in_us = [](milliseconds time) {
       return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
     };
     json& obligations = configuration["settings"]["obligations"];
-    obligations["cold"] = in_us(site_.cold.lasts), obligations["fall"] = in_us(site_.cold.window);
-    obligations["coldFrom"] = site_.cold.share, obligations["tipMultiple"] = site_.cold.multiple;
+    obligations["cold"] = in_us(spec_.cold.lasts), obligations["fall"] = in_us(spec_.cold.window);
+    obligations["coldFrom"] = spec_.cold.share, obligations["tipMultiple"] = spec_.cold.multiple;
   }
-  if (site_.ration) {
+  if (spec_.ration) {
     json& obligations = configuration["settings"]["obligations"];
     obligations["ratioSpan"] =
-        std::chrono::duration_cast<std::chrono::microseconds>(site_.ration->window).count();
-    obligations["freeResends"] = site_.ration->few, obligations["extraShare"] = site_.ration->share;
+        std::chrono::duration_cast<std::chrono::microseconds>(spec_.ration->window).count();
+    obligations["freeResends"] = spec_.ration->few, obligations["extraShare"] = spec_.ration->share;
   }
   std::ofstream(manager.configuration) << configuration.dump(1) << "\n";
 }
@@ -222,7 +223,7 @@
   file << "[fleet]\ntimeout_ms = 1000\n";
   for (const Manager& manager : managers_) {
     file << "\n[instance " << manager.name << "]\nadmin = unix:" << manager.admin
-         << "\nzone = " << manager.zone << "\nstart = exec " << site_.pearchuted << " --config "
+         << "\nzone = " << manager.zone << "\nstart = exec " << spec_.pearchuted << " --config "
          << manager.configuration << " --admin " << manager.admin_file << " 2>>" << manager.log << "\n";
   }
   return name;
@@ -235,9 +236,9 @@
 void TestCluster::start(std::size_t number) {
   Manager& manager = managers_[number];
   ChildProcess child;
-  child.program = site_.pearchuted;
+  child.program = spec_.pearchuted;
   child.arguments = {"--config", manager.configuration, "--admin", manager.admin_file};
-  if (site_.environment) child.environment = site_.environment(number);
+  if (spec_.environment) child.environment = spec_.environment(number);
   child.log = manager.log;
   manager.process = start_child(child);
 }
@@ -255,8 +256,8 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -2;
 }
 
-bool TestCluster::until(const std::function<bool()>& done, milliseconds at_most) {
-  const Time end = steady_now() + at_most;
+bool TestCluster::until(const std::function<bool()>& done, milliseconds timeout) {
+  const Time end = steady_now() + timeout;
   while (!on(done)) {
     if (steady_now() > end) return false;
     std::this_thread::sleep_for(milliseconds(5));
@@ -267,12 +268,12 @@
 void TestCluster::rest(milliseconds time) { std::this_thread::sleep_for(time); }
 
 admin::v1::Reply TestCluster::call(std::size_t manager, admin::v1::Call call, admin::CallEnd* end) {
-  std::promise<std::pair<admin::CallEnd, admin::v1::Reply>> heard;
-  auto reply = heard.get_future();
+  std::promise<std::pair<admin::CallEnd, admin::v1::Reply>> promise;
+  auto reply = promise.get_future();
   on([&] {
     managers_[manager].caller->call(std::move(call), std::chrono::seconds(3),
                                     [&](admin::CallEnd how, const admin::v1::Reply& what) {
-                                      heard.set_value({how, what});
+                                      promise.set_value({how, what});
                                     });
   });
   const auto [how, what] = reply.get();
@@ -309,23 +310,24 @@
   for (std::size_t i = 0; i < managers_.size(); ++i) {
     if (ended(i) == -1) continue;
     std::ifstream log(managers_[i].log);
-    const std::string told{std::istreambuf_iterator<char>(log), {}};
-    // The platform's build knows neither --config nor --admin.
-    const bool other_build = told.find("takes no arguments") != std::string::npos;
+    const std::string log_text{std::istreambuf_iterator<char>(log), {}};
+    // The platform's build, which has no admin channel, accepts neither --config nor --admin.
+    const bool other_build = log_text.find("takes no arguments") != std::string::npos;
     throw TestClusterError(
-        managers_[i].name + " has ended: " + last_line(i), site_.pearchuted,
+        managers_[i].name + " has exited; its last log line: " + last_line(i), spec_.pearchuted,
         other_build ? "this pearchuted has no admin channel; run 'make build' and take the programs "
                       "of that folder (--programs)"
-                    : "see whether that program starts by hand");
+                    : "check whether that program starts by hand");
   }
-  throw TestClusterError("the managers don't serve all engines; last said: " + last_line(0), folder_);
+  throw TestClusterError("the managers don't serve all engines; last log line of the first: " + last_line(0),
+                         folder_);
 }
 
 bool TestCluster::all_serving(std::uint64_t engines_up) {
   const Time end = steady_now() + std::chrono::seconds(20);
   for (std::size_t i = 0; i < managers_.size(); ++i) {
     while (status(i).engines_up() != engines_up || status(i).identity().phase() != "serving") {
-      if (steady_now() > end || (site_.starts_managers && ended(i) != -1)) return false;
+      if (steady_now() > end || (spec_.starts_managers && ended(i) != -1)) return false;
       rest(milliseconds(10));
     }
   }
--- a/src/lab/stand_ins/test_cluster.h
+++ b/src/lab/stand_ins/test_cluster.h
@@ -1,5 +1,5 @@
-// A whole small site on loopback: a command channel, stand-in engines, managers as processes with their admin
-// channels, and a crowd of clients, all but the managers on one loop. It ends what it has started, by id.
+// A small site on loopback: a stand-in command channel, stand-in engines and clients, which share one event
+// loop, and managers as processes with their admin channels. The destructor ends the managers.
 #pragma once
 
 #include <sys/types.h>
@@ -21,29 +21,29 @@
 
 struct ClusterSpec {
   int managers = 1, engines = 2;
-  std::vector<std::string> zones = {"east", "west"};  // engines and managers in turn
+  std::vector<std::string> zones = {"east", "west"};  // engines and managers are assigned to them in turn
   int cores = 8;
   double memory_mb = 8000;
   std::uint64_t seed = 1;
-  std::string pearchuted;  // the programs
+  std::string pearchuted;  // path of the program
   std::string pearchute_agent;
-  bool starts_managers = true;                // else agents do
-  std::chrono::milliseconds slowest{4000};    // the longest job timeout
-  std::chrono::milliseconds sla_time{600};    // of each reservation type
-  int sockets = 512, manager_memory_mb = 48;  // what a manager is told that it may have
-  bool knows_list = false;                    // the whole list stands in its configuration, too
-  int fleet_managers = 0;                     // that the managers know of; 0: those of this site
+  bool starts_managers = true;                // false: agents start them
+  std::chrono::milliseconds slowest{4000};    // the longest request timeout
+  std::chrono::milliseconds sla_time{600};    // SLA time of each reservation type
+  int sockets = 512, manager_memory_mb = 48;  // the limits in a manager's configuration
+  bool knows_list = false;                    // the configuration includes the complete endpoint list, too
+  int fleet_managers = 0;                     // number of managers in the settings; 0: `managers`
   ColdRule cold;
-  std::chrono::milliseconds order_rest{100};  // of a key after an attempt whose end is not sure
+  std::chrono::milliseconds order_rest{100};  // quiet period of a key after an uncertain outcome
   std::optional<RationTerms> ration;
-  bool relayed = false;  // a relay stands before each engine, and two before the channel
-  // Of each manager, by its number: what its environment holds beside the laboratory's own.
+  bool relayed = false;  // a relay is put in front of each engine, and two in front of the channel
+  // Returns the environment variables of a manager, by its number, in addition to the laboratory's.
   std::function<std::vector<std::pair<std::string, std::string>>(std::size_t)> environment;
 };
 
 class TestCluster {
  public:
-  explicit TestCluster(const ClusterSpec& site);
+  explicit TestCluster(const ClusterSpec& spec);
   ~TestCluster();
   TestCluster(const TestCluster&) = delete;
   TestCluster& operator=(const TestCluster&) = delete;
@@ -53,7 +53,7 @@
     pid_t process = -1;
     std::unique_ptr<admin::Caller> caller;
   };
-  // The stand-ins live on a loop of their own: they are reached within `on` only.
+  // Runs `what` on the stand-ins' event loop and returns its result. The stand-ins may be used only there.
   template <class What>
   auto on(What what) {
     return loop_thread_.on(std::move(what));
@@ -61,73 +61,78 @@
   net::Loop& loop() { return loop_thread_.loop(); }
   HistoryChecker& record() { return record_; }
   StandInChannel& channel() { return *channel_; }
-  StandInClients& crowd() { return *crowd_; }
+  StandInClients& crowd() { return *clients_; }
   std::vector<Manager>& managers() { return managers_; }
   std::vector<std::unique_ptr<StandInEngine>>& engines() { return engines_; }
   StandInChannel::Member member(std::size_t engine, const std::string& phase = "active") const;
-  // The engine is there again, as one that has just started; the list tells it.
+  // The engine listens again as one that has just started, and the endpoint list announces that. Call within
+  // on().
   void start_anew(std::size_t engine);
   std::vector<StandInChannel::Member> members_now() const;
   const std::string& folder() const { return folder_; }
-  // Only where they are relayed.
+  // Valid only with ClusterSpec::relayed.
   Relay& engine_relay(std::size_t engine) { return *engine_relays_[engine]; }
   Relay& channel_relay(std::size_t which) { return *channel_relays_[which]; }
-  // A fleet file for pearchutectl over the managers, which starts them again as they were started. Its name.
+  // Writes a fleet file from which pearchutectl can start the managers again as they were started; returns
+  // its path.
   std::string write_fleet() const;
 
   void start(std::size_t manager);
   void signal(std::size_t manager, int signal);
-  // The exit status once it has ended; -1 while it runs, -2 where a signal ended it.
+  // Returns -1 while the process runs, then once its exit status, or -2 after a signal. Returns -2 if there
+  // is no process.
   int ended(std::size_t manager);
-  // A manager with another command channel, from its next reading on.
+  // Writes a configuration with another command channel, which the manager uses from its next reload on.
   void move_channel(std::size_t manager, const std::string& address);
 
-  // Waits until `done`, asked on the loop some two hundred times a second; false where that took too long.
-  bool until(const std::function<bool()>& done, std::chrono::milliseconds at_most = std::chrono::seconds(20));
+  // Evaluates `done` on the loop every 5 ms until it is true. Returns false after `timeout`.
+  bool until(const std::function<bool()>& done, std::chrono::milliseconds timeout = std::chrono::seconds(20));
   void rest(std::chrono::milliseconds time);
   HistoryChecker::Verdict verdict() {
     return on([this] { return record_.verdict(); });
   }
-  // No job is open any more.
-  bool quiet(std::chrono::milliseconds at_most = std::chrono::seconds(10)) {
-    return until([this] { return record_.verdict(), record_.open() == 0; }, at_most);
+  // Waits until no request is open. Returns false after `timeout`.
+  bool quiet(std::chrono::milliseconds timeout = std::chrono::seconds(10)) {
+    return until([this] { return record_.verdict(), record_.open() == 0; }, timeout);
   }
-  // A call to a manager, waited for.
+  // Calls a manager's admin channel and waits for the reply, 3 s at most.
   admin::v1::Reply call(std::size_t manager, admin::v1::Call call, admin::CallEnd* end = nullptr);
+  // Orders the manager to drain or to use the subject.
   admin::v1::Reply order(std::size_t manager, const std::string& subject, bool drains,
                          std::uint64_t generation, const std::string& holder = "lab",
                          const std::string& id = "",
                          std::chrono::milliseconds lease = std::chrono::seconds(60));
   admin::v1::Status status(std::size_t manager);
-  bool all_serving(std::uint64_t engines_up);  // waits for it
-  void must_serve(
-      std::uint64_t engines_up);  // the same; throws TestClusterError with what the managers' logs tell
+  // Waits up to 20 s until every manager serves and has `engines_up` engines.
+  bool all_serving(std::uint64_t engines_up);
+  // The same, but throws TestClusterError, with the end of a manager's log, if that fails.
+  void must_serve(std::uint64_t engines_up);
 
  private:
-  void raise();
-  void watch_own_delay(Time due);
-  std::string last_line(std::size_t manager) const;  // of its log
+  void create_stand_ins();
+  void report_own_delay(Time due);
+  std::string last_line(std::size_t manager) const;  // of the manager's log
   void end_successor(std::size_t manager);
   void write_configuration(std::size_t manager, const std::string& channel);
 
   net::EventLoopThread loop_thread_;
-  const ClusterSpec site_;
+  const ClusterSpec spec_;
   HistoryChecker record_;
   std::string folder_;
   std::unique_ptr<StandInChannel> channel_;
   std::vector<std::unique_ptr<StandInEngine>> engines_;
   std::vector<std::unique_ptr<Relay>> engine_relays_, channel_relays_;
-  std::unique_ptr<StandInClients> crowd_;
+  std::unique_ptr<StandInClients> clients_;
   std::vector<Manager> managers_;
-  std::map<std::size_t, std::int64_t> up_since_ms_;  // of engines that have started late
+  std::map<std::size_t, std::int64_t> up_since_ms_;  // of the engines that start_anew() started
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// A port that was free a moment ago, at a loopback address that few others use; the number sets callers
-// apart.
+// Returns a port that was free a moment ago, at a loopback address that depends on the process id and on
+// `number`, so that collisions are rare.
 std::string free_address(std::size_t number);
 
-// What the rules hold for the site's reservation types: quick, report (restartable), load (keyed, in order),
+// Returns the rules for the site's reservation types: quick and report (restartable), load (keyed, in order),
 // once (run once), local (restartable, in the zone "east" only).
 HistoryChecker::Kind kind_of(const std::string& type);
 
--- a/tests/test_crossings.cpp
+++ b/tests/test_crossings.cpp
@@ -1,5 +1,5 @@
-// Two or three rare conditions that meet, from outside: the daemon as a process among stand-ins. Each
-// scenario is a test of its own, named on the command line; docs/incidents/ tells how they were found.
+// Tests combinations of two or three rare conditions. The daemon runs as a process among stand-ins. Each
+// scenario is a test of its own, named on the command line; docs/incidents/ describes how they were found.
 #include <atomic>
 #include <cstring>
 #include <nlohmann/json.hpp>
@@ -13,13 +13,13 @@
 
 namespace {
 
-// The time that a request on an engine's connection says the manager will wait; -1 where there is none.
+// The time limit in a request on an engine's connection, in milliseconds; -1 if there is none.
 long wait_in(const std::string& request) {
   const std::size_t at = request.find(",ms=");
   return at == std::string::npos ? -1 : std::atol(request.c_str() + at + 4);
 }
 
-// Settings whose only engines may be slow to come up.
+// Settings with a long connect timeout, for engines that accept connections late.
 constexpr const char* late_settings = R"({"classes":[
     {"name":"quick","repeat":"pure","slo":8000000,"giveUp":9000000,"worth":1}],
     "hostTypes":["std"],"failureDomains":["east"],"zone":"east","nInstances":1,
@@ -27,7 +27,8 @@
     "familyInfo":{"coresByKind":[8],"sizeMb":[8000]},
     "limits":{"attemptsCap":2,"cancel":true,"connectTimeout":6000000,"idleClose":15000000,"streamsPerConn":4}})";
 
-// An engine begins to drain while the connection for a job is still coming up: the job never leaves for it.
+// An engine starts to drain while the connection for a request is still being established: the request must
+// not be sent to it.
 void drain_while_connecting() {
   DaemonFixture fixture;
   LateDoor late;
@@ -47,14 +48,15 @@
     draining.phase = "leaving";
     fixture.channel->tell({draining}, false);
   });
-  pass(milliseconds(700));  // longer than what is on its way may take
+  pass(milliseconds(700));  // longer than the 500 ms within which the manager must stop sending
   late.opens();
   const std::string came = late.hears(id_of(call.number), milliseconds(2500));
   assert(came.find(id_of(call.number)) == std::string::npos);
   close(fd);
 }
 
-// A connection that comes up late takes its time from the client: the engine is told what is left then.
+// A connection to an engine is established late: the time limit sent to the engine must be what is left of
+// the client's timeout then.
 void deadline_after_late_connect() {
   DaemonFixture fixture;
   LateDoor late;
@@ -67,13 +69,13 @@
   late.opens();
   const std::string came = late.hears(id_of(call.number), milliseconds(4000));
   const long told = wait_in(came), left = 6000 - elapsed_ms(sent);
-  std::fprintf(stderr, "told %ld ms, %ld ms are left\n", told, left);
-  assert(told > 0 && told <= left + 300 + 150);  // it was heard up to 0.3 s after it came
+  std::fprintf(stderr, "time limit %ld ms, %ld ms are left\n", told, left);
+  assert(told > 0 && told <= left + 300 + 150);  // received up to 0.3 s late, 150 ms tolerance
   close(fd);
 }
 
-// Requests that a client writes behind an open one wait with the manager, and their time runs meanwhile: what
-// is left of it goes to the engine, and what has none left goes nowhere.
+// Pipelined requests wait in the manager, and their time runs meanwhile: the engine must receive the
+// remaining time as the limit, and a request without any time left must not be sent.
 void pipelined_deadlines() {
   DaemonFixture fixture;
   const std::string engine = fixture.engine("a");
@@ -86,16 +88,17 @@
   const auto answered = elapsed_ms(sent);
   assert(hear(fd).starts_with("HTTP/1.1 200"));
   assert(hear(fd).starts_with("HTTP/1.1 503"));
-  const auto told = fixture.stage.on([&] { return fixture.engines["a"]->told_wait(id_of(second.number)); });
-  std::fprintf(stderr, "told %lld ms, %lld ms were left\n", static_cast<long long>(told->count()),
+  const auto told =
+      fixture.stage.on([&] { return fixture.engines["a"]->time_limit_of(id_of(second.number)); });
+  std::fprintf(stderr, "time limit %lld ms, %lld ms were left\n", static_cast<long long>(told->count()),
                static_cast<long long>(1600 - answered));
   assert(told && told->count() <= 1600 - answered + 150);
   assert(fixture.begun("a", third) == 0);
   close(fd);
 }
 
-// Discovery that has too many callers turns them away at once: it is asked again at growing distance, not as
-// fast as it answers. Once it takes calls again, it is asked soon.
+// Overloaded discovery refuses requests at once: the manager must retry with backoff, not as fast as it is
+// refused, and must reconnect soon once discovery accepts requests again.
 void discovery_refuses() {
   DaemonFixture fixture;
   const std::string engine = fixture.engine("a");
@@ -114,7 +117,7 @@
     assert(soon([&] { return discovery.connections() > 0; }));
     pass(milliseconds(2000));
     const int asked = discovery.connections();
-    std::fprintf(stderr, "asked %d times in two seconds\n", asked);
+    std::fprintf(stderr, "connected %d times in two seconds\n", asked);
     assert(asked >= 3 && asked <= 20);
     crowded = false;
     assert(soon([&] { return fixture.ready(); }, 100));
@@ -123,7 +126,8 @@
   }
 }
 
-// Discovery that takes seconds to say its first word: it is waited for, longer each time.
+// Discovery takes 3.2 s to send its first response: the manager must wait longer at each try, so that it
+// becomes ready.
 void discovery_slow() {
   DaemonFixture fixture;
   const std::string engine = fixture.engine("a");
@@ -142,7 +146,8 @@
   assert(ready);
 }
 
-// The process has no turn while a request comes: what the engine is told is what the client has left then.
+// The daemon is stopped while a request arrives: the time limit sent to the engine must be what is left of
+// the client's timeout, including the time during the stop.
 void deadline_after_stall() {
   DaemonFixture fixture;
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}}));
@@ -156,15 +161,17 @@
     kill(fixture.daemon, SIGCONT);
     assert(hear(fd).starts_with("HTTP/1.1 200"));
     const auto left = 3000 - elapsed_ms(sent);
-    const auto told = fixture.stage.on([&] { return fixture.engines["a"]->told_wait(id_of(call.number)); });
-    std::fprintf(stderr, "told %lld ms, %lld ms were left\n", static_cast<long long>(told->count()),
+    const auto told =
+        fixture.stage.on([&] { return fixture.engines["a"]->time_limit_of(id_of(call.number)); });
+    std::fprintf(stderr, "time limit %lld ms, %lld ms were left\n", static_cast<long long>(told->count()),
                  static_cast<long long>(left));
     assert(told && told->count() <= left + 150);
     close(fd);
   }
 }
 
-// The wall clock is stepped while a wait is interrupted by a signal: the wait ends as soon as it would have.
+// The wall clock is stepped while a signal interrupts a wait: the wait must end when it would have ended
+// anyway.
 void clock_step_in_interrupted_wait() {
   FaultyDaemon fixture;
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}}));
@@ -184,7 +191,7 @@
   assert(fixture.faults.struck(FaultKind::wait_interrupted) > 10);
 }
 
-// Reads that are interrupted before anything is read: the connection is sound, and goes on.
+// Reads fail with EINTR before any byte is read: the connection is intact and must stay in use.
 void interrupted_reads() {
   FaultyDaemon fixture;
   fixture.go(usual_settings, known({{"a", fixture.engine("a")}}));
@@ -201,7 +208,7 @@
   assert(answered == 200);
 }
 
-// What can't be had for a moment at the start is tried again.
+// Sockets or files are unavailable for a moment at the start: the manager must retry.
 void start_without_sockets() {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     FaultyDaemon fixture(seed);
@@ -215,10 +222,12 @@
   }
 }
 
-// Connections wait to be accepted when the manager stops listening, and accept fails for a moment just then.
+// Connections wait in the listen backlog when the manager stops listening, and accept fails for a moment
+// then.
 void accept_fails_at_the_end() { answers_all_that_wait_at_the_end(FaultKind::accept_fails); }
 
-// The configuration can't be opened for a moment just when SIGHUP says that the list's channel has moved.
+// The configuration file can't be opened for a moment when SIGHUP announces that the channel has moved: the
+// manager must retry the reload.
 void reload_while_files_run_short() {
   FaultyDaemon fixture;
   std::unique_ptr<StandInChannel> moved;
@@ -242,8 +251,8 @@
   assert(has_moved);
 }
 
-// A client leaves while its request lies with the system, because the engine reads nothing: the rest of it
-// never comes to the engine.
+// A client leaves while part of its request waits in the socket's send queue, because the engine doesn't
+// read: the rest must not reach the engine.
 void left_behind_in_the_send_queue() {
   DaemonFixture fixture;
   int port = 0;
@@ -262,14 +271,14 @@
   setsockopt(peer, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   for (ssize_t got = 0; (got = recv(peer, bytes, sizeof bytes, 0)) > 0;)
     came.append(bytes, static_cast<std::size_t>(got));
-  std::fprintf(stderr, "%zu bytes came, %s\n", came.size(),
-               came.find("FROM a_1.t") == std::string::npos ? "not whole" : "whole");
+  std::fprintf(stderr, "%zu bytes received, %s\n", came.size(),
+               came.find("FROM a_1.t") == std::string::npos ? "incomplete" : "complete");
   assert(came.find("FROM a_1.t") == std::string::npos);
   close(peer), close(door);
 }
 
-// The process has no turn for a while, and a client leaves meanwhile: when it goes on, what was held for that
-// client is not sent, whatever it does first.
+// A client leaves while the daemon is stopped: once the daemon continues, the request that it held for that
+// client must not be sent, whichever event it handles first.
 void left_while_stalled() {
   DaemonFixture fixture;
   const std::string engine = fixture.engine("a", 1);
@@ -298,19 +307,20 @@
     kill(fixture.daemon, SIGSTOP);
     for (const JobCall& one : held) begun_before.push_back(fixture.begun("a", one));
     for (const int fd : waiting) close(fd);
-    pass(milliseconds(1500));  // answers come in meanwhile, and timers are due
+    pass(milliseconds(1500));  // answers arrive meanwhile, and timers become due
     kill(fixture.daemon, SIGCONT);
     pass(milliseconds(400));
     for (const int fd : filling) close(fd);
     for (std::size_t i = 0; i < held.size(); ++i) {
       if (fixture.begun("a", held[i]) != begun_before[i])
-        std::fprintf(stderr, "round %d: job %d began after its client had left\n", round, held[i].number),
+        std::fprintf(stderr, "round %d: request %d started after its client had left\n", round,
+                     held[i].number),
             assert(false);
     }
   }
 }
 
-// One type for each engine, which is known by its kind; a cold engine is sent nothing for five seconds.
+// One type for each engine, which is selected by its kind; a cold engine is sent nothing for five seconds.
 constexpr const char* cold_settings = R"({"classes":[
     {"name":"first","repeat":"pure","slo":8000000,"giveUp":9000000,"worth":1,"boundTo":["a"]},
     {"name":"second","repeat":"pure","slo":8000000,"giveUp":9000000,"worth":1,"boundTo":["b"]}],
@@ -319,8 +329,9 @@
     "familyInfo":{"coresByKind":[8,8],"sizeMb":[8000,8000]},
     "limits":{"attemptsCap":2,"cancel":true,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":4}})";
 
-// The machine's wall clock is an hour off while a manager starts. Engines' starts are told as Unix times: one
-// that starts later is still taken for cold, and one that started before is not taken for cold for an hour.
+// The wall clock is an hour off while a manager starts, and engines' start times are Unix times. An engine
+// that starts later must still count as cold, and one that started earlier must not count as cold for an
+// hour.
 void clock_off_at_the_start() {
   for (const auto offset : {std::chrono::hours(1), -std::chrono::hours(1)}) {
     FaultyDaemon fixture;
@@ -344,7 +355,7 @@
     fixture.configure(cold_settings, known({{"a", a, "a", "east", unix_ms() - 60'000}}), discovery.address());
     fixture.go();
     assert(fixture.faults.wall_clock_reads() > 0);
-    // Cold for as long as the settings say at most, whatever the clock says.
+    // The engine counts as cold no longer than the settings state, whatever the clock shows.
     const JobCall first = job("work=1", 8000, "first");
     const int fd = fixture.open(first);
     assert(soon([&] { return fixture.begun("a", first) == 1; }, 600));
@@ -365,9 +376,9 @@
   }
 }
 
-// A manager starts while its wall clock is ahead, and the list that it starts with has an engine that has
-// just started: that is taken for cold. One that is older than another by more than the time they are cold is
-// not.
+// A manager starts while its wall clock is ahead, and its first endpoint list contains an engine that has
+// just started, which must count as cold. An engine that is older than that one by more than the duration of
+// the slow start must not.
 void clock_ahead_of_the_first_list() {
   for (const auto offset : {std::chrono::seconds(5), std::chrono::seconds(3600)}) {
     FaultyDaemon fixture;
