--- a/tests/scenarios.h
+++ b/tests/scenarios.h
@@ -1,4 +1,4 @@
-// Programs that hold several tests by name: one is named on the command line, or all are played.
+// Runs test programs that consist of several named scenarios: the one named on the command line, or all.
 #pragma once
 
 #include <cstring>
@@ -11,7 +11,7 @@
   void (*play)();
 };
 
-// The program's status: 0 where something was played, 2 where no scenario has that name.
+// Returns the program's exit status: 0, or 2 if no scenario has the given name.
 inline int play_named(std::span<const Scenario> scenarios, int count, char** names) {
   bool played = false;
   for (const Scenario& one : scenarios) {
--- a/tests/test_endings.cpp
+++ b/tests/test_endings.cpp
@@ -1,6 +1,6 @@
-// What is still owed when something ends, from outside: the daemon as a process among stand-ins, clients and
-// engines by plain sockets. Each scenario is a test of its own, named on the command line; docs/endings.md
-// tells which path each of them walks.
+// Tests what the daemon owes its clients and engines when a client, an engine, a channel or the daemon itself
+// ends. The daemon runs as a process among stand-in engines; clients use plain sockets. Each scenario is a
+// test of its own, named on the command line; docs/endings.md lists the code path that each one covers.
 #include <fcntl.h>
 
 #include <cstring>
@@ -15,7 +15,8 @@
 
 namespace {
 
-// Settings with a type for each cause of holding, each bound to engines of its own.
+// Settings with one type for each reason to hold a request, each bound to an engine of its own: no capacity,
+// slow start, the order of a key, and a connection that is not up yet.
 constexpr const char* held_settings = R"({"classes":[
     {"name":"room","repeat":"pure","slo":12000000,"giveUp":14000000,"worth":1,"boundTo":["a"]},
     {"name":"cold","repeat":"pure","slo":12000000,"giveUp":14000000,"worth":1,"boundTo":["b"]},
@@ -27,8 +28,9 @@
     "familyInfo":{"coresByKind":[1,8,8,8],"sizeMb":[8000,8000,8000,8000]},
     "limits":{"attemptsCap":3,"cancel":true,"connectTimeout":9000000,"idleClose":15000000,"streamsPerConn":1}})";
 
-// A client that has gone: nothing of its job leaves from then on, whatever the job was held for; one that
-// comes back by its path in time gets its answer.
+// Guards against work for clients that left: a request that is held for any reason must not be sent to an
+// engine after its client closed the connection. A client that returns to the result path in time gets its
+// answer.
 void gone_while_held() {
   DaemonFixture fixture;
   LateDoor late;
@@ -37,7 +39,7 @@
                                    {"b", b, "b", "east", unix_ms()},
                                    {"c", c, "c"},
                                    {"d", "127.0.0.1:" + std::to_string(late.port), "d"}}));
-  // Two that fill what there is, and one that leaves its key at rest.
+  // Two requests fill engine a, and the end of a third one starts the quiet period of its key.
   const JobCall fills[] = {long_job("fault=hang"), long_job("fault=hang")};
   int filling[] = {fixture.open(fills[0]), fixture.open(fills[1])};
   const std::string key = "X-Object: 00000000000000aa\r\nIdempotency-Key: k1\r\n";
@@ -46,7 +48,7 @@
   assert(soon([&] {
     return fixture.begun("a", fills[0]) + fixture.begun("a", fills[1]) == 2 && fixture.begun("c", first) == 1;
   }));
-  close(first_fd);  // its end is unsure: the key rests
+  close(first_fd);  // uncertain outcome: the key's quiet period starts
   assert(soon([&] { return fixture.counter("withdrawn") == 1; }));
 
   struct Case {
@@ -69,17 +71,17 @@
     }
   }
   for (Held& one : held) assert(hear(one.fd).find("{\"link\":") != std::string::npos);
-  // Some close without a word after their path came, and some hold a call on it.
+  // Some clients close the connection after they received the path, others while they wait for the result.
   for (std::size_t i = 0; i < held.size(); ++i) {
     if (i % 2) say(held[i].fd, fetch_of(held[i].call));
   }
   pass(milliseconds(100));
   for (Held& one : held) close(one.fd);
-  pass(milliseconds(100));  // the terms' own span
+  pass(milliseconds(100));  // the service terms allow 100 ms to react
   for (Held& one : held) {
     if (one.back) one.fd = connect_to(fixture.port), say(one.fd, fetch_of(one.call));
   }
-  // Now everything that they were held for comes about.
+  // Now all reasons to hold the requests end.
   for (std::size_t i = 0; i < 2; ++i) {
     call(fixture.port, "DELETE" + fetch_of(fills[i]).substr(3));
     close(filling[i]);
@@ -106,7 +108,8 @@
   }
 }
 
-// The same for a client that leaves behind bytes that nobody reads, because its call is open.
+// The same for a client that closes the connection while bytes that it sent after its request are unread,
+// because the manager doesn't read further while the request is open.
 void gone_behind_bytes() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a", 2);
@@ -121,12 +124,12 @@
     std::string bytes = flood.bytes();
     while (bytes.size() < behind) bytes += long_job("work=1").bytes();
     fcntl(fd, F_SETFL, O_NONBLOCK);
-    say(fd, bytes);  // as much as goes
+    say(fd, bytes);  // as much as the socket takes
     floods.push_back(flood);
     if (behind < 2'000'000) pass(milliseconds(20));
     close(fd);
   }
-  // One that sends too much and stays hears that it is to come again; one that makes one call is served.
+  // A client that sends too much and stays connected receives 503; one that sends a single request is served.
   const JobCall more = long_job("work=1");
   const int talker = fixture.open(more);
   std::string behind = "\r\n";
@@ -147,8 +150,8 @@
   close(there);
 }
 
-// A connection on which nothing is open may be closed, and a call may cross that: then it was not read, or it
-// is answered. Either way nobody hears of it later.
+// While the manager ends, it closes idle connections, and a request may cross the close. It must then either
+// be answered, or not be read and so never reach an engine.
 void calls_cross_the_end() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a");
@@ -184,17 +187,18 @@
   }
   assert(fixture.ended() == 0);
   assert(Clock::now() - asked < milliseconds(2000));
-  assert(answered > 0 && answered < 100);  // some came before and some after, so that the end was crossed
+  assert(answered > 0 && answered < 100);  // some requests arrived before the close and some after it
 }
 
-// Connections that wait to be accepted when the manager stops taking any have been taken by the machine.
+// Connections in the listen backlog when the manager stops listening look established to their clients, so
+// they must be accepted and answered, not reset.
 void waiting_at_the_door() {
   DaemonFixture fixture;
   fixture.more = R"("limits":{"sockets":1024})";
   const std::string a = fixture.engine("a");
   fixture.go(usual_settings, known({{"a", a}}));
   kill(fixture.daemon, SIGTERM);
-  pass(milliseconds(200));  // it has heard
+  pass(milliseconds(200));  // the daemon has handled the signal
   kill(fixture.daemon, SIGSTOP);
   pass(milliseconds(50));
   std::vector<std::pair<int, JobCall>> late;
@@ -202,7 +206,7 @@
     const JobCall call = job("work=1", 900, "brief");
     late.emplace_back(fixture.open(call), call);
   }
-  pass(milliseconds(600));  // past the time at which it stops to listen
+  pass(milliseconds(600));  // past the time at which the daemon stops listening
   kill(fixture.daemon, SIGCONT);
   int broken = 0;
   for (const auto& [fd, call] : late) {
@@ -213,8 +217,8 @@
   assert(fixture.ended() == 0);
 }
 
-// A result that its client has not fetched yet when the manager is asked to end, because its connection
-// broke: it calls again, and gets it.
+// A client's connection breaks before it fetched its result, and the manager is asked to end: the manager
+// must keep the result until the client requests it again.
 void unfetched() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a");
@@ -235,12 +239,12 @@
   assert(fixture.ended() == 0);
 }
 
-// Engines that hang while the manager ends: each job has its answer, and the process ends by itself before
-// the platform would kill it. Half an answer from an engine is none.
+// Engines hang while the manager ends: each request must be answered, and the process must exit before the
+// platform would kill it. A truncated answer of an engine counts as none.
 void hung_at_the_end() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a"), b = fixture.engine("b");
-  std::string settings = usual_settings;  // the longest time-out is a second then
+  std::string settings = usual_settings;  // the longest timeout is 1 s then
   settings.replace(settings.find("6000000,\"giveUp\":9000000"), 24, "900000,\"giveUp\":1000000");
   fixture.go(settings, known({{"a", a}, {"b", b}}));
   std::vector<std::pair<int, JobCall>> out;
@@ -261,12 +265,13 @@
   assert(fixture.ended() == 0);
   const auto took = Clock::now() - asked;
   if (took > milliseconds(1680))
-    std::fprintf(stderr, "it took %lld ms\n", static_cast<long long>(took / milliseconds(1))), assert(false);
+    std::fprintf(stderr, "the exit took %lld ms\n", static_cast<long long>(took / milliseconds(1))),
+        assert(false);
 }
 
-// What an unsure end leaves: a run-once job that may have run, and a keyed one whose repeats are no longer
-// known, are not sent again, and their clients hear so at once, not at their time's end. What surely did not
-// run goes again.
+// Uncertain outcomes: a run-once request that may have run, and a keyed one after the end of its
+// deduplication window, must not be sent again, and the client must receive the error at once, not at its
+// deadline. A request that may be repeated is sent again.
 void unsure_ends() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a");
@@ -312,8 +317,9 @@
   }
 }
 
-// All watches on the list fall silent at once and stay open; an engine drains right after. Then a
-// configuration moves the channel while the former one is being opened anew.
+// The stream of the endpoint list falls silent without closing, and an engine drains right after: the manager
+// must notice and reconnect in time. Then a new configuration moves the channel while the manager reconnects
+// to the former one.
 void silent_watches() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a"), b = fixture.engine("b");
@@ -334,7 +340,8 @@
   fixture.stage.on(
       [&] { fixture.channel->strand(), fixture.channel->tell({member("a", a, "leaving")}, false); });
   const auto told = Clock::now();
-  // Within what a silent stream may take, half a second and the way, nothing goes there any more.
+  // The manager must have stopped sending to engine a within the time that it takes to replace a silent
+  // stream, plus 500 ms, plus the time on the way.
   assert(soon([&] { return fixture.stage.on([&] { return fixture.channel->asked() >= 2; }); }));
   pass(milliseconds(100));
   assert(Clock::now() - told < milliseconds(3500));
@@ -344,7 +351,7 @@
     assert(hear(fd).starts_with("HTTP/1.1 200") && fixture.begun("a", call) == 0);
     close(fd);
   }
-  // The channel's place refuses, and the configuration names another while that is tried again.
+  // The channel's address refuses connections, and the configuration names another one during the retries.
   const std::string moved_at = fixture.stage.on([&] {
     moved->tell({member("a", a, "leaving")}, false);
     moved->tell({member("a", a, "left"), member("b", b, "leaving"), member("c", a, "active")}, false);
@@ -362,25 +369,25 @@
   const int fd = fixture.open(call);
   assert(hear(fd).starts_with("HTTP/1.1 200") && fixture.begun("b", call) == 0);
   close(fd);
-  pass(milliseconds(600));  // one reconnect, not two: nothing else is asked for
+  pass(milliseconds(600));  // the manager must reconnect once only
   fixture.stage.on([&] {
     assert(moved->asked() == 1);
     moved.reset();
   });
 }
 
-// Idle clients fill the descriptors while discovery is down: the list, the engines and new clients get theirs
-// all the same, and a manager that starts then gets ready.
+// Idle clients use up the descriptors while discovery is down: the channel, the engines and new clients must
+// still get descriptors, and a starting manager must become ready.
 void descriptors_full() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a");
   int channel_port = 0;
-  close(listen_on(channel_port));  // nobody is there yet
+  close(listen_on(channel_port));  // no process listens there yet
   const std::string at = "127.0.0.1:" + std::to_string(channel_port);
   fixture.configure(usual_settings, R"({"cursor":0,"cmds":[]})", at);
   fixture.daemon = ::start(fixture.configuration);
   assert(soon([&] { return call(fixture.port, "GET /check HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"); }));
-  // More than there are descriptors, in one burst; half of them have called before, and rest.
+  // Opens more connections than there are descriptors in one burst; half of them send a request first.
   std::vector<int> idle;
   for (int i = 0; i < 600; ++i) {
     const int fd = connect_to(fixture.port);
@@ -389,7 +396,7 @@
     idle.push_back(fd);
   }
   assert(call(fixture.port, "GET /check HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
-  // Discovery is back, at that address.
+  // Discovery is available again at that address.
   const int door = socket(AF_INET, SOCK_STREAM, 0), yes = 1;
   setsockopt(door, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
   sockaddr_in place{};
@@ -404,7 +411,7 @@
   say(stream, "HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: " +
                   StandInChannel::event(1, {{"a", a, "east", "std", "active"}}, true).dump() + "\n\n");
   assert(soon([&] { return fixture.ready(); }, 100));
-  // As many engine connections as there are for engines, beside as many idle clients as like to stay.
+  // Uses all engine connections while more idle clients connect.
   std::vector<std::pair<int, JobCall>> jobs;
   for (int i = 0; i < 60; ++i) {
     for (int k = 0; k < 3; ++k) idle.push_back(connect_to(fixture.port));
@@ -420,12 +427,13 @@
       std::fprintf(stderr, "[%s] %s\n", answer.c_str(), broken ? "reset" : "ended");
     close(fd);
   }
-  if (done < 60) std::fprintf(stderr, "%d of 60 are done\n", done), assert(false);
+  if (done < 60) std::fprintf(stderr, "%d of 60 succeeded\n", done), assert(false);
   for (const int fd : idle) close(fd);
   close(stream), close(door);
 }
 
-// All places are taken by clients with a call open: one more hears so, and not by a bare end.
+// All client descriptors are in use by open requests: a further client must receive 503 with
+// "TryLater", not a closed connection.
 void no_place_left() {
   DaemonFixture fixture;
   fixture.more = R"("limits":{"sockets":64})";
@@ -456,7 +464,8 @@
   for (const int fd : open) close(fd);
 }
 
-// Engines that go on without an end, or give half a line and close; a client that trickles.
+// Engines send endless, truncated or partial answers, which must not count as answers; a client that sends
+// its request byte by byte must be served.
 void spoilt_answers() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a"), b = fixture.engine("b");
@@ -465,7 +474,8 @@
     const JobCall call = job(statement, 6000);
     const auto asked = Clock::now();
     const int fd = fixture.open(call);
-    assert(hear_out(fd, call).starts_with("HTTP/1.1 503"));  // each engine errs so, three times at the most
+    assert(hear_out(fd, call).starts_with(
+        "HTTP/1.1 503"));  // each engine fails so, and there are at most 3 attempts
     assert(Clock::now() - asked < milliseconds(4500));
     assert(fixture.begun("a", call) + fixture.begun("b", call) <= 3);
     close(fd);
@@ -483,8 +493,8 @@
   close(fd);
 }
 
-// Settings of an installation unlike others: names of any kind, one type, no tenants, no zones, no kinds, and
-// the least that a manager gets.
+// Unusual settings: a type name that needs URL encoding, no tenants, zones or engine kinds, and the smallest
+// limits of a manager.
 void strange_settings() {
   DaemonFixture fixture;
   fixture.more = R"("limits":{"sockets":64,"memory_mb":32})";
@@ -499,8 +509,8 @@
   assert(call(fixture.port, job("work=1", 700, "quick").bytes()).starts_with("HTTP/1.1 404"));
 }
 
-// Where the settings tell of tenants, clients tell theirs: under more work than the engine does, one within
-// its share is served before one far beyond.
+// Tenant quotas: under overload, requests of a tenant within its quota must be served before those of a
+// tenant far beyond it.
 void tenants() {
   DaemonFixture fixture;
   const std::string a = fixture.engine("a", 1);
@@ -529,7 +539,8 @@
     ++all[one.within], done[one.within] += hear(one.fd).starts_with("HTTP/1.1 200");
     close(one.fd);
   }
-  std::fprintf(stderr, "within %d of %d, beyond %d of %d\n", done[1], all[1], done[0], all[0]);
+  std::fprintf(stderr, "answered: %d of %d within the quota, %d of %d beyond it\n", done[1], all[1], done[0],
+               all[0]);
   assert(1.0 * done[1] / all[1] > 0.7 && 1.0 * done[0] / all[0] < 0.7);
 }
 
