--- a/src/lab/stand_ins/engine.h
+++ b/src/lab/stand_ins/engine.h
@@ -70,7 +70,7 @@
   std::uint64_t crossed() const { return crossed_; }  // answers that crossed a cancellation
   std::size_t running() const { return running_.size() + waiting_.size(); }
   std::size_t connections() const { return sessions_.size(); }      // open now
-  std::uint64_t bytes_received() const { return bytes_received_; }  // end_run all connections so far
+  std::uint64_t bytes_received() const { return bytes_received_; }  // over all connections so far
   std::uint64_t bytes_sent() const { return bytes_sent_; }
 
  private:
--- a/tests/test_crossings.cpp
+++ b/tests/test_crossings.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // The time limit in a request on an engine's connection, in milliseconds; -1 if there is none.
-long wait_in(const std::string& request) {
+long time_limit_in(const std::string& request) {
   const std::size_t at = request.find(",ms=");
   return at == std::string::npos ? -1 : std::atol(request.c_str() + at + 4);
 }
@@ -50,8 +50,8 @@
   });
   pass(milliseconds(700));  // longer than the 500 ms within which the manager must stop sending
   late.opens();
-  const std::string came = late.hears(id_of(call.number), milliseconds(2500));
-  assert(came.find(id_of(call.number)) == std::string::npos);
+  const std::string received = late.hears(id_of(call.number), milliseconds(2500));
+  assert(received.find(id_of(call.number)) == std::string::npos);
   close(fd);
 }
 
@@ -67,10 +67,10 @@
   assert(soon([&] { return fixture.counter("dispatches") == 1; }));
   pass(milliseconds(1200));
   late.opens();
-  const std::string came = late.hears(id_of(call.number), milliseconds(4000));
-  const long told = wait_in(came), left = 6000 - elapsed_ms(sent);
-  std::fprintf(stderr, "time limit %ld ms, %ld ms are left\n", told, left);
-  assert(told > 0 && told <= left + 300 + 150);  // received up to 0.3 s late, 150 ms tolerance
+  const std::string received = late.hears(id_of(call.number), milliseconds(4000));
+  const long time_limit = time_limit_in(received), left = 6000 - elapsed_ms(sent);
+  std::fprintf(stderr, "time limit %ld ms, %ld ms are left\n", time_limit, left);
+  assert(time_limit > 0 && time_limit <= left + 300 + 150);  // received up to 0.3 s late, 150 ms tolerance
   close(fd);
 }
 
@@ -88,11 +88,11 @@
   const auto answered = elapsed_ms(sent);
   assert(hear(fd).starts_with("HTTP/1.1 200"));
   assert(hear(fd).starts_with("HTTP/1.1 503"));
-  const auto told =
+  const auto time_limit =
       fixture.stage.on([&] { return fixture.engines["a"]->time_limit_of(id_of(second.number)); });
-  std::fprintf(stderr, "time limit %lld ms, %lld ms were left\n", static_cast<long long>(told->count()),
+  std::fprintf(stderr, "time limit %lld ms, %lld ms were left\n", static_cast<long long>(time_limit->count()),
                static_cast<long long>(1600 - answered));
-  assert(told && told->count() <= 1600 - answered + 150);
+  assert(time_limit && time_limit->count() <= 1600 - answered + 150);
   assert(fixture.begun("a", third) == 0);
   close(fd);
 }
@@ -104,12 +104,12 @@
   const std::string engine = fixture.engine("a");
   for (const char* refusal : {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
                               "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"}) {
-    std::atomic<bool> crowded = true, over = false;
+    std::atomic<bool> is_overloaded = true, over = false;
     ScriptedDiscovery discovery([&](int peer) {
       hear_request(peer);
-      if (crowded) say(peer, refusal);
+      if (is_overloaded) say(peer, refusal);
       else say(peer, "HTTP/1.1 200 OK\r\n\r\n" + list_event(engine));
-      while (!crowded && !over) pass(milliseconds(10));
+      while (!is_overloaded && !over) pass(milliseconds(10));
       close(peer);
     });
     fixture.configure(usual_settings, R"({"cursor":0,"cmds":[]})", discovery.address());
@@ -119,7 +119,7 @@
     const int asked = discovery.connections();
     std::fprintf(stderr, "connected %d times in two seconds\n", asked);
     assert(asked >= 3 && asked <= 20);
-    crowded = false;
+    is_overloaded = false;
     assert(soon([&] { return fixture.ready(); }, 100));
     over = true;
     kill(fixture.daemon, SIGKILL), fixture.ended();
@@ -161,11 +161,11 @@
     kill(fixture.daemon, SIGCONT);
     assert(hear(fd).starts_with("HTTP/1.1 200"));
     const auto left = 3000 - elapsed_ms(sent);
-    const auto told =
+    const auto time_limit =
         fixture.stage.on([&] { return fixture.engines["a"]->time_limit_of(id_of(call.number)); });
-    std::fprintf(stderr, "time limit %lld ms, %lld ms were left\n", static_cast<long long>(told->count()),
-                 static_cast<long long>(left));
-    assert(told && told->count() <= left + 150);
+    std::fprintf(stderr, "time limit %lld ms, %lld ms were left\n",
+                 static_cast<long long>(time_limit->count()), static_cast<long long>(left));
+    assert(time_limit && time_limit->count() <= left + 150);
     close(fd);
   }
 }
@@ -256,25 +256,25 @@
 void left_behind_in_the_send_queue() {
   DaemonFixture fixture;
   int port = 0;
-  const int door = listen_on(port), small = 2048;
-  setsockopt(door, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  const int listener = listen_on(port), small = 2048;
+  setsockopt(listener, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   fixture.go(late_settings, known({{"a", "127.0.0.1:" + std::to_string(port)}}));
   const JobCall call = job("work=1 /*" + std::string(60'000, 'x') + "*/", 6000);
   const int fd = fixture.open(call);
-  const int peer = accept(door, nullptr, nullptr);
+  const int peer = accept(listener, nullptr, nullptr);
   pass(milliseconds(200));
   close(fd);
   pass(milliseconds(300));
-  std::string came;
+  std::string received;
   char bytes[4096];
   const timeval patience{1, 0};
   setsockopt(peer, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   for (ssize_t got = 0; (got = recv(peer, bytes, sizeof bytes, 0)) > 0;)
-    came.append(bytes, static_cast<std::size_t>(got));
-  std::fprintf(stderr, "%zu bytes received, %s\n", came.size(),
-               came.find("FROM a_1.t") == std::string::npos ? "incomplete" : "complete");
-  assert(came.find("FROM a_1.t") == std::string::npos);
-  close(peer), close(door);
+    received.append(bytes, static_cast<std::size_t>(got));
+  std::fprintf(stderr, "%zu bytes received, %s\n", received.size(),
+               received.find("FROM a_1.t") == std::string::npos ? "incomplete" : "complete");
+  assert(received.find("FROM a_1.t") == std::string::npos);
+  close(peer), close(listener);
 }
 
 // A client leaves while the daemon is stopped: once the daemon continues, the request that it held for that
@@ -289,11 +289,11 @@
              known({{"a", engine}}));
   for (int round = 0; round < 5; ++round) {
     std::vector<JobCall> fills;
-    std::vector<int> filling;
+    std::vector<int> fill_fds;
     for (int i = 0; i < 4; ++i) {
       fills.push_back(job("work=400", 6000));
       fills.back().cost_ms = 400;
-      filling.push_back(fixture.open(fills.back()));
+      fill_fds.push_back(fixture.open(fills.back()));
     }
     pass(milliseconds(100));
     std::vector<JobCall> held;
@@ -310,7 +310,7 @@
     pass(milliseconds(1500));  // answers arrive meanwhile, and timers become due
     kill(fixture.daemon, SIGCONT);
     pass(milliseconds(400));
-    for (const int fd : filling) close(fd);
+    for (const int fd : fill_fds) close(fd);
     for (std::size_t i = 0; i < held.size(); ++i) {
       if (fixture.begun("a", held[i]) != begun_before[i])
         std::fprintf(stderr, "round %d: request %d started after its client had left\n", round,
@@ -336,7 +336,7 @@
   for (const auto offset : {std::chrono::hours(1), -std::chrono::hours(1)}) {
     FaultyDaemon fixture;
     const std::string a = fixture.engine("a"), b = fixture.engine("b");
-    const auto told = [](const std::string& name, const std::string& address, std::int64_t since) {
+    const auto event_text = [](const std::string& name, const std::string& address, std::int64_t since) {
       nlohmann::json event =
           StandInChannel::event(since == 0 ? 1 : 2, {{name, address, "east", name, "active"}}, false);
       event["nodes"]["members"][0]["up_since_ms"] = since;
@@ -347,7 +347,7 @@
       hear_request(peer);
       say(peer, "HTTP/1.1 200 OK\r\n\r\n: here\n\n");
       while (!started && !over) pass(milliseconds(10));
-      if (started) say(peer, told("b", b, unix_ms()));
+      if (started) say(peer, event_text("b", b, unix_ms()));
       while (!over) pass(milliseconds(10));
       close(peer);
     });
--- a/tests/test_endings.cpp
+++ b/tests/test_endings.cpp
@@ -41,7 +41,7 @@
                                    {"d", "127.0.0.1:" + std::to_string(late.port), "d"}}));
   // Two requests fill engine a, and the end of a third one starts the quiet period of its key.
   const JobCall fills[] = {long_job("fault=hang"), long_job("fault=hang")};
-  int filling[] = {fixture.open(fills[0]), fixture.open(fills[1])};
+  int fill_fds[] = {fixture.open(fills[0]), fixture.open(fills[1])};
   const std::string key = "X-Object: 00000000000000aa\r\nIdempotency-Key: k1\r\n";
   const JobCall first = job("fault=hang", 14000, "line", key);
   const int first_fd = fixture.open(first);
@@ -84,13 +84,13 @@
   // Now all reasons to hold the requests end.
   for (std::size_t i = 0; i < 2; ++i) {
     call(fixture.port, "DELETE" + fetch_of(fills[i]).substr(3));
-    close(filling[i]);
+    close(fill_fds[i]);
   }
   late.opens();
-  std::string came;
-  std::thread opened([&] { came = late.hears("none", milliseconds(5000)); });
+  std::string received;
+  std::thread opened([&] { received = late.hears("none", milliseconds(5000)); });
   const auto has_begun = [&](const Held& one) {
-    return one.at.empty() ? came.find(id_of(one.call.number)) != std::string::npos
+    return one.at.empty() ? received.find(id_of(one.call.number)) != std::string::npos
                           : fixture.begun(one.at, one.call) > 0;
   };
   for (Held& one : held) {
@@ -115,7 +115,7 @@
   const std::string a = fixture.engine("a", 2);
   fixture.go(held_settings, known({{"a", a, "a"}}));
   const JobCall fills[] = {long_job("fault=hang"), long_job("fault=hang")};
-  const int filling[] = {fixture.open(fills[0]), fixture.open(fills[1])};
+  const int fill_fds[] = {fixture.open(fills[0]), fixture.open(fills[1])};
   assert(soon([&] { return fixture.begun("a", fills[0]) + fixture.begun("a", fills[1]) == 2; }));
   std::vector<JobCall> floods;
   for (const std::size_t behind : {0ul, 1000ul, 40'000ul, 200'000ul, 2'000'000ul}) {
@@ -129,18 +129,19 @@
     if (behind < 2'000'000) pass(milliseconds(20));
     close(fd);
   }
-  // A client that sends too much and stays connected receives 503; one that sends a single request is served.
+  // A client that sends too much and stays connected receives 503; one that sends a single request is
+  // served.
   const JobCall more = long_job("work=1");
-  const int talker = fixture.open(more);
+  const int flooding_fd = fixture.open(more);
   std::string behind = "\r\n";
   while (behind.size() < 40'000) behind += long_job("work=1").bytes();
-  say(talker, behind);
-  assert(hear(talker).starts_with("HTTP/1.1 503") && fixture.begun("a", more) == 0);
-  close(talker);
-  const JobCall stays = long_job("work=1");
-  const int there = fixture.open(stays);
+  say(flooding_fd, behind);
+  assert(hear(flooding_fd).starts_with("HTTP/1.1 503") && fixture.begun("a", more) == 0);
+  close(flooding_fd);
+  const JobCall single = long_job("work=1");
+  const int there = fixture.open(single);
   pass(milliseconds(300));
-  for (const int fd : filling) close(fd);
+  for (const int fd : fill_fds) close(fd);
   assert(hear(there).find("values") != std::string::npos);
   pass(milliseconds(300));
   for (const JobCall& flood : floods) {
@@ -156,27 +157,27 @@
   DaemonFixture fixture;
   const std::string a = fixture.engine("a");
   fixture.go(usual_settings, known({{"a", a}}));
-  struct Rester {
+  struct IdleClient {
     int fd;
     JobCall call;
     std::string answer;
     bool broken = false;
   };
-  std::vector<Rester> resters;
+  std::vector<IdleClient> idle_clients;
   for (int i = 0; i < 100; ++i) {
-    resters.push_back({connect_to(fixture.port), job("work=1", 900, "brief"), "", false});
-    say(resters.back().fd, "GET /check HTTP/1.1\r\n\r\n");
-    assert(hear(resters.back().fd).starts_with("HTTP/1.1 200"));
+    idle_clients.push_back({connect_to(fixture.port), job("work=1", 900, "brief"), "", false});
+    say(idle_clients.back().fd, "GET /check HTTP/1.1\r\n\r\n");
+    assert(hear(idle_clients.back().fd).starts_with("HTTP/1.1 200"));
   }
   const auto asked = Clock::now();
   kill(fixture.daemon, SIGTERM);
   pass(milliseconds(720));
-  for (Rester& one : resters) {
+  for (IdleClient& one : idle_clients) {
     say(one.fd, one.call.bytes());
     pass(milliseconds(1));
   }
   int answered = 0;
-  for (Rester& one : resters) {
+  for (IdleClient& one : idle_clients) {
     one.answer = hear(one.fd, &one.broken);
     const bool whole =
         one.answer.starts_with("HTTP/1.1 ") && one.answer.find("\r\n\r\n") != std::string::npos;
@@ -339,12 +340,12 @@
   assert(soon([&] { return fixture.stage.on([&] { return fixture.channel->streams() == 1; }); }));
   fixture.stage.on(
       [&] { fixture.channel->strand(), fixture.channel->tell({member("a", a, "leaving")}, false); });
-  const auto told = Clock::now();
+  const auto drained_at = Clock::now();
   // The manager must have stopped sending to engine a within the time that it takes to replace a silent
   // stream, plus 500 ms, plus the time on the way.
   assert(soon([&] { return fixture.stage.on([&] { return fixture.channel->asked() >= 2; }); }));
   pass(milliseconds(100));
-  assert(Clock::now() - told < milliseconds(3500));
+  assert(Clock::now() - drained_at < milliseconds(3500));
   for (int i = 0; i < 20; ++i) {
     const JobCall call = job("work=1", 2000);
     const int fd = fixture.open(call);
@@ -397,14 +398,14 @@
   }
   assert(call(fixture.port, "GET /check HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
   // Discovery is available again at that address.
-  const int door = socket(AF_INET, SOCK_STREAM, 0), yes = 1;
-  setsockopt(door, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+  const int listener = socket(AF_INET, SOCK_STREAM, 0), yes = 1;
+  setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
   sockaddr_in place{};
   place.sin_family = AF_INET, place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   place.sin_port = htons(static_cast<std::uint16_t>(channel_port));
-  assert(bind(door, reinterpret_cast<sockaddr*>(&place), sizeof place) == 0 && listen(door, 16) == 0);
+  assert(bind(listener, reinterpret_cast<sockaddr*>(&place), sizeof place) == 0 && listen(listener, 16) == 0);
   const auto back = Clock::now();
-  const int stream = accept(door, nullptr, nullptr);
+  const int stream = accept(listener, nullptr, nullptr);
   char asked[1000];
   assert(recv(stream, asked, sizeof asked, 0) > 0);
   assert(Clock::now() - back < milliseconds(1000));
@@ -429,11 +430,11 @@
   }
   if (done < 60) std::fprintf(stderr, "%d of 60 succeeded\n", done), assert(false);
   for (const int fd : idle) close(fd);
-  close(stream), close(door);
+  close(stream), close(listener);
 }
 
-// All client descriptors are in use by open requests: a further client must receive 503 with
-// "TryLater", not a closed connection.
+// All client descriptors are in use by open requests: a further client must receive 503 with "TryLater", not
+// a closed connection.
 void no_place_left() {
   DaemonFixture fixture;
   fixture.more = R"("limits":{"sockets":64})";
