--- a/src/lab/soak/soak_command.cpp
+++ b/src/lab/soak/soak_command.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::array call_shares = {0.02, 0.08, 0.2};
+constexpr std::array failing_call_shares = {0.02, 0.08, 0.2};
 
-// What pearchuted calls; the last kinds are those of the agent's folder.
+// The system calls that pearchuted makes. The kinds after open_fails are calls that only the agent makes.
 std::vector<FaultKind> daemon_kinds() {
   std::vector<FaultKind> kinds;
   for (std::size_t i = 0; i <= static_cast<std::size_t>(FaultKind::open_fails); ++i)
@@ -18,32 +18,34 @@
   return kinds;
 }
 
-bool report(const SoakResult& result, nlohmann::json told, bool passed) {
-  told.update(result.as_json());
-  told["passed"] = passed;
-  std::cout << told.dump() << std::endl;
-  for (const std::string& fault : result.verdict.faults) std::cerr << fault << "\n";
+// Prints the result, with `run` as the fields that identify it, and returns `passed`.
+bool report(const SoakResult& result, nlohmann::json run, bool passed) {
+  run.update(result.as_json());
+  run["passed"] = passed;
+  std::cout << run.dump() << std::endl;
+  for (const std::string& violation : result.verdict.faults) std::cerr << violation << "\n";
   for (const std::string& remark : result.remarks) std::cerr << remark << "\n";
   return passed;
 }
 
-bool run_calls(SoakSpec spec, bool together) {
-  spec.troubles = false;
+// Plays a run for each kind of failing call and share. A run also fails if one of its kinds never failed.
+bool run_failing_calls(SoakSpec spec, bool combined_only) {
+  spec.has_disruptions = false;
   bool passed = true;
   std::vector<std::vector<FaultKind>> sets;
-  if (!together)
+  if (!combined_only)
     for (const FaultKind kind : daemon_kinds()) sets.push_back({kind});
   sets.push_back(daemon_kinds());
   for (const auto& kinds : sets) {
-    for (const double share : call_shares) {
+    for (const double share : failing_call_shares) {
       spec.failing_calls = FailingCalls{kinds, share};
       const SoakResult result = run_soak(spec);
-      const bool all_struck = std::ranges::all_of(
+      const bool all_failed = std::ranges::all_of(
           kinds, [&](FaultKind kind) { return result.calls_failed[static_cast<std::size_t>(kind)] > 0; });
       const std::string name =
           kinds.size() > 1 ? "all" : std::string(fault_kind_names[static_cast<std::size_t>(kinds.front())]);
       passed &= report(result, {{"calls", name}, {"share", share}, {"seed", spec.seed}},
-                       result.is_sound() && all_struck);
+                       result.is_sound() && all_failed);
     }
   }
   return passed;
@@ -52,13 +54,14 @@
 }  // namespace
 
 int SoakCommand::run() const {
-  if (calls_only) return run_calls(spec, together) ? 0 : 1;
+  if (calls_only) return run_failing_calls(spec, together) ? 0 : 1;
   bool passed = true;
-  SoakSpec one = spec;
-  for (int i = 0; i < seeds; ++i, ++one.seed) {
-    const SoakResult result = run_soak(one);
-    const bool all_came = !every_kind || std::ranges::all_of(result.troubles, [](auto n) { return n > 0; });
-    passed &= report(result, {{"seed", one.seed}}, result.is_sound() && all_came);
+  SoakSpec run_spec = spec;
+  for (int i = 0; i < seeds; ++i, ++run_spec.seed) {
+    const SoakResult result = run_soak(run_spec);
+    const bool all_occurred =
+        !every_kind || std::ranges::all_of(result.disruptions, [](auto n) { return n > 0; });
+    passed &= report(result, {{"seed", run_spec.seed}}, result.is_sound() && all_occurred);
   }
   return passed ? 0 : 1;
 }
--- a/src/lab/soak/soak_command.h
+++ b/src/lab/soak/soak_command.h
@@ -1,4 +1,5 @@
-// The laboratory's soak command: runs over several seeds, or over each kind of failing call at each share.
+// The soak command of the laboratory: one run for each of several seeds, or for each kind of failing system
+// call at each share.
 #pragma once
 
 #include "lab/soak/soak_run.h"
@@ -7,11 +8,12 @@
 
 struct SoakCommand {
   SoakSpec spec;
-  int seeds = 1;            // from the first on
-  bool calls_only = false;  // each kind of failing call alone and all together, and no other trouble
-  bool together = false;    // of those: all together only
-  bool every_kind = false;  // fails where a trouble never came about
-  int run() const;          // one JSON object a run; a status other than 0 where a rule was broken
+  int seeds = 1;            // consecutive, from spec.seed
+  bool calls_only = false;  // each kind of failing call alone and all combined, without disruptions
+  bool together = false;    // with calls_only: only all kinds combined
+  bool every_kind = false;  // a run fails if a kind of disruption did not occur in it
+  // Prints one JSON object for each run, and returns the exit status: 0 if all runs passed, else 1.
+  int run() const;
 };
 
 }  // namespace pearchute::lab
