--- a/src/lab/load/client_connection.cpp
+++ b/src/lab/load/client_connection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int most_link_retries = 3;
+constexpr int max_link_retries = 3;
 
 int status_of(const net::Message& message) {
   return std::atoi(message.first_line.substr(message.first_line.find(' ') + 1).c_str());
@@ -24,8 +24,8 @@
   opened_ = false;
   was_idle_ = false;
   reader_ = net::MessageReader(net::MessageReader::Side::requests);
-  loop_.retire(std::move(wire_));
-  wire_ = std::make_unique<net::Connection>(loop_, manager_, *this);
+  loop_.retire(std::move(connection_));
+  connection_ = std::make_unique<net::Connection>(loop_, manager_, *this);
 }
 
 void ClientConnection::send(ClientStatement statement) {
@@ -36,24 +36,24 @@
   answer_begun_ = false;
   retries_ = 0;
   was_idle_ = opened_;
-  if (opened_) put_out();
+  if (opened_) write_request();
 }
 
 void ClientConnection::on_opened() {
   opened_ = true;
-  if (!busy_) return owner_.connection_idle(*this);
-  if (!sent_ && !owner_.worth_sending(statement_)) {
+  if (!busy_) return owner_.on_connection_idle(*this);
+  if (!sent_ && !owner_.is_within_deadline(statement_)) {
     busy_ = false;
-    owner_.statement_unreached(*this);
-    return owner_.connection_idle(*this);
+    owner_.on_statement_unreached(*this);
+    return owner_.on_connection_idle(*this);
   }
-  put_out();
+  write_request();
 }
 
-void ClientConnection::put_out() {
-  if (!sent_) owner_.statement_sent(*this);
+void ClientConnection::write_request() {
+  if (!sent_) owner_.on_statement_sent(*this);
   sent_ = true;
-  wire_->send(link_.empty() ? statement_.request : link_request());
+  connection_->send(link_.empty() ? statement_.request : link_request());
 }
 
 std::string ClientConnection::link_request() const { return "GET " + link_ + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
@@ -66,19 +66,19 @@
     if (status != net::MessageReader::Status::whole) return on_closed();
     const net::Message message = std::move(reader_.message());
     reader_.next();
-    received(message);
-    if (!wire_ || wire_->closed()) return;
+    on_message(message);
+    if (!connection_ || connection_->closed()) return;
   }
 }
 
-void ClientConnection::received(const net::Message& message) {
+void ClientConnection::on_message(const net::Message& message) {
   const int status = status_of(message);
   const bool closes = message.header("connection") == "close";
   if (!busy_ || !opened_) {
-    // The manager may end a connection on which nothing is open with a word of its own.
-    if (closes && (status == 503 || status == 408)) owner_.connection_turned_away();
-    else owner_.answered_nobody();
-    if (closes) owner_.connection_over(*this);
+    // The manager may answer 503 or 408 before it closes a connection that has no open request.
+    if (closes && (status == 503 || status == 408)) owner_.on_connection_rejected();
+    else owner_.on_unmatched_answer();
+    if (closes) owner_.on_connection_ended(*this);
     return;
   }
   constexpr std::string_view link_mark = "\"link\":\"";
@@ -88,43 +88,43 @@
     link_ = message.body.substr(start, message.body.find('"', start) - start);
     retries_ = 0;
     answer_begun_ = false;
-    return put_out();
+    return write_request();
   }
   const bool aborted = message.body.find("\"abort\"") != std::string::npos;
   const bool later = message.body.find("\"TryLater\"") != std::string::npos;
   if (status == 429 || status == 503 || later) {
     const bool advised = !message.header("retry-after-ms").empty();
-    return end(advised ? StatementAnswer::rejected_with_advice : StatementAnswer::rejected_without_advice,
-               message.body, closes);
+    return finish(advised ? StatementAnswer::rejected_with_advice : StatementAnswer::rejected_without_advice,
+                  message.body, closes);
   }
   const bool done = status == 200 && !aborted;
-  end(done ? StatementAnswer::done : StatementAnswer::failed, message.body, closes);
+  finish(done ? StatementAnswer::done : StatementAnswer::failed, message.body, closes);
 }
 
-void ClientConnection::end(StatementAnswer answer, std::string_view body, bool closes) {
+void ClientConnection::finish(StatementAnswer answer, std::string_view body, bool closes) {
   busy_ = false;
-  owner_.statement_answered(*this, answer, body);
-  if (closes) owner_.connection_over(*this);
-  else owner_.connection_idle(*this);
+  owner_.on_statement_answered(*this, answer, body);
+  if (closes) owner_.on_connection_ended(*this);
+  else owner_.on_connection_idle(*this);
 }
 
 void ClientConnection::on_closed() {
-  if (!busy_) return owner_.connection_over(*this);
+  if (!busy_) return owner_.on_connection_ended(*this);
   if (!opened_ && link_.empty()) {
     busy_ = false;
-    owner_.statement_unreached(*this);
-    return owner_.connection_over(*this);
+    owner_.on_statement_unreached(*this);
+    return owner_.on_connection_ended(*this);
   }
-  const bool crossed = link_.empty() && was_idle_ && !answer_begun_ && retries_ == 0;
-  const bool link_again = !link_.empty() && retries_ < most_link_retries;
-  if (crossed || link_again) {
+  const bool crossed_idle_close = link_.empty() && was_idle_ && !answer_begun_ && retries_ == 0;
+  const bool can_poll_again = !link_.empty() && retries_ < max_link_retries;
+  if (crossed_idle_close || can_poll_again) {
     ++retries_;
     answer_begun_ = false;
     return connect();
   }
   busy_ = false;
-  owner_.statement_lost(*this);
-  owner_.connection_over(*this);
+  owner_.on_statement_lost(*this);
+  owner_.on_connection_ended(*this);
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/load/held_connections.cpp
+++ b/src/lab/load/held_connections.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr int answer_within_s = 5;
+constexpr int answer_timeout_s = 5;
 
 void send_all(Poco::Net::StreamSocket& socket, std::string_view bytes) {
   while (!bytes.empty()) {
     const int sent = socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
-    if (sent <= 0) throw SystemError("a connection takes no bytes", "held connection");
+    if (sent <= 0) throw SystemError("can't write to a connection", "held connection");
     bytes.remove_prefix(static_cast<std::size_t>(sent));
   }
 }
@@ -32,32 +32,33 @@
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-void HeldConnections::call_check(Poco::Net::StreamSocket& socket) const {
+void HeldConnections::request_check(Poco::Net::StreamSocket& socket) const {
   send_all(socket, "GET /check HTTP/1.1\r\nHost: a\r\n\r\n");
-  char answer[512];  // more than the whole of it
-  const int got = socket.receiveBytes(answer, sizeof answer);
-  if (got <= 0) throw SystemError("the manager has closed a connection", manager_);
+  char answer[512];  // longer than the answer to a check
+  const int length = socket.receiveBytes(answer, sizeof answer);
+  if (length <= 0) throw SystemError("the manager closed a connection without an answer", manager_);
 }
 
 void HeldConnections::open_up_to(std::size_t count) {
   try {
     while (sockets_.size() < count) {
       Poco::Net::StreamSocket& socket = sockets_.emplace_back();
-      socket.connect(Poco::Net::SocketAddress(manager_), Poco::Timespan(answer_within_s, 0));
-      socket.setReceiveTimeout(Poco::Timespan(answer_within_s, 0));
+      socket.connect(Poco::Net::SocketAddress(manager_), Poco::Timespan(answer_timeout_s, 0));
+      socket.setReceiveTimeout(Poco::Timespan(answer_timeout_s, 0));
       socket.setNoDelay(true);
-      call_check(socket);
+      request_check(socket);
     }
   } catch (const Poco::Exception& error) {
-    throw SystemError("connection " + std::to_string(sockets_.size()) + ": " + error.displayText(), manager_);
+    throw SystemError("can't open connection " + std::to_string(sockets_.size()) + ": " + error.displayText(),
+                      manager_);
   }
 }
 
 void HeldConnections::refresh() {
   try {
-    for (Poco::Net::StreamSocket& socket : sockets_) call_check(socket);
+    for (Poco::Net::StreamSocket& socket : sockets_) request_check(socket);
   } catch (const Poco::Exception& error) {
-    throw SystemError("a held connection has ended: " + error.displayText(), manager_);
+    throw SystemError("a held connection failed: " + error.displayText(), manager_);
   }
 }
 
--- a/src/lab/load/latency_histogram.cpp
+++ b/src/lab/load/latency_histogram.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-// From 1 us to 1000 s; 1024 bins over nine decades are 2% wide each.
-constexpr double least_us = 1;
-constexpr double most_us = 1e9;
+// 1024 bins over the nine decades from 1 us to 1000 s; each bin is 2% wide.
+constexpr double min_us = 1;
+constexpr double max_us = 1e9;
 constexpr unsigned bin_count = 1024;
 
 }  // namespace
 
-LatencyHistogram::LatencyHistogram() : bins_(std::tuple{LogAxis(bin_count, least_us, most_us)}) {}
+LatencyHistogram::LatencyHistogram() : bins_(std::tuple{LogAxis(bin_count, min_us, max_us)}) {}
 
 void LatencyHistogram::add(std::chrono::microseconds latency) {
-  bins_(std::max(static_cast<double>(latency.count()), least_us));
+  bins_(std::max(static_cast<double>(latency.count()), min_us));
   ++count_;
   max_ = std::max(max_, latency);
 }
 
 void LatencyHistogram::merge(const LatencyHistogram& other) {
-  // Not by the histogram's own +=, of which sanitized builds warn (maybe-uninitialized, within Boost).
+  // The histogram's own += makes sanitized builds warn of uninitialized values within Boost.
   for (int bin = -1; bin <= static_cast<int>(bin_count); ++bin) bins_.at(bin) += other.bins_.at(bin);
   count_ += other.count_;
   max_ = std::max(max_, other.max_);
--- a/src/lab/load/latency_histogram.h
+++ b/src/lab/load/latency_histogram.h
@@ -1,5 +1,5 @@
-// Latencies in logarithmic bins (Boost.Histogram): quantiles to about 2%, at a cost and size that don't
-// depend on how many are counted.
+// Latencies in logarithmic bins (Boost.Histogram). Quantiles are accurate to about 2%; cost and size don't
+// depend on the number of latencies.
 #pragma once
 
 #include <boost/histogram/axis/regular.hpp>
@@ -18,8 +18,7 @@
   void add(std::chrono::microseconds latency);
   void merge(const LatencyHistogram& other);
   std::uint64_t count() const { return count_; }
-  // In milliseconds, the upper edge of the bin that holds the quantile and never above max_ms(); 0 where
-  // nothing was counted.
+  // The upper edge in milliseconds of the bin that holds the quantile, at most max_ms(); 0 if it is empty.
   double quantile_ms(double quantile) const;
   double max_ms() const { return std::chrono::duration<double, std::milli>(max_).count(); }
 
--- a/src/lab/load/load_checker.cpp
+++ b/src/lab/load/load_checker.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::chrono::milliseconds slot_width(16);
 constexpr std::size_t slot_count = 1024;
-constexpr CheckTime wheel_turn = slot_width * static_cast<int>(slot_count);  // later deadlines stay for turns
+// A later deadline stays in its slot for several periods.
+constexpr CheckTime wheel_period = slot_width * static_cast<int>(slot_count);
 
 }  // namespace
 
@@ -26,7 +27,7 @@
   return *this;
 }
 
-// ---- The clients' side ----
+// ---- Answers to clients ----
 
 LoadChecker::LoadChecker(std::size_t groups) : deadline_wheel_(slot_count), counts_(groups + 1) {}
 
@@ -34,23 +35,24 @@
   return static_cast<std::size_t>(time / slot_width) % slot_count;
 }
 
-void LoadChecker::sent(StatementId id, std::size_t group, CheckTime deadline) {
+void LoadChecker::on_sent(StatementId id, std::size_t group, CheckTime deadline) {
   operations_ += 2;
   const CheckTime lost_at = deadline + lost_slack;
-  // Others may have an earlier deadline than the first one sent.
-  if (!wheel_started_) wheel_at_ = lost_at - wheel_turn / 2;
+  // Later statements may have an earlier deadline than the first one, so the wheel starts half a period
+  // before it.
+  if (!wheel_started_) wheel_position_ = lost_at - wheel_period / 2;
   wheel_started_ = true;
-  // A deadline that has passed is found by the next look.
-  deadline_wheel_[slot_of(std::max(lost_at, wheel_at_))].push_back(id);
+  // A statement that is already lost goes to the slot that is checked next.
+  deadline_wheel_[slot_of(std::max(lost_at, wheel_position_))].push_back(id);
   statements_[id] = {group, deadline, false};
   ++counts_[group].sent;
   ++open_;
 }
 
-bool LoadChecker::answered(StatementId id, StatementAnswer answer, CheckTime now) {
+bool LoadChecker::on_answered(StatementId id, StatementAnswer answer, CheckTime now) {
   ++operations_;
   const auto at = statements_.find(id);
-  if (at == statements_.end()) return answered_nobody(), false;
+  if (at == statements_.end()) return on_unmatched_answer(), false;
   LoadCounts& counts = counts_[at->second.group];
   if (at->second.closed) return ++counts.doubled, false;
   switch (answer) {
@@ -73,14 +75,14 @@
   return !late;
 }
 
-void LoadChecker::answered_nobody() { ++counts_.back().doubled; }
+void LoadChecker::on_unmatched_answer() { ++counts_.back().doubled; }
 
-void LoadChecker::misdelivered(StatementId id) {
+void LoadChecker::on_misdelivered(StatementId id) {
   const auto at = statements_.find(id);
   ++(at == statements_.end() ? counts_.back() : counts_[at->second.group]).misdelivered;
 }
 
-void LoadChecker::connection_ended(StatementId id, CheckTime now) {
+void LoadChecker::on_connection_ended(StatementId id, CheckTime now) {
   ++operations_;
   const auto at = statements_.find(id);
   if (at == statements_.end() || at->second.closed) return;
@@ -88,7 +90,7 @@
   close(at, now);
 }
 
-void LoadChecker::unreached(StatementId id, CheckTime now) {
+void LoadChecker::on_unreached(StatementId id, CheckTime now) {
   ++operations_;
   const auto at = statements_.find(id);
   if (at == statements_.end() || at->second.closed) return;
@@ -105,7 +107,7 @@
 }
 
 void LoadChecker::forget_old(CheckTime now) {
-  while (!closed_.empty() && closed_.front().first + remembered_for < now) {
+  while (!closed_.empty() && closed_.front().first + closed_retention < now) {
     ++operations_;
     statements_.erase(closed_.front().second);
     closed_.pop_front();
@@ -114,62 +116,62 @@
 
 void LoadChecker::expire(CheckTime now) {
   if (!wheel_started_) return;
-  // After a long pause one turn sees every slot.
-  wheel_at_ = std::max(wheel_at_, now - wheel_turn);
-  while (wheel_at_ + slot_width <= now) {
-    check_slot(deadline_wheel_[slot_of(wheel_at_)], now);
-    wheel_at_ += slot_width;
+  // After a long pause, one period covers every slot.
+  wheel_position_ = std::max(wheel_position_, now - wheel_period);
+  while (wheel_position_ + slot_width <= now) {
+    check_slot(deadline_wheel_[slot_of(wheel_position_)], now);
+    wheel_position_ += slot_width;
   }
-  check_slot(deadline_wheel_[slot_of(wheel_at_)], now);
+  check_slot(deadline_wheel_[slot_of(wheel_position_)], now);
   forget_old(now);
 }
 
 void LoadChecker::check_slot(std::vector<StatementId>& slot, CheckTime now) {
-  const auto due = [&](StatementId id) {
+  const auto is_finished = [&](StatementId id) {
     ++operations_;
     const auto at = statements_.find(id);
     if (at == statements_.end() || at->second.closed) return true;
     if (now <= at->second.deadline + lost_slack) return false;
-    connection_ended(id, now);
+    on_connection_ended(id, now);
     return true;
   };
-  std::erase_if(slot, due);
+  std::erase_if(slot, is_finished);
 }
 
-// ---- The engines' side ----
+// ---- Runs on engines ----
 
-void ExecutionChecker::begun(StatementId id, std::uint32_t engine, bool once, CheckTime now) {
+void ExecutionChecker::on_begun(StatementId id, std::uint32_t engine, bool once, CheckTime now) {
   Shard& shard = shard_of(id);
   const std::lock_guard lock(shard.mutex);
   ++shard.operations;
   ++shard.counts.begun;
   Statement& statement = shard.statements[id];
-  shard.counts.overlaps += statement.out_at.size();
-  if (once) shard.counts.twice_run += statement.runs_over;
-  statement.out_at.push_back(engine);
+  shard.counts.overlaps += statement.running_on.size();
+  if (once) shard.counts.twice_run += statement.completed_runs;
+  statement.running_on.push_back(engine);
   statement.last = now;
   forget_old(shard, now);
 }
 
-void ExecutionChecker::ended(StatementId id, std::uint32_t engine, bool turned_away, CheckTime now) {
+void ExecutionChecker::on_ended(StatementId id, std::uint32_t engine, bool rejected, CheckTime now) {
   Shard& shard = shard_of(id);
   const std::lock_guard lock(shard.mutex);
   ++shard.operations;
   const auto at = shard.statements.find(id);
   if (at == shard.statements.end()) return;
   Statement& statement = at->second;
-  const auto ended = std::erase(statement.out_at, engine);
-  if (!turned_away) statement.runs_over += static_cast<std::uint32_t>(ended);
+  const auto ended_runs = std::erase(statement.running_on, engine);
+  if (!rejected) statement.completed_runs += static_cast<std::uint32_t>(ended_runs);
   statement.last = now;
-  if (statement.out_at.empty()) shard.over.emplace_back(now, id);
+  if (statement.running_on.empty()) shard.over.emplace_back(now, id);
 }
 
 void ExecutionChecker::forget_old(Shard& shard, CheckTime now) {
-  while (!shard.over.empty() && shard.over.front().first + remembered_for < now) {
+  while (!shard.over.empty() && shard.over.front().first + closed_retention < now) {
     ++shard.operations;
     const auto at = shard.statements.find(shard.over.front().second);
-    const bool unused =
-        at != shard.statements.end() && at->second.out_at.empty() && at->second.last + remembered_for < now;
+    const bool unused = at != shard.statements.end() && at->second.running_on.empty() &&
+                        at->second.last + closed_retention < now;
     if (unused) shard.statements.erase(at);
     shard.over.pop_front();
   }
--- a/src/lab/load/load_cluster.cpp
+++ b/src/lab/load/load_cluster.cpp
@@ -24,12 +24,12 @@
 
 namespace {
 
-constexpr std::size_t address_number = 240;  // apart from those of TestCluster
-constexpr milliseconds ready_within(20'000);
-constexpr milliseconds between_checks(2);
+constexpr std::size_t address_number = 240;  // distinct from the numbers of TestCluster
+constexpr milliseconds startup_timeout(20'000);
+constexpr milliseconds check_interval(2);
 
-// One call of the manager's check; false where it can't be reached or says no.
-bool says_ready(const std::string& address) {
+// Whether the manager's check answers 200. False as well if the manager can't be reached.
+bool is_ready(const std::string& address) {
   try {
     Poco::Net::StreamSocket socket;
     socket.connect(Poco::Net::SocketAddress(address), Poco::Timespan(0, 200'000));
@@ -62,7 +62,7 @@
 LoadCluster::LoadCluster(const LoadClusterSpec& spec) : spec_(spec) {
   ::signal(SIGPIPE, SIG_IGN);
   char folder[] = "/tmp/pearchute-load-XXXXXX";
-  if (!::mkdtemp(folder)) throw SystemError("no folder for the laboratory's files", "/tmp");
+  if (!::mkdtemp(folder)) throw SystemError("can't create a folder for the laboratory's files", "/tmp");
   folder_ = folder;
   configuration_ = folder_ + "/manager.json";
   log_ = folder_ + "/manager.log";
@@ -157,16 +157,17 @@
 }
 
 void LoadCluster::wait_until_ready() {
-  const auto from = std::chrono::steady_clock::now();
-  while (!says_ready(manager_address_)) {
-    if (!manager_runs() || std::chrono::steady_clock::now() > from + ready_within) {
-      const std::vector<std::string> last = last_lines(log_, 1);
-      throw TestClusterError("the manager does not serve; it last said: " + (last.empty() ? "" : last.back()),
-                             spec_.pearchuted);
+  const auto start = std::chrono::steady_clock::now();
+  while (!is_ready(manager_address_)) {
+    if (!manager_runs() || std::chrono::steady_clock::now() > start + startup_timeout) {
+      const std::vector<std::string> log_lines = last_lines(log_, 1);
+      throw TestClusterError(
+          "the manager does not serve; its last log line: " + (log_lines.empty() ? "" : log_lines.back()),
+          spec_.pearchuted);
     }
-    std::this_thread::sleep_for(between_checks);
+    std::this_thread::sleep_for(check_interval);
   }
-  time_to_ready_ = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - from);
+  time_to_ready_ = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - start);
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/load/load_cluster.h
+++ b/src/lab/load/load_cluster.h
@@ -1,5 +1,5 @@
-// One manager as a real process, a pool of stand-in engines and the channel of the engine list, on loopback:
-// what a load generator is pointed at. It ends what it has started, by id.
+// The target of a load generator, on loopback: one manager as a real process, a pool of stand-in engines and
+// the command channel with the endpoint list. It ends the processes that it started, by id.
 #pragma once
 
 #include <sys/types.h>
@@ -16,25 +16,26 @@
 
 namespace pearchute::lab {
 
-// The manager's classes, with their value.
-inline constexpr const char* class_of_low_value = "quick";    // worth 1, restartable
-inline constexpr const char* class_of_high_value = "report";  // worth 10, restartable
-inline constexpr const char* class_run_once = "once";         // worth 2, must not run twice
+// The manager's classes of statements. If not all can be served, those of a higher value are preferred.
+inline constexpr const char* class_of_low_value = "quick";    // value 1, idempotent
+inline constexpr const char* class_of_high_value = "report";  // value 10, idempotent
+inline constexpr const char* class_run_once = "once";         // value 2, not idempotent
 
 struct LoadClusterSpec {
-  std::string pearchuted;  // the program
+  std::string pearchuted;  // path of the program
   EnginePoolSpec engines;
-  int sockets = 12'288;  // the manager's descriptors; clients hold half of them, open statements a third
+  int sockets =
+      12'288;  // the manager's limit of descriptors; clients may use half of them, open statements a third
   int memory_mb = 256;
   std::chrono::milliseconds longest_timeout{4000};
-  std::chrono::milliseconds sla_time{600};  // a statement that can't be done in it is turned away at once
+  std::chrono::milliseconds sla_time{600};  // a statement that can't be finished in it is rejected at once
   std::uint64_t seed = 1;
 };
 
 class LoadCluster {
  public:
-  explicit LoadCluster(
-      const LoadClusterSpec& spec);  // throws TestClusterError where the manager doesn't serve
+  // Returns once the manager serves. Throws TestClusterError if it doesn't within 20 seconds.
+  explicit LoadCluster(const LoadClusterSpec& spec);
   ~LoadCluster();
   LoadCluster(const LoadCluster&) = delete;
   LoadCluster& operator=(const LoadCluster&) = delete;
@@ -42,7 +43,7 @@
   const std::string& manager_address() const { return manager_address_; }
   pid_t manager_process() const { return process_; }
   bool manager_runs();
-  // From the start of the process to the first check that says that it is ready.
+  // From the start of the process to the first successful check.
   std::chrono::milliseconds time_to_ready() const { return time_to_ready_; }
   StandInEnginePool& engines() { return *engines_; }
   ExecutionChecker& executions() { return executions_; }
--- a/src/lab/load/load_generator.h
+++ b/src/lab/load/load_generator.h
@@ -1,6 +1,6 @@
-// An open-loop load on one manager: several threads, each with an event loop, a schedule, a checker and kept
-// HTTP connections of its own. Latency counts from the intended time of sending; the generator's own lag is
-// measured beside it.
+// An open-loop load on one manager. Several threads each have their own event loop, schedule, checker and
+// keep-alive HTTP connections. Latencies count from the intended time of sending; the generator's own delay
+// is measured separately as lag.
 #pragma once
 
 #include <chrono>
@@ -14,35 +14,36 @@
 
 namespace pearchute::lab {
 
-// A class of statements, and how each of them is asked for.
+// A class of statements, with the fields of its requests.
 struct StatementClass {
   std::string name = "quick";
   std::string statement = "SELECT work=5 FROM a_1.t";
   std::chrono::milliseconds timeout{2000};
-  double cost_ms = 5;
-  double memory_mb = 8;
-  double weight = 1;  // its share of the load
+  double cost_ms = 5;    // the same
+  double memory_mb = 8;  // estimate that the request states
+  double weight = 1;     // share of the load, relative to the other classes
 };
 
 struct LoadGeneratorSpec {
-  std::string manager;  // its address
+  std::string manager;  // address
   int threads = 3;
   std::uint64_t seed = 1;
   std::vector<StatementClass> classes;
-  int kept_connections = 300;  // opened before the load begins, and used in turn
-  int most_connections = 6000;
+  int kept_connections = 300;  // opened before the load starts, and used in turn
+  int max_connections = 6000;  // a statement that finds them all in use is not sent
 };
 
 class LoadGenerator {
  public:
+  // Opens the kept connections. Throws LoadError if they are not open within ten seconds.
   explicit LoadGenerator(const LoadGeneratorSpec& spec);
   ~LoadGenerator();
   LoadGenerator(const LoadGenerator&) = delete;
   LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-  // Offers these steps one after the other, without a break, and returns once every statement has ended; its
-  // own time and that of the longest deadline bound it. `at_boundary` is called at each step's start with its
-  // index, and at the last one's end with the number of steps.
+  // Offers the steps one after another without a pause, and returns once every statement has ended, or some
+  // seconds after the last deadline. `at_boundary` is called with the index of each step at its start, and
+  // with the number of steps at the end of the last one. Throws LoadError as OpenLoopSchedule does.
   LoadResult run(const std::vector<LoadStep>& steps,
                  const std::function<void(std::size_t)>& at_boundary = {});
   std::size_t open_connections();
--- a/src/lab/load/load_result.cpp
+++ b/src/lab/load/load_result.cpp
@@ -15,7 +15,7 @@
 
 ClassResult StepResult::total() const {
   ClassResult total;
-  for (const ClassResult& one : classes) total.merge(one);
+  for (const ClassResult& result : classes) total.merge(result);
   return total;
 }
 
@@ -40,7 +40,7 @@
 LoadCounts LoadResult::counts() const {
   LoadCounts total = stray;
   for (const StepResult& step : steps) {
-    for (const ClassResult& one : step.classes) total += one.counts;
+    for (const ClassResult& result : step.classes) total += result.counts;
   }
   return total;
 }
@@ -49,9 +49,9 @@
 
 std::optional<std::chrono::milliseconds> LoadResult::time_to_share(std::size_t step, double share) const {
   std::chrono::milliseconds start{};
-  for (std::size_t s = 0; s < step; ++s) start += steps[s].step.lasts;
+  for (std::size_t s = 0; s < step; ++s) start += steps[s].step.duration;
   const auto first = static_cast<std::size_t>(start / timeline_slice);
-  const auto end = static_cast<std::size_t>((start + steps[step].step.lasts) / timeline_slice);
+  const auto end = static_cast<std::size_t>((start + steps[step].step.duration) / timeline_slice);
   std::size_t from = first;
   for (std::size_t i = first; i < std::min(end, timeline.size()); ++i) {
     const TimelineSlice& slice = timeline[i];
--- a/src/lab/load/load_result.h
+++ b/src/lab/load/load_result.h
@@ -1,4 +1,4 @@
-// What a load generator measured of a run, by step.
+// The measurements of a load generator in one run, by step.
 #pragma once
 
 #include <chrono>
@@ -12,16 +12,16 @@
 
 namespace pearchute::lab {
 
-// A run whose generator sends more than one statement in a hundred later than this after its intended time
-// says more of the generator than of the manager: it is void.
-inline constexpr std::chrono::milliseconds most_lag_p99{5};
+// A step is void if the generator sent more than one statement in a hundred later than this after its
+// intended time: its results then describe the generator rather than the manager.
+inline constexpr std::chrono::milliseconds max_lag_p99{5};
 
-// Of one class in one step.
+// Statements of one class in one step.
 struct ClassResult {
   LoadCounts counts;
-  std::uint64_t offered = 0;           // intended
-  std::uint64_t no_connection = 0;     // not sent: all connections that the generator may hold were in use
-  std::uint64_t answered_in_time = 0;  // with a result, by its deadline and the slack
+  std::uint64_t offered = 0;        // by the schedule
+  std::uint64_t no_connection = 0;  // not sent, since all connections that the generator may open were in use
+  std::uint64_t answered_in_time = 0;  // with a result, no later than late_slack after the deadline
   LatencyHistogram latency;            // of results, from the intended time
   LatencyHistogram rejection_time;     // of rejections, from the intended time
   std::uint64_t rejected() const { return counts.rejected_with_advice + counts.rejected_without_advice; }
@@ -31,12 +31,12 @@
 struct StepResult {
   LoadStep step;
   std::vector<ClassResult> classes;
-  LatencyHistogram lag;  // of the generator itself: actual less intended sending time
+  LatencyHistogram lag;  // of the generator: actual minus intended time of sending
   ClassResult total() const;
-  bool is_void() const { return lag.quantile_ms(0.99) > static_cast<double>(most_lag_p99.count()); }
+  bool is_void() const { return lag.quantile_ms(0.99) > static_cast<double>(max_lag_p99.count()); }
 };
 
-// By intended time, so that recovery can be seen.
+// Statements are counted in the slice of their intended time, which shows how the manager recovers.
 inline constexpr std::chrono::milliseconds timeline_slice{100};
 struct TimelineSlice {
   std::uint64_t offered = 0;
@@ -46,17 +46,18 @@
 struct LoadResult {
   std::vector<StepResult> steps;
   std::vector<TimelineSlice> timeline;
-  LoadCounts stray;                           // what belongs to no statement
-  std::uint64_t connections_opened = 0;       // over the whole run
-  std::uint64_t connections_most = 0;         // at once
-  std::uint64_t connections_turned_away = 0;  // closed with a word while no statement was open on them
-  bool finished = true;  // false: statements were still open when the wait for them ended
-  void merge(const LoadResult& other);
+  LoadCounts stray;                      // answers to unknown statements
+  std::uint64_t connections_opened = 0;  // in the whole run
+  std::uint64_t connections_most = 0;    // open at the same time; the sum over the threads
+  std::uint64_t connections_turned_away =
+      0;                 // closed by the manager with the status 503 or 408, without an open statement
+  bool finished = true;  // false if statements were still open when the wait for them ended
+  void merge(const LoadResult& other);  // of another thread with the same steps and classes
   LoadCounts counts() const;
-  bool is_void() const;
+  bool is_void() const;  // whether a step is
 
-  // From the start of this step to the first slice from which on at least `share` of what is offered in each
-  // slice of the step is answered in time. Nothing where it does not come to that.
+  // The time from the start of the step until at least `share` of the offered statements is answered in time
+  // in each of its remaining slices. Nothing if the last slice of the step falls short.
   std::optional<std::chrono::milliseconds> time_to_share(std::size_t step, double share) const;
 };
 
--- a/src/lab/load/open_loop_schedule.cpp
+++ b/src/lab/load/open_loop_schedule.cpp
@@ -11,18 +11,22 @@
 void check(const std::vector<LoadStep>& steps, const std::vector<double>& class_weights) {
   for (const LoadStep& step : steps) {
     if (!std::isfinite(step.per_second) || step.per_second < 0)
-      throw LoadError("a rate is negative or no number", "load step", "give statements a second, 0 or more");
-    if (step.lasts.count() < 0)
-      throw LoadError("a step lasts a negative time", "load step", "give milliseconds, 0 or more");
+      throw LoadError("expected a rate of 0 or more, got " + std::to_string(step.per_second), "load step",
+                      "give statements per second");
+    if (step.duration.count() < 0)
+      throw LoadError("expected a duration of 0 ms or more, got " + std::to_string(step.duration.count()),
+                      "load step", "give milliseconds");
   }
   double total = 0;
   for (const double weight : class_weights) {
     if (!std::isfinite(weight) || weight < 0)
-      throw LoadError("a weight is negative or no number", "statement class", "give a weight of 0 or more");
+      throw LoadError("expected a weight of 0 or more, got " + std::to_string(weight), "statement class",
+                      "give a finite weight");
     total += weight;
   }
   if (total <= 0)
-    throw LoadError("no class has a weight", "statement class", "give at least one class a weight above 0");
+    throw LoadError("no class has a weight above 0", "statement class",
+                    "give at least one class a weight above 0");
 }
 
 }  // namespace
@@ -35,11 +39,11 @@
 }
 
 double OpenLoopSchedule::step_end() const {
-  return step_start_ + std::chrono::duration<double>(steps_[step_].lasts).count();
+  return step_start_ + std::chrono::duration<double>(steps_[step_].duration).count();
 }
 
-// An exponential gap that reaches beyond a step is drawn anew from the next step's start: the process has no
-// memory, so the arrivals of each step are Poisson of its own rate.
+// An exponential gap that reaches beyond the end of a step is drawn again from the start of the next one. A
+// Poisson process has no memory, so the arrivals of each step have its own rate.
 std::optional<ScheduledStatement> OpenLoopSchedule::next() {
   while (step_ < steps_.size()) {
     const double rate = steps_[step_].per_second;
@@ -60,7 +64,7 @@
 
 std::chrono::milliseconds total_time(const std::vector<LoadStep>& steps) {
   std::chrono::milliseconds total{};
-  for (const LoadStep& step : steps) total += step.lasts;
+  for (const LoadStep& step : steps) total += step.duration;
   return total;
 }
 
--- a/src/lab/load/open_loop_schedule.h
+++ b/src/lab/load/open_loop_schedule.h
@@ -1,5 +1,5 @@
-// When each statement of an open-loop load is meant to be sent. Arrivals are a Poisson process whose rate
-// goes in steps; the times don't depend on answers, so that latency can be counted from them without
+// The intended time of sending of each statement of an open-loop load. Arrivals are a Poisson process whose
+// rate changes in steps. The times don't depend on answers, so latencies that count from them have no
 // coordinated omission. Pure: no clock; the same seed gives the same schedule.
 #pragma once
 
@@ -13,12 +13,12 @@
 
 namespace pearchute::lab {
 
-// A load that can't be offered: a rate, a time or a weight that is negative or no number.
+// A load that can't be offered, such as one with a negative rate.
 using LoadError = ErrorOf<ErrorKind::usage>;
 
 struct LoadStep {
-  double per_second = 0;  // 0: a pause
-  std::chrono::milliseconds lasts{};
+  double per_second = 0;  // statements; 0 is a pause
+  std::chrono::milliseconds duration{};
 };
 
 struct ScheduledStatement {
@@ -29,9 +29,10 @@
 
 class OpenLoopSchedule {
  public:
-  // Each statement is of a class drawn by weight. Throws LoadError.
+  // The class of each statement is drawn by weight. Throws LoadError if a rate, a duration or a weight is
+  // negative or not finite, or if no weight is above 0.
   OpenLoopSchedule(std::vector<LoadStep> steps, const std::vector<double>& class_weights, std::uint64_t seed);
-  // The next in order of time; nothing once the last step is over.
+  // Returns the next statement in order of time; nothing after the last step.
   std::optional<ScheduledStatement> next();
 
  private:
@@ -42,7 +43,7 @@
   std::discrete_distribution<std::size_t> class_of_;
   std::size_t step_ = 0;
   double step_start_ = 0;  // in seconds
-  double at_ = 0;
+  double at_ = 0;          // of the latest arrival, in seconds
 };
 
 std::chrono::milliseconds total_time(const std::vector<LoadStep>& steps);
--- a/src/lab/load/stand_in_engine_pool.cpp
+++ b/src/lab/load/stand_in_engine_pool.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr double typical_work_ms = 5;  // of a statement that tells none
+constexpr double default_work_ms = 5;  // of a statement without `work=`
 
 CheckTime steady_clock_now() {
   return std::chrono::duration_cast<CheckTime>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-// The value behind `name=`, up to a blank or a comma; empty where there is none.
+// Returns the value after `name=`, up to a blank or a comma; empty if there is none.
 std::string_view value_of(std::string_view text, std::string_view name) {
   std::size_t at = text.find(name);
   while (at != std::string_view::npos) {
@@ -34,9 +34,9 @@
   return text.substr(0, text.find_first_of(" ,"));
 }
 
-double number_of(std::string_view text, std::string_view name, double otherwise) {
+double number_of(std::string_view text, std::string_view name, double fallback) {
   const std::string_view value = value_of(text, name);
-  double number = otherwise;
+  double number = fallback;
   std::from_chars(value.data(), value.data() + value.size(), number);
   return number;
 }
@@ -49,17 +49,17 @@
 
 }  // namespace
 
-// One connection of a manager, which carries many statements.
+// A connection of a manager, which carries many statements at the same time.
 class StandInEnginePool::Connection final : public net::Connection::Listener {
  public:
   Connection(Engine& engine, net::Loop& loop, const Poco::Net::StreamSocket& socket) : engine_(engine) {
-    wire_ = std::make_unique<net::Connection>(loop, socket, *this);
+    connection_ = std::make_unique<net::Connection>(loop, socket, *this);
   }
-  std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
-  void send(std::initializer_list<std::string_view> words) {
+  std::unique_ptr<net::Connection> release_connection() { return std::move(connection_); }
+  void send(std::initializer_list<std::string_view> fields) {
     std::string out;
-    net::append_command(out, words);
-    if (wire_) wire_->send(out);
+    net::append_command(out, fields);
+    if (connection_) connection_->send(out);
   }
   void on_data(std::string_view bytes) override;
   void on_closed() override;
@@ -67,7 +67,7 @@
  private:
   Engine& engine_;
   net::RespReader reader_;
-  std::unique_ptr<net::Connection> wire_;
+  std::unique_ptr<net::Connection> connection_;
 };
 
 class StandInEnginePool::Engine {
@@ -78,41 +78,42 @@
         number_(number),
         random_(static_cast<std::knuth_b::result_type>(pool.spec_.seed + number)),
         closed_(loop),
-        door_(loop, Poco::Net::SocketAddress("127.0.0.1:0"),
-              [this](const Poco::Net::StreamSocket& socket) { accept(socket); }) {}
+        listening_socket_(loop, Poco::Net::SocketAddress("127.0.0.1:0"),
+                          [this](const Poco::Net::StreamSocket& socket) { accept(socket); }) {}
   ~Engine() { *alive_ = false; }
-  std::string address() const { return door_.address().toString(); }
+  std::string address() const { return listening_socket_.address().toString(); }
 
-  void received(Connection& connection, const std::vector<std::string>& words) {
-    if (words[0] == "want" && words.size() == 4) start(connection, words);
-    else if (words[0] == "there" && words.size() == 2) connection.send({words[1], "PONG", "-", ""});
-    else if (words[0] == "never_mind" && words.size() == 2) cancel(connection, words[1]);
+  void on_command(Connection& connection, const std::vector<std::string>& command) {
+    if (command[0] == "want" && command.size() == 4) start(connection, command);
+    else if (command[0] == "there" && command.size() == 2) connection.send({command[1], "PONG", "-", ""});
+    else if (command[0] == "never_mind" && command.size() == 2) cancel(connection, command[1]);
   }
 
+  // Discards the connection and its executions.
   void close(Connection& connection) {
     const auto at = connections_.find(&connection);
     if (at == connections_.end()) return;
-    for (auto run = running_.begin(); run != running_.end();) {
-      if (run->second.connection != &connection) {
-        ++run;
+    for (auto execution = running_.begin(); execution != running_.end();) {
+      if (execution->second.connection != &connection) {
+        ++execution;
         continue;
       }
-      release(run->second, false);
-      run = running_.erase(run);
+      release(execution->second, false);
+      execution = running_.erase(execution);
     }
-    std::erase_if(waiting_, [&](const Run& run) {
-      if (run.connection != &connection) return false;
-      release(run, false);
+    std::erase_if(waiting_, [&](const Execution& execution) {
+      if (execution.connection != &connection) return false;
+      release(execution, false);
       return true;
     });
     closed_.take(std::move(at->second));
     connections_.erase(at);
     --pool_.connections_;
-    run_waiting();
+    start_waiting();
   }
 
  private:
-  struct Run {
+  struct Execution {
     Connection* connection = nullptr;
     std::string id;
     std::uint64_t number = 0;
@@ -127,23 +128,23 @@
     ++pool_.connections_;
   }
 
-  void start(Connection& connection, const std::vector<std::string>& words) {
-    const std::string_view kind = value_of(words[2], "kind");
+  void start(Connection& connection, const std::vector<std::string>& command) {
+    const std::string_view kind = value_of(command[2], "kind");
     const bool once = std::ranges::find(pool_.spec_.once_classes, kind) != pool_.spec_.once_classes.end();
     ++pool_.begun_;
-    pool_.checker_.begun(id_of(words[1]), number_, once, steady_clock_now());
-    Run run{&connection, words[1], next_run_++, number_of(words[3], "work", typical_work_ms),
-            number_of(words[2], "workmem", 0)};
-    granted_mb_ += run.grant_mb;
+    pool_.checker_.on_begun(id_of(command[1]), number_, once, steady_clock_now());
+    Execution execution{&connection, command[1], next_execution_++,
+                        number_of(command[3], "work", default_work_ms), number_of(command[2], "workmem", 0)};
+    granted_mb_ += execution.grant_mb;
     if (granted_mb_ > pool_.spec_.memory_mb) {
-      release(run, true);
-      return connection.send({run.id, "SHED", "-", ""});
+      release(execution, true);
+      return connection.send({execution.id, "SHED", "-", ""});
     }
-    waiting_.push_back(std::move(run));
-    run_waiting();
+    waiting_.push_back(std::move(execution));
+    start_waiting();
   }
 
-  void run_waiting() {
+  void start_waiting() {
     while (!waiting_.empty() && running_.size() < static_cast<std::size_t>(pool_.spec_.cores)) {
       const std::uint64_t number = waiting_.front().number;
       const Duration time = service_time(waiting_.front().work_ms);
@@ -166,32 +167,34 @@
   void finish(std::uint64_t number) {
     const auto at = running_.find(number);
     if (at == running_.end()) return;  // cancelled
-    const Run run = std::move(at->second);
+    const Execution execution = std::move(at->second);
     running_.erase(at);
-    release(run, false);
-    run.connection->send({run.id, "HIT", "fetches=1", "a\t" + run.id + "\tz\n"});
-    run_waiting();
+    release(execution, false);
+    execution.connection->send({execution.id, "HIT", "fetches=1", "a\t" + execution.id + "\tz\n"});
+    start_waiting();
   }
 
   void cancel(const Connection& connection, const std::string& id) {
     ++pool_.cancelled_;
-    const auto same = [&](const Run& run) { return run.connection == &connection && run.id == id; };
+    const auto same = [&](const Execution& execution) {
+      return execution.connection == &connection && execution.id == id;
+    };
     const auto at = std::ranges::find_if(running_, [&](const auto& one) { return same(one.second); });
     if (at != running_.end()) {
       release(at->second, false);
       running_.erase(at);
-      return run_waiting();
+      return start_waiting();
     }
-    std::erase_if(waiting_, [&](const Run& run) {
-      if (!same(run)) return false;
-      release(run, true);
+    std::erase_if(waiting_, [&](const Execution& execution) {
+      if (!same(execution)) return false;
+      release(execution, true);
       return true;
     });
   }
 
-  void release(const Run& run, bool turned_away) {
-    granted_mb_ -= run.grant_mb;
-    pool_.checker_.ended(id_of(run.id), number_, turned_away, steady_clock_now());
+  void release(const Execution& execution, bool rejected) {
+    granted_mb_ -= execution.grant_mb;
+    pool_.checker_.on_ended(id_of(execution.id), number_, rejected, steady_clock_now());
   }
 
   StandInEnginePool& pool_;
@@ -200,18 +203,18 @@
   std::knuth_b random_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   net::DeferredDeletion<Connection> closed_;
-  std::unordered_map<std::uint64_t, Run> running_;  // as many as cores at most
-  std::deque<Run> waiting_;
+  std::unordered_map<std::uint64_t, Execution> running_;  // by number; at most one for each core
+  std::deque<Execution> waiting_;
   double granted_mb_ = 0;
-  std::uint64_t next_run_ = 1;
+  std::uint64_t next_execution_ = 1;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  net::ListeningSocket door_;  // last, so that all else is there before a connection comes
+  net::ListeningSocket listening_socket_;  // last: a connection needs the other members
 };
 
 void StandInEnginePool::Connection::on_data(std::string_view bytes) {
-  const bool sound =
-      reader_.feed(bytes, [&](std::vector<std::string>& words) { engine_.received(*this, words); });
-  if (!sound) engine_.close(*this);
+  const bool is_valid =
+      reader_.feed(bytes, [&](std::vector<std::string>& command) { engine_.on_command(*this, command); });
+  if (!is_valid) engine_.close(*this);
 }
 
 void StandInEnginePool::Connection::on_closed() { engine_.close(*this); }
@@ -223,9 +226,10 @@
   for (int i = 0; i < threads; ++i) threads_.push_back(std::make_unique<net::EventLoopThread>());
   for (int i = 0; i < spec_.engines; ++i) {
     const auto thread = static_cast<std::size_t>(i % threads);
-    net::EventLoopThread& on = *threads_[thread];
-    on.on([&] {
-      engines_[thread].push_back(std::make_unique<Engine>(*this, on.loop(), static_cast<std::uint32_t>(i)));
+    net::EventLoopThread& loop_thread = *threads_[thread];
+    loop_thread.on([&] {
+      engines_[thread].push_back(
+          std::make_unique<Engine>(*this, loop_thread.loop(), static_cast<std::uint32_t>(i)));
       addresses_.push_back(engines_[thread].back()->address());
     });
   }
--- a/src/lab/load/stand_in_engine_pool.h
+++ b/src/lab/load/stand_in_engine_pool.h
@@ -1,6 +1,7 @@
-// Stand-in engines for loads of thousands of statements a second: several threads with several engines on
-// each. They speak the engines' protocol, run a statement for the time that it says (`work=` milliseconds) on
-// a bounded number of cores, and tell the ExecutionChecker of each run. They don't fail; StandInEngine does.
+// Stand-in engines for loads of thousands of statements per second: several threads with several engines on
+// each. They speak the engines' protocol, run a statement for the time that it names (`work=` milliseconds)
+// on a bounded number of cores, and report each run to the ExecutionChecker. They inject no faults;
+// StandInEngine does.
 #pragma once
 
 #include <atomic>
@@ -16,26 +17,30 @@
 namespace pearchute::lab {
 
 struct EnginePoolSpec {
-  enum class ServiceTime { fixed, exponential };  // exponential: drawn, with the statement's time as its mean
+  enum class ServiceTime {
+    fixed,
+    exponential
+  };  // exponential: random, with the statement's time as its mean
   int engines = 2;
   int threads = 2;
   int cores = 8;            // of each engine
-  double memory_mb = 8000;  // of each engine; what doesn't fit is turned away
+  double memory_mb = 8000;  // of each engine; a statement whose grant doesn't fit is rejected
   ServiceTime service_time = ServiceTime::fixed;
   std::uint64_t seed = 1;
-  std::vector<std::string> once_classes;  // statements of these must not run twice
+  std::vector<std::string> once_classes;  // classes that are not idempotent
 };
 
 class StandInEnginePool {
  public:
+  // `checker` must outlive the pool.
   StandInEnginePool(const EnginePoolSpec& spec, ExecutionChecker& checker);
   ~StandInEnginePool();
   StandInEnginePool(const StandInEnginePool&) = delete;
   StandInEnginePool& operator=(const StandInEnginePool&) = delete;
 
-  // Of each engine, in order; they hold as long as the pool.
+  // By the number of the engine; constant as long as the pool exists.
   const std::vector<std::string>& addresses() const { return addresses_; }
-  std::uint64_t begun() const { return begun_; }
+  std::uint64_t begun() const { return begun_; }  // attempts received
   std::uint64_t cancelled() const { return cancelled_; }
   std::uint64_t connections() const { return connections_; }  // open now
 
@@ -48,7 +53,7 @@
   std::atomic<std::uint64_t> begun_ = 0, cancelled_ = 0, connections_ = 0;
   std::vector<std::string> addresses_;
   std::vector<std::unique_ptr<net::EventLoopThread>> threads_;
-  std::vector<std::vector<std::unique_ptr<Engine>>> engines_;  // by thread; reached on its loop only
+  std::vector<std::vector<std::unique_ptr<Engine>>> engines_;  // by thread; used on its loop only
 };
 
 }  // namespace pearchute::lab
--- a/tests/test_load.cpp
+++ b/tests/test_load.cpp
@@ -1,5 +1,5 @@
-// The load generator and its checker: schedules, what each kind of fault is counted as, the cost for a
-// statement, and a small load on a real manager.
+// The load generator and its checkers: schedules, the count of each kind of fault, the cost of a statement,
+// and a small load on a real manager.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -58,7 +58,7 @@
   assert(last < total_time(steps) && total_time(steps) == seconds(15));
 }
 
-void test_schedule_refuses_what_cannot_be_offered() {
+void test_schedule_rejects_invalid_loads() {
   struct Case {
     std::vector<LoadStep> steps;
     std::vector<double> weights;
@@ -90,9 +90,9 @@
   assert(histogram.count() == 2000 && std::abs(histogram.quantile_ms(0.75) / 5000 - 1) < 0.025);
 }
 
-// ---- The clients' side of the checker ----
+// ---- The checker of answers to clients ----
 
-enum class Event { sent, done, advice, no_advice, failed, ended, unreached, expire, nobody, other };
+enum class Event { sent, done, advice, no_advice, failed, ended, unreached, expire, unmatched, other };
 struct Step {
   milliseconds at;
   Event event;
@@ -106,34 +106,34 @@
     const CheckTime now = start + step.at;
     switch (step.event) {
       case Event::sent:
-        checker.sent(1, 0, now + seconds(1));
+        checker.on_sent(1, 0, now + seconds(1));
         break;
       case Event::done:
-        checker.answered(1, StatementAnswer::done, now);
+        checker.on_answered(1, StatementAnswer::done, now);
         break;
       case Event::advice:
-        checker.answered(1, StatementAnswer::rejected_with_advice, now);
+        checker.on_answered(1, StatementAnswer::rejected_with_advice, now);
         break;
       case Event::no_advice:
-        checker.answered(1, StatementAnswer::rejected_without_advice, now);
+        checker.on_answered(1, StatementAnswer::rejected_without_advice, now);
         break;
       case Event::failed:
-        checker.answered(1, StatementAnswer::failed, now);
+        checker.on_answered(1, StatementAnswer::failed, now);
         break;
       case Event::ended:
-        checker.connection_ended(1, now);
+        checker.on_connection_ended(1, now);
         break;
       case Event::unreached:
-        checker.unreached(1, now);
+        checker.on_unreached(1, now);
         break;
       case Event::expire:
         checker.expire(now);
         break;
-      case Event::nobody:
-        checker.answered_nobody();
+      case Event::unmatched:
+        checker.on_unmatched_answer();
         break;
       case Event::other:
-        checker.misdelivered(1);
+        checker.on_misdelivered(1);
         break;
     }
   }
@@ -159,7 +159,8 @@
       {{{ms(0), E::sent}, {ms(9), E::failed}}, {.sent = 1, .failed = 1}},
       {{{ms(0), E::sent}, {ms(9), E::unreached}}, {.sent = 1, .unreached = 1}},
       {{{ms(0), E::sent}, {ms(9), E::ended}, {ms(5000), E::expire}}, {.sent = 1, .lost = 1}},
-      {{{ms(0), E::sent}, {ms(1050), E::done}}, {.sent = 1, .answered = 1}},  // the slack's last moment
+      // The last moment that late_slack allows.
+      {{{ms(0), E::sent}, {ms(1050), E::done}}, {.sent = 1, .answered = 1}},
       {{{ms(0), E::sent}, {ms(1051), E::done}}, {.sent = 1, .answered = 1, .late = 1}},
       {{{ms(0), E::sent}, {ms(1051), E::advice}}, {.sent = 1, .rejected_with_advice = 1, .late = 1}},
       {{{ms(0), E::sent}, {ms(1500), E::expire}}, {.sent = 1}},  // not judged yet
@@ -170,23 +171,24 @@
       {{{ms(0), E::sent}, {ms(9), E::advice}, {ms(9000), E::done}},
        {.sent = 1, .rejected_with_advice = 1, .doubled = 1}},
       {{{ms(9), E::done}}, {.doubled = 1}},
-      {{{ms(9), E::nobody}}, {.doubled = 1}},
+      {{{ms(9), E::unmatched}}, {.doubled = 1}},
       {{{ms(0), E::sent}, {ms(9), E::other}, {ms(9), E::done}},
        {.sent = 1, .answered = 1, .misdelivered = 1}},
   };
   for (const Case& c : cases) {
     const LoadCounts seen = counts_after(c.script);
-    const LoadCounts& wanted = c.expected;
-    assert(seen.sent == wanted.sent && seen.answered == wanted.answered && seen.failed == wanted.failed);
-    assert(seen.rejected_with_advice == wanted.rejected_with_advice);
-    assert(seen.rejected_without_advice == wanted.rejected_without_advice);
-    assert(seen.unreached == wanted.unreached && seen.lost == wanted.lost);
-    assert(seen.doubled == wanted.doubled && seen.late == wanted.late);
-    assert(seen.misdelivered == wanted.misdelivered && seen.keeps_rules() == wanted.keeps_rules());
+    const LoadCounts& expected = c.expected;
+    assert(seen.sent == expected.sent && seen.answered == expected.answered &&
+           seen.failed == expected.failed);
+    assert(seen.rejected_with_advice == expected.rejected_with_advice);
+    assert(seen.rejected_without_advice == expected.rejected_without_advice);
+    assert(seen.unreached == expected.unreached && seen.lost == expected.lost);
+    assert(seen.doubled == expected.doubled && seen.late == expected.late);
+    assert(seen.misdelivered == expected.misdelivered && seen.keeps_rules() == expected.keeps_rules());
   }
 }
 
-// Both checkers see the same statements; deadlines lie in the past where one has to be over.
+// Both checkers get the same events. Statements whose deadline must have passed get one in the past.
 void test_agrees_with_history_checker() {
   const CheckTime now = steady_now(), later = now + seconds(60), over = now - seconds(2);
   const auto name = [](StatementId id) { return "s" + std::to_string(id); };
@@ -194,11 +196,11 @@
   LoadChecker checker(1);
   const auto sent = [&](StatementId id, CheckTime deadline) {
     history.sent(name(id), 0, {}, 0, deadline);
-    checker.sent(id, 0, deadline);
+    checker.on_sent(id, 0, deadline);
   };
   const auto answered = [&](StatementId id, Answer answer, StatementAnswer same) {
     history.answered(name(id), answer);
-    checker.answered(id, same, steady_now());
+    checker.on_answered(id, same, steady_now());
   };
   for (StatementId id = 1; id <= 60; ++id) sent(id, id % 10 == 7 || id % 10 == 8 ? over : later);
   for (StatementId id = 1; id <= 60; ++id) {
@@ -210,10 +212,10 @@
         answered(id, Answer::failed, StatementAnswer::failed);
         break;
       case 2:
-        history.unanswered(name(id)), checker.connection_ended(id, now);
+        history.unanswered(name(id)), checker.on_connection_ended(id, now);
         break;
       case 3:
-        history.unreached(name(id)), checker.unreached(id, now);
+        history.unreached(name(id)), checker.on_unreached(id, now);
         break;
       case 4:
         answered(id, Answer::done, StatementAnswer::done);
@@ -221,7 +223,7 @@
         break;
       case 5:
         answered(id + 1000, Answer::done, StatementAnswer::done);
-        break;  // to no statement
+        break;  // the answer to an unknown statement
       case 7:
         break;  // never answered
       default:
@@ -238,11 +240,11 @@
   assert(checker.open() == history.open() && verdict.lost == 12 && verdict.late == 6);
 }
 
-// ---- The engines' side of the checker ----
+// ---- The checker of runs on engines ----
 
 struct Execution {
   std::uint32_t engine;
-  enum { begun, ended, turned_away } what;
+  enum { begun, ended, rejected } event;
 };
 
 void test_each_fault_of_engines_is_counted() {
@@ -257,7 +259,7 @@
       {{{1, X::begun}, {1, X::ended}, {2, X::begun}}, false, 0, 0},
       {{{1, X::begun}, {1, X::ended}, {2, X::begun}}, true, 1, 0},
       {{{1, X::begun}, {1, X::ended}, {1, X::begun}}, true, 1, 0},
-      {{{1, X::begun}, {1, X::turned_away}, {2, X::begun}}, true, 0, 0},
+      {{{1, X::begun}, {1, X::rejected}, {2, X::begun}}, true, 0, 0},
       {{{1, X::begun}, {2, X::begun}}, false, 0, 1},
       {{{1, X::begun}, {2, X::begun}}, true, 0, 1},
       {{{1, X::begun}, {2, X::begun}, {1, X::ended}, {2, X::ended}, {3, X::begun}}, true, 2, 1},
@@ -268,14 +270,14 @@
     history.sent("1", 0, {c.once, false}, 0, steady_now() + seconds(60));
     for (const Execution& one : c.script) {
       const std::string engine = std::to_string(one.engine);
-      if (one.what == X::begun) {
-        checker.begun(1, one.engine, c.once, steady_now());
+      if (one.event == X::begun) {
+        checker.on_begun(1, one.engine, c.once, steady_now());
         history.begun(engine, "1");
       } else {
-        checker.ended(1, one.engine, one.what == X::turned_away, steady_now());
+        checker.on_ended(1, one.engine, one.event == X::rejected, steady_now());
         history.ended(engine, "1",
-                      one.what == X::turned_away ? HistoryChecker::RunEnd::turned_away
-                                                 : HistoryChecker::RunEnd::answered);
+                      one.event == X::rejected ? HistoryChecker::RunEnd::turned_away
+                                               : HistoryChecker::RunEnd::answered);
       }
     }
     const ExecutionCounts counts = checker.counts();
@@ -286,7 +288,8 @@
 
 // ---- Cost ----
 
-// Statements come each 100 us and end after 200 ms, but one in fifty, which is lost; looks each 50 ms.
+// A statement is sent every 100 us and answered after 200 ms, except one in fifty, which is lost. expire() is
+// called every 50 ms.
 std::uint64_t operations_for(StatementId statements) {
   LoadChecker checker(1);
   ExecutionChecker executions;
@@ -294,10 +297,10 @@
   constexpr StatementId out = static_cast<StatementId>(answer_time / gap);
   for (StatementId id = 0; id < statements + out; ++id) {
     const CheckTime now = start + gap * static_cast<std::int64_t>(id);
-    if (id < statements) checker.sent(id, 0, now + seconds(2));
-    if (id < statements) executions.begun(id, 1, true, now);
-    if (id >= out) executions.ended(id - out, 1, false, now);
-    if (id >= out && (id - out) % 50 != 0) checker.answered(id - out, StatementAnswer::done, now);
+    if (id < statements) checker.on_sent(id, 0, now + seconds(2));
+    if (id < statements) executions.on_begun(id, 1, true, now);
+    if (id >= out) executions.on_ended(id - out, 1, false, now);
+    if (id >= out && (id - out) % 50 != 0) checker.on_answered(id - out, StatementAnswer::done, now);
     if (id % 500 == 0) checker.expire(now);
   }
   checker.expire(start + gap * static_cast<std::int64_t>(statements) + seconds(10));
@@ -309,7 +312,7 @@
 void test_cost_of_a_statement_is_flat() {
   const std::uint64_t few = operations_for(20'000), many = operations_for(200'000);
   assert(many <= 12 * few);
-  assert(many <= 200'000 * 12);  // operations on tables for each statement, on both sides together
+  assert(many <= 200'000 * 12);  // at most 12 operations for each statement, over both checkers
 }
 
 void test_time_to_share() {
@@ -325,38 +328,38 @@
   assert(!result.time_to_share(1, 0.99));
 }
 
-// ---- The generator against a manager that errs ----
+// ---- The generator against a faulty manager ----
 
-// Answers each statement as its class says.
-class ErringManager {
+// Answers each statement with the fault that the name of its class stands for.
+class FaultyManager {
  public:
-  ErringManager() {
+  FaultyManager() {
     thread_.on([this] {
-      door_ = std::make_unique<net::ListeningSocket>(
+      listening_socket_ = std::make_unique<net::ListeningSocket>(
           thread_.loop(), Poco::Net::SocketAddress("127.0.0.1:0"),
           [this](const Poco::Net::StreamSocket& socket) {
             clients_.push_back(std::make_unique<Client>(*this, socket));
           });
     });
   }
-  ~ErringManager() {
+  ~FaultyManager() {
     thread_.on([this] {
-      door_.reset();
+      listening_socket_.reset();
       for (auto& client : clients_) thread_.loop().retire(client->release_connection());
       thread_.loop().settle();
     });
   }
   std::string address() {
-    return thread_.on([this] { return door_->address().toString(); });
+    return thread_.on([this] { return listening_socket_->address().toString(); });
   }
 
  private:
   class Client final : public net::Connection::Listener, public net::HttpServerSide::Listener {
    public:
-    Client(ErringManager& manager, const Poco::Net::StreamSocket& socket) : manager_(manager) {
-      wire_ = std::make_unique<net::Connection>(manager.thread_.loop(), socket, *this);
+    Client(FaultyManager& manager, const Poco::Net::StreamSocket& socket) : manager_(manager) {
+      connection_ = std::make_unique<net::Connection>(manager.thread_.loop(), socket, *this);
     }
-    std::unique_ptr<net::Connection> release_connection() { return std::move(wire_); }
+    std::unique_ptr<net::Connection> release_connection() { return std::move(connection_); }
     void on_data(std::string_view bytes) override { http_.feed(bytes); }
     void on_closed() override {}
     void refused_call(int) override {}
@@ -367,7 +370,7 @@
       constexpr const char* later = "{\"abort\":\"TryLater\"}";
       if (name == "close") {
         net::Loop& loop = manager_.thread_.loop();
-        return loop.post([this] { wire_->close(); });
+        return loop.post([this] { connection_->close(); });
       }
       if (name == "silent") return;
       if (name == "late") {
@@ -388,21 +391,21 @@
     void answer(int status, std::string_view headers, const std::string& body) {
       std::string out;
       net::append_response(out, status, headers, body, true);
-      wire_->send(out);
+      connection_->send(out);
       manager_.thread_.loop().post([this] { http_.answered(); });
     }
-    ErringManager& manager_;
+    FaultyManager& manager_;
     net::HttpServerSide http_{*this};
-    std::unique_ptr<net::Connection> wire_;
+    std::unique_ptr<net::Connection> connection_;
   };
 
   std::vector<std::unique_ptr<Client>> clients_;
-  std::unique_ptr<net::ListeningSocket> door_;
+  std::unique_ptr<net::ListeningSocket> listening_socket_;
   net::EventLoopThread thread_;
 };
 
 void test_generator_sees_each_fault() {
-  ErringManager manager;
+  FaultyManager manager;
   LoadGeneratorSpec spec;
   spec.manager = manager.address();
   spec.threads = 2;
@@ -463,7 +466,7 @@
   assert(cluster.executions().counts().begun >= total.counts.answered);
   const LatencyHistogram& lag = result.steps.front().lag;
   assert(lag.count() == total.offered && lag.max_ms() >= lag.quantile_ms(0.99));
-  assert(result.is_void() == (lag.quantile_ms(0.99) > static_cast<double>(most_lag_p99.count())));
+  assert(result.is_void() == (lag.quantile_ms(0.99) > static_cast<double>(max_lag_p99.count())));
   assert(usage.samples().size() == 2 && usage.mean_cpu_share() > 0);
   assert(usage.most_descriptors() > 40 && usage.most_resident_kb() > 1000);
   assert(cluster.time_to_ready() > milliseconds(0));
@@ -483,7 +486,7 @@
 
 int main() {
   test_schedule_is_deterministic_and_of_its_rate();
-  test_schedule_refuses_what_cannot_be_offered();
+  test_schedule_rejects_invalid_loads();
   test_quantiles();
   test_each_fault_of_clients_is_counted();
   test_agrees_with_history_checker();
