--- a/src/lab/scale/hollow_agent.cpp
+++ b/src/lab/scale/hollow_agent.cpp
@@ -25,7 +25,7 @@
   return channel;
 }
 
-// Each call runs on the loop, where all else of the agent does; no thread waits for it.
+// Each call is handled on the agent's loop, without a waiting thread.
 class HollowAgent::Service final : public agent::v1::Agent::CallbackService {
  public:
   Service(HollowAgent& owner, ControlTraffic& traffic) : owner_(owner), traffic_(traffic) {}
--- a/src/lab/scale/hollow_agent.h
+++ b/src/lab/scale/hollow_agent.h
@@ -1,6 +1,6 @@
 // A hollow agent: the control code of pearchute-agent (ProcessSupervisor, Peers, GossipService,
-// ConfigService) behind its own gRPC server on a Unix socket, many in one operating-system process. It starts
-// no process: its manager is a hollow one, which it observes over the admin channel.
+// ConfigService) behind a gRPC server on a Unix socket. Many run in one operating-system process. A hollow
+// agent starts no process; it observes a hollow manager over the admin channel.
 #pragma once
 
 #include <atomic>
@@ -18,7 +18,7 @@
 
 namespace pearchute::lab {
 
-// Bytes of the agents' messages, by the name of the agent that sent or received them.
+// Counts the bytes of the agents' messages by the name of the sending and receiving agent. Thread-safe.
 class ControlTraffic {
  public:
   struct Counted {
@@ -32,8 +32,8 @@
   std::map<std::string, Counted> counted_;
 };
 
-// One channel for each target, shared by all agents of this process: the number of sockets grows with the
-// agents and not with their square.
+// One gRPC channel for each target, shared by all agents of this process, so that the number of sockets grows
+// linearly with the number of agents. Thread-safe.
 class SharedChannels {
  public:
   std::shared_ptr<grpc::Channel> open(const keys::Endpoint& endpoint, const std::string& name,
@@ -46,19 +46,20 @@
 
 class HollowAgent {
  public:
-  // Not on the loop. The seed has to be another at each start.
+  // Must not be called on the loop. Each start needs another seed. Throws ListeningError if the socket can't
+  // be opened. `loop_thread`, `channels` and `traffic` must outlive the agent.
   HollowAgent(net::EventLoopThread& loop_thread, const agent::AgentConfig& config, SharedChannels& channels,
               ControlTraffic& traffic, std::uint64_t seed);
-  ~HollowAgent();  // without a goodbye, as a crash
+  ~HollowAgent();  // ends abruptly, as in a crash; not on the loop
   HollowAgent(const HollowAgent&) = delete;
   HollowAgent& operator=(const HollowAgent&) = delete;
 
-  // Peers that are reached elsewhere from now on.
+  // Applies the peer addresses of `next`.
   void change(const agent::AgentConfig& next);
   const std::string& name() const { return config_.name; }
-  // Under which it speaks: another one after each start. On the loop.
+  // Changes at each start. Must be called on the loop.
   std::uint64_t incarnation() const { return supervisor_->store().incarnation(); }
-  // What this agent knows of the others. On the loop.
+  // The gossip that this agent has received of the others. Must be called on the loop.
   agent::v1::Shown known() const;
 
  private:
--- a/src/lab/scale/hollow_hosts.cpp
+++ b/src/lab/scale/hollow_hosts.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-HollowCommand command_in(const std::string& word) {
-  return service::one_of<HollowCommand>("command", word,
+HollowCommand command_named(const std::string& name) {
+  return service::one_of<HollowCommand>("command", name,
                                         {{"look", HollowCommand::look},
                                          {"cut", HollowCommand::cut},
                                          {"heal", HollowCommand::heal},
@@ -55,7 +55,7 @@
     for (const PlannedHost& host : spec_.hosts) start_agent(host);
   }
 
-  // By agent.
+  // By the name of the agent.
   json incarnations() {
     json all = json::object();
     loop_thread_.on([&] {
@@ -64,13 +64,14 @@
     return all;
   }
 
-  json answer(const json& line) {
-    switch (command_in(line.at("command").get<std::string>())) {
+  // Carries out a command and returns its answer. Throws nlohmann::json::exception if a field is missing.
+  json execute(const json& line) {
+    switch (command_named(line.at("command").get<std::string>())) {
       case HollowCommand::look:
-        return look(line);
+        return compare_all(line);
       case HollowCommand::cut:
       case HollowCommand::heal:
-        set_cut(line.at("command") == name_of(HollowCommand::cut));
+        set_regions_cut(line.at("command") == name_of(HollowCommand::cut));
         return json::object();
       case HollowCommand::restart:
         restart(line.at("agents").get<std::set<std::string>>());
@@ -88,7 +89,7 @@
     return spec_.folder + "/" + host.manager + ".json";
   }
 
-  // How many managers have it.
+  // The number of managers that have the version with this digest in force.
   json in_force(const std::string& digest) {
     std::size_t managers = 0;
     loop_thread_.on([&] {
@@ -115,9 +116,9 @@
     for (const auto& [peer, region] : spec_.regions) {
       if (peer == host.agent) continue;
       config.peer_zones[peer] = spec_.zones.at(peer);
-      const bool away = regions_cut_ && region != host.zone.region;
-      config.peers[peer] =
-          keys::parse_endpoint("unix:" + (away ? spec_.silent_socket : agent_socket(spec_.folder, peer)));
+      const bool is_cut_off = regions_cut_ && region != host.zone.region;
+      config.peers[peer] = keys::parse_endpoint(
+          "unix:" + (is_cut_off ? spec_.silent_socket : agent_socket(spec_.folder, peer)));
     }
     return config;
   }
@@ -136,35 +137,37 @@
     }
   }
 
-  void set_cut(bool cut) {
+  void set_regions_cut(bool cut) {
     regions_cut_ = cut;
     for (const PlannedHost& host : spec_.hosts) agents_.at(host.agent)->change(config_of(host));
   }
 
-  json look(const json& line) {
-    Expected expected;
+  // Compares the gossip of all agents with the expected state. Also returns the bytes of the agents' messages
+  // and the engine connections of the managers.
+  json compare_all(const json& line) {
+    ExpectedGossip expected;
     expected.down = line.at("down").get<std::set<std::string>>();
     expected.regions_cut = line.at("regions_cut").get<bool>();
     line.at("incarnations").get_to(expected.incarnations);
-    // All in one turn of the loop: on a loaded machine each turn is long.
+    // All agents are read in one turn of the loop, since a turn takes long on a loaded machine.
     std::map<std::string, agent::v1::Shown> all;
     loop_thread_.on([&] {
       for (const auto& [name, agent] : agents_) all[name] = agent->known();
     });
-    Knowledge knowledge;
+    GossipComparison comparison;
     for (const auto& [name, shown] : all) {
       std::map<std::string, std::uint64_t> fresh;
-      for (const auto& heard : shown.heard()) {
-        if (heard.freshness() == "fresh") fresh[heard.agent()] = heard.incarnation();
+      for (const auto& entry : shown.heard()) {
+        if (entry.freshness() == "fresh") fresh[entry.agent()] = entry.incarnation();
       }
-      knowledge.add(compare(spec_.regions, name, fresh, expected));
+      comparison.add(compare_gossip(spec_.regions, name, fresh, expected));
     }
-    json told = {{"observers", knowledge.observers},
-                 {"not_fresh", knowledge.not_fresh},
-                 {"stale_as_fresh", knowledge.stale_as_fresh}};
-    told["traffic"] = json::object();
+    json result = {{"observers", comparison.observers},
+                   {"not_fresh", comparison.not_fresh},
+                   {"stale_as_fresh", comparison.stale_as_fresh}};
+    result["traffic"] = json::object();
     for (const auto& [name, counted] : traffic_.counted())
-      told["traffic"][name] = {counted.sent, counted.received};
+      result["traffic"][name] = {counted.sent, counted.received};
     std::size_t connections = 0, least_engines = SIZE_MAX;
     loop_thread_.on([&] {
       for (const auto& [name, manager] : managers_) {
@@ -172,8 +175,8 @@
         least_engines = std::min(least_engines, manager->engines_listed());
       }
     });
-    told["engine_connections"] = connections, told["least_engines"] = least_engines;
-    return told;
+    result["engine_connections"] = connections, result["least_engines"] = least_engines;
+    return result;
   }
 
   const HollowHostsSpec spec_;
@@ -192,8 +195,8 @@
 }  // namespace
 
 std::string_view name_of(HollowCommand command) {
-  constexpr std::string_view words[] = {"look", "cut", "heal", "restart", "configuration"};
-  return words[static_cast<int>(command)];
+  constexpr std::string_view names[] = {"look", "cut", "heal", "restart", "configuration"};
+  return names[static_cast<int>(command)];
 }
 
 std::string agent_socket(const std::string& folder, const std::string& agent) {
@@ -203,35 +206,37 @@
   return folder + "/" + manager + ".admin";
 }
 
-bool Expected::reaches(const std::map<std::string, Region>& regions, const std::string& observer,
-                       const std::string& agent) const {
+bool ExpectedGossip::can_reach(const std::map<std::string, Region>& regions, const std::string& observer,
+                               const std::string& agent) const {
   if (down.contains(agent)) return false;
   return !regions_cut || regions.at(observer) == regions.at(agent);
 }
 
-void Knowledge::add(const Knowledge& other) {
+void GossipComparison::add(const GossipComparison& other) {
   observers += other.observers;
   not_fresh += other.not_fresh;
   stale_as_fresh += other.stale_as_fresh;
 }
 
-Knowledge compare(const std::map<std::string, Region>& regions, const std::string& observer,
-                  const std::map<std::string, std::uint64_t>& fresh, const Expected& expected) {
-  Knowledge knowledge;
-  knowledge.observers = 1;
+GossipComparison compare_gossip(const std::map<std::string, Region>& regions, const std::string& observer,
+                                const std::map<std::string, std::uint64_t>& fresh,
+                                const ExpectedGossip& expected) {
+  GossipComparison comparison;
+  comparison.observers = 1;
   for (const auto& [agent, region] : regions) {
     if (agent == observer) continue;
     const auto known = fresh.find(agent);
-    if (!expected.reaches(regions, observer, agent)) {
-      knowledge.stale_as_fresh += known != fresh.end();
+    if (!expected.can_reach(regions, observer, agent)) {
+      comparison.stale_as_fresh += known != fresh.end();
       continue;
     }
-    const auto speaks_under = expected.incarnations.find(agent);
-    const bool earlier_life = known != fresh.end() && speaks_under != expected.incarnations.end() &&
-                              known->second < speaks_under->second;
-    knowledge.not_fresh += known == fresh.end() || earlier_life;
+    const auto expected_incarnation = expected.incarnations.find(agent);
+    const bool is_earlier_incarnation = known != fresh.end() &&
+                                        expected_incarnation != expected.incarnations.end() &&
+                                        known->second < expected_incarnation->second;
+    comparison.not_fresh += known == fresh.end() || is_earlier_incarnation;
   }
-  return knowledge;
+  return comparison;
 }
 
 json to_json(const HollowHostsSpec& spec) {
@@ -261,11 +266,11 @@
   from.at("seed").get_to(spec.seed);
   from.at("engine_connections").get_to(spec.engine_connections);
   from.at("zones").get_to(spec.zones);
-  for (const json& one : from.at("hosts")) {
+  for (const json& entry : from.at("hosts")) {
     PlannedHost& host = spec.hosts.emplace_back();
-    one.at("agent").get_to(host.agent), one.at("manager").get_to(host.manager);
-    one.at("zone").get_to(host.zone.name);
-    host.zone.region = static_cast<Region>(one.at("region").get<int>());
+    entry.at("agent").get_to(host.agent), entry.at("manager").get_to(host.manager);
+    entry.at("zone").get_to(host.zone.name);
+    host.zone.region = static_cast<Region>(entry.at("region").get<int>());
   }
   for (const auto& [agent, region] : from.at("regions").items())
     spec.regions[agent] = static_cast<Region>(region.get<int>());
@@ -277,8 +282,8 @@
   HollowHosts hosts(hollow_hosts_spec(read_json(spec_file)));
   std::cout << hosts.incarnations().dump() << std::endl;
   for (std::string line; std::getline(std::cin, line);)
-    std::cout << hosts.answer(json::parse(line)).dump() << std::endl;
-  // Its agents and managers end as a crash would have it: nothing is waited for.
+    std::cout << hosts.execute(json::parse(line)).dump() << std::endl;
+  // Ends the agents and managers abruptly, as in a crash.
   ::_exit(0);
 }
 
--- a/src/lab/scale/hollow_hosts.h
+++ b/src/lab/scale/hollow_hosts.h
@@ -1,5 +1,6 @@
-// The operating-system process of one rack of hollow hosts, and what the laboratory says to it: one JSON
-// object a line on its standard input, answered by one on its standard output. It ends when its input does.
+// The operating-system process of one rack of hollow hosts. The laboratory writes one command per line to its
+// standard input, as a JSON object, and reads one JSON object per line from its standard output as the
+// answer. The process ends at the end of its input.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +14,17 @@
 
 namespace pearchute::lab {
 
-// What a process of hollow hosts is given at its start.
+// The settings of a process of hollow hosts, passed in a file.
 struct HollowHostsSpec {
-  std::string folder;                 // of the sockets and of the agents' state
-  std::string manager_configuration;  // of a real manager: channel and settings are taken from it
-  std::string silent_socket;          // takes connections and answers none: whatever lies beyond a cut
+  std::string folder;                 // of the sockets and the agents' databases
+  std::string manager_configuration;  // file of a real manager, the source of the channel and the settings
+  // Accepts connections and never answers; stands for the agents of a region that is cut off.
+  std::string silent_socket;
   std::uint64_t seed = 1;
   std::size_t engine_connections = 2;  // of each manager
   std::vector<PlannedHost> hosts;
-  std::map<std::string, Region> regions;     // of all agents, by name
-  std::map<std::string, std::string> zones;  // the same
+  std::map<std::string, Region> regions;     // by the name of the agent, for all agents
+  std::map<std::string, std::string> zones;  // likewise
 };
 nlohmann::json to_json(const HollowHostsSpec& spec);
 HollowHostsSpec hollow_hosts_spec(const nlohmann::json& json);  // throws nlohmann::json::exception
@@ -30,33 +32,42 @@
 std::string agent_socket(const std::string& folder, const std::string& agent);
 std::string manager_socket(const std::string& folder, const std::string& manager);
 
+// The enumerators have the names of the commands:
+// look: compare the gossip of the agents with the expected state;
+// cut, heal: disconnect the regions from each other, and connect them again;
+// restart: restart some agents and their managers;
+// configuration: count the managers at which a version is in force.
 enum class HollowCommand { look, cut, heal, restart, configuration };
 std::string_view name_of(HollowCommand command);
 
-// What is looked for: agents that are down for now, whether the regions are cut off from each other, and
-// under which incarnation an agent speaks, as far as that is known.
-struct Expected {
+// The state that gossip is compared with: the agents that are down, whether the regions are cut off from each
+// other, and the current incarnations of the agents, as far as they are known.
+struct ExpectedGossip {
   std::set<std::string> down;
   bool regions_cut = false;
   std::map<std::string, std::uint64_t> incarnations;
-  // Whether `observer` has a way to `agent`.
-  bool reaches(const std::map<std::string, Region>& regions, const std::string& observer,
-               const std::string& agent) const;
+  // Whether `agent` is up and `observer` can reach it.
+  bool can_reach(const std::map<std::string, Region>& regions, const std::string& observer,
+                 const std::string& agent) const;
 };
 
-// What some observers know of all agents, against what is expected.
-struct Knowledge {
+// The differences between some observers' gossip and the expected state.
+struct GossipComparison {
   std::size_t observers = 0;
-  std::size_t not_fresh = 0;       // pairs: one that is reached is not known as fresh
-  std::size_t stale_as_fresh = 0;  // pairs: one that can't have been heard is called fresh
-  void add(const Knowledge& other);
+  // Pairs of an observer and an agent that it can reach, without fresh gossip.
+  std::size_t not_fresh = 0;
+  // Pairs of an observer and an agent that it can't reach, with gossip marked fresh.
+  std::size_t stale_as_fresh = 0;
+  void add(const GossipComparison& other);
 };
 
-// What one observer knows: of each agent that it calls fresh, the incarnation.
-Knowledge compare(const std::map<std::string, Region>& regions, const std::string& observer,
-                  const std::map<std::string, std::uint64_t>& fresh, const Expected& expected);
+// Compares the gossip of one observer. `fresh` has the incarnation of each agent whose gossip it marks fresh.
+GossipComparison compare_gossip(const std::map<std::string, Region>& regions, const std::string& observer,
+                                const std::map<std::string, std::uint64_t>& fresh,
+                                const ExpectedGossip& expected);
 
-// The process itself; returns its exit status.
+// Runs the process until the end of its input. Does not return; throws if the file can't be read or is
+// invalid.
 int run_hollow_hosts(const std::string& spec_file);
 
 }  // namespace pearchute::lab
--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr std::chrono::seconds sign_every(1);
+constexpr std::chrono::seconds liveness_check_interval(1);
 
 std::uint64_t unix_ms() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(now).count());
 }
 
-// FNV-1a, started by a seed: which engines a manager connects to is the same on every machine.
+// FNV-1a with a seed. It selects the same engines for a manager on every machine.
 std::uint64_t hash_of(std::uint64_t seed, const std::string& text) {
   std::uint64_t hash = 1469598103934665603ULL ^ (seed * 0x9E3779B97F4A7C15ULL);
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
@@ -31,21 +31,21 @@
 
 }  // namespace
 
-// A connection that asks its engine for a sign of life each second, and opens anew where it has ended.
+// A connection that sends its engine a liveness check every second, and reconnects if it has ended.
 class HollowManager::EngineConnection final : public net::Connection::Listener,
                                               public net::EngineSession::Listener {
  public:
   EngineConnection(net::Loop& loop, std::string address) : loop_(loop), address_(std::move(address)) {
-    beat();
+    check_liveness();
   }
   ~EngineConnection() override { close(); }
-  bool open() const { return wire_ && wire_->opened(); }
+  bool is_open() const { return connection_ && connection_->opened(); }
 
  private:
   void on_data(std::string_view bytes) override {
     std::string out;
-    if (!talk_->feed(bytes, out)) return close();
-    wire_->send(out);
+    if (!session_->feed(bytes, out)) return close();
+    connection_->send(out);
   }
   void on_closed() override { close(); }
   void on_attempt_ended(net::AttemptId, Outcome, std::vector<std::string>) override {}
@@ -54,42 +54,42 @@
   void on_attempt_wait(net::AttemptId, WaitCause) override {}
 
   void close() {
-    if (wire_) loop_.retire(std::move(wire_));
+    if (connection_) loop_.retire(std::move(connection_));
   }
-  void beat() {
-    if (!wire_) {
-      talk_ = std::make_unique<net::EngineSession>(*this);
+  void check_liveness() {
+    if (!connection_) {
+      session_ = std::make_unique<net::EngineSession>(*this);
       try {
-        wire_ = std::make_unique<net::Connection>(loop_, Poco::Net::SocketAddress(address_), *this);
+        connection_ = std::make_unique<net::Connection>(loop_, Poco::Net::SocketAddress(address_), *this);
       } catch (const Poco::Exception&) {
-        wire_.reset();
+        connection_.reset();
       }
     }
-    if (wire_) {
+    if (connection_) {
       std::string out;
-      talk_->probe_liveness(out);
-      wire_->send(out);
+      session_->probe_liveness(out);
+      connection_->send(out);
     }
-    loop_.at(loop_.now() + sign_every, [this, alive = std::weak_ptr<bool>(alive_)] {
-      if (!alive.expired()) beat();
+    loop_.at(loop_.now() + liveness_check_interval, [this, alive = std::weak_ptr<bool>(alive_)] {
+      if (!alive.expired()) check_liveness();
     });
   }
 
   net::Loop& loop_;
   const std::string address_;
-  std::unique_ptr<net::EngineSession> talk_;
-  std::unique_ptr<net::Connection> wire_;
+  std::unique_ptr<net::EngineSession> session_;
+  std::unique_ptr<net::Connection> connection_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 HollowManager::HollowManager(net::Loop& loop, const service::Deployment& deployment, const Spec& spec)
     : loop_(loop),
       spec_(spec),
-      list_(deployment, milliseconds(unix_ms()) -
-                            std::chrono::duration_cast<milliseconds>(loop.now().time_since_epoch())),
-      feed_(loop, spec.channel, list_, *this, counters_) {
+      endpoint_list_(deployment, milliseconds(unix_ms()) -
+                                     std::chrono::duration_cast<milliseconds>(loop.now().time_since_epoch())),
+      endpoint_watch_(loop, spec.channel, endpoint_list_, *this, counters_) {
   open_admin_channel();
-  feed_.open();
+  endpoint_watch_.open();
 }
 
 HollowManager::~HollowManager() = default;
@@ -105,17 +105,18 @@
   admin_server_.reset();
   connections_.clear();
   open_admin_channel();
-  // A feed opens its stream anew when its channel's address is written otherwise: here with a leading zero.
-  channel_renamed_ = !channel_renamed_;
+  // EndpointWatch reconnects only if the text of the address changes, so a leading zero is added to the port
+  // and removed again in turn.
+  has_alternate_address_ = !has_alternate_address_;
   std::string channel = spec_.channel;
-  if (channel_renamed_) channel.insert(channel.rfind(':') + 1, "0");
-  feed_.set_address(channel);
-  choose_engines();
+  if (has_alternate_address_) channel.insert(channel.rfind(':') + 1, "0");
+  endpoint_watch_.set_address(channel);
+  select_engines();
 }
 
 std::size_t HollowManager::engine_connections() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(connections_, [](const auto& one) { return one.second->open(); }));
+      std::ranges::count_if(connections_, [](const auto& entry) { return entry.second->is_open(); }));
 }
 
 void HollowManager::identify(admin::v1::Identity& identity) const {
@@ -124,8 +125,8 @@
   identity.set_started_unix_ms(started_unix_ms_), identity.set_protocol(1);
 }
 
-// As a running manager takes a version: the candidate is put in the file's place, and nothing older is taken.
-// It has no settings that a version could change.
+// Applies a version as a running manager does: the candidate file replaces the configuration file, and an
+// older version is refused. A hollow manager has no settings that a version could change.
 void HollowManager::configure(const admin::v1::Configure& call, admin::v1::Reply& reply) {
   fleet::ConfigMark mark;
   mark.epoch = call.version().epoch(), mark.number = call.version().number();
@@ -157,23 +158,23 @@
   reply.mutable_status()->set_engines_up(engines_.size());
 }
 
-void HollowManager::on_endpoints_changed(EndpointUpdate news,
+void HollowManager::on_endpoints_changed(EndpointUpdate update,
                                          const std::vector<net::DiscoveredEndpoint>& members) {
-  if (news == EndpointUpdate::snapshot) engines_.clear();
+  if (update == EndpointUpdate::snapshot) engines_.clear();
   for (const net::DiscoveredEndpoint& member : members) {
     if (member.engine.state == EngineState::up) engines_[member.name] = member.address;
     else engines_.erase(member.name);
   }
-  choose_engines();
+  select_engines();
 }
 
-void HollowManager::choose_engines() {
+void HollowManager::select_engines() {
   std::vector<std::pair<std::uint64_t, std::string>> ranked;
   for (const auto& [name, address] : engines_) ranked.emplace_back(hash_of(spec_.seed, name), name);
   std::ranges::sort(ranked);
   if (ranked.size() > spec_.engine_connections) ranked.resize(spec_.engine_connections);
-  std::erase_if(connections_, [&](const auto& one) {
-    return std::ranges::none_of(ranked, [&](const auto& chosen) { return chosen.second == one.first; });
+  std::erase_if(connections_, [&](const auto& entry) {
+    return std::ranges::none_of(ranked, [&](const auto& chosen) { return chosen.second == entry.first; });
   });
   for (const auto& [rank, name] : ranked) {
     if (connections_.contains(name)) continue;
--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -1,5 +1,5 @@
-// A hollow manager: the admin channel, the subscription to the list of engines and connections to a few
-// engines of pearchuted, with no clients behind it.
+// A hollow manager: the admin channel, the subscription to the endpoint list and a few engine connections of
+// pearchuted, without clients.
 #pragma once
 
 #include <map>
@@ -19,16 +19,16 @@
  public:
   struct Spec {
     std::string name, admin_path;
-    std::string configuration;           // its own file; versions come as a candidate beside it
-    std::string channel;                 // the address of the channel of the engine list
-    std::size_t engine_connections = 2;  // kept open, with a sign of life each second
-    std::uint64_t seed = 1;              // draws which engines
+    std::string configuration;           // its file; a candidate version has the suffix ".candidate"
+    std::string channel;                 // address of the command channel with the endpoint list
+    std::size_t engine_connections = 2;  // kept open, with a liveness check every second
+    std::uint64_t seed = 1;              // selects the engines
   };
-  // On the loop, for as long as the loop runs: the list's subscription keeps timers there.
+  // Must be created on the loop, and live as long as the loop runs: the subscription keeps timers there.
   HollowManager(net::Loop& loop, const service::Deployment& deployment, const Spec& spec);
   ~HollowManager() override;
 
-  // Another process by its admin channel, as after a restart; the subscription opens anew.
+  // Behaves on the admin channel like a new process after a restart, and opens the subscription again.
   void restart();
   std::size_t engines_listed() const { return engines_.size(); }
   std::size_t engine_connections() const;
@@ -38,22 +38,22 @@
  private:
   class EngineConnection;
   void answer(const admin::v1::Call& call, admin::v1::Reply& reply) override;
-  void on_endpoints_changed(EndpointUpdate news,
+  void on_endpoints_changed(EndpointUpdate update,
                             const std::vector<net::DiscoveredEndpoint>& members) override;
   void identify(admin::v1::Identity& identity) const;
   void configure(const admin::v1::Configure& call, admin::v1::Reply& reply);
   void open_admin_channel();
-  void choose_engines();
+  void select_engines();
 
   net::Loop& loop_;
   const Spec spec_;
   std::uint64_t started_unix_ms_ = 0;
   fleet::ConfigMark in_force_;
-  bool channel_renamed_ = false;
+  bool has_alternate_address_ = false;
   net::Counters counters_;
-  net::EndpointList list_;
-  net::EndpointWatch feed_;
-  std::map<std::string, std::string> engines_;  // their addresses, by name
+  net::EndpointList endpoint_list_;
+  net::EndpointWatch endpoint_watch_;
+  std::map<std::string, std::string> engines_;  // addresses of the engines that are up, by name
   std::map<std::string, std::unique_ptr<EngineConnection>> connections_;
   std::unique_ptr<admin::AdminServer> admin_server_;
 };
--- a/src/lab/scale/hollow_rack.cpp
+++ b/src/lab/scale/hollow_rack.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-// A rack of thirty agents writes thirty databases at its start, on a disk that others use as well.
-constexpr std::chrono::seconds answers_within(60);
-constexpr std::uint64_t seeds_of_a_start = 7919;
+// The thirty agents of a rack write thirty databases at the start, on a disk that others use as well.
+constexpr std::chrono::seconds answer_timeout(60);
+constexpr std::uint64_t seeds_per_start = 7919;
 
 }  // namespace
 
@@ -32,13 +32,13 @@
 HollowRack::~HollowRack() { kill(); }
 
 void HollowRack::start() {
-  spec_.seed += seeds_of_a_start * starts_++;
+  spec_.seed += seeds_per_start * starts_++;
   std::ofstream(file_) << to_json(spec_).dump() << "\n";
   int input[2], output[2];
-  if (::pipe2(input, O_CLOEXEC) != 0) throw SystemError("no pipe to a process of hollow hosts");
+  if (::pipe2(input, O_CLOEXEC) != 0) throw SystemError("can't create a pipe to a process of hollow hosts");
   if (::pipe2(output, O_CLOEXEC) != 0) {
     ::close(input[0]), ::close(input[1]);
-    throw SystemError("no pipe to a process of hollow hosts");
+    throw SystemError("can't create a pipe to a process of hollow hosts");
   }
   input_ = input[1], output_ = output[0];
   try {
@@ -76,23 +76,23 @@
   std::string_view rest = line;
   while (!rest.empty()) {
     const ssize_t written = ::write(input_, rest.data(), rest.size());
-    if (written <= 0) throw TestClusterError("a process of hollow hosts takes no command", log_);
+    if (written <= 0) throw TestClusterError("can't write a command to a process of hollow hosts", log_);
     rest.remove_prefix(static_cast<std::size_t>(written));
   }
 }
 
 nlohmann::json HollowRack::receive() {
-  const Time end = steady_now() + answers_within;
+  const Time end = steady_now() + answer_timeout;
   std::size_t line_end;
   while ((line_end = read_ahead_.find('\n')) == std::string::npos) {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(end - steady_now()).count();
-    pollfd one{output_, POLLIN, 0};
-    if (left <= 0 || ::poll(&one, 1, static_cast<int>(left)) <= 0)
-      throw TestClusterError("a process of hollow hosts does not answer", log_);
+    pollfd descriptor{output_, POLLIN, 0};
+    if (left <= 0 || ::poll(&descriptor, 1, static_cast<int>(left)) <= 0)
+      throw TestClusterError("a process of hollow hosts did not answer within 60 s", log_);
     char buffer[16384];
-    const ssize_t got = ::read(output_, buffer, sizeof buffer);
-    if (got <= 0) throw TestClusterError("a process of hollow hosts has ended", log_);
-    read_ahead_.append(buffer, static_cast<std::size_t>(got));
+    const ssize_t length = ::read(output_, buffer, sizeof buffer);
+    if (length <= 0) throw TestClusterError("a process of hollow hosts has exited", log_);
+    read_ahead_.append(buffer, static_cast<std::size_t>(length));
   }
   const std::string line = read_ahead_.substr(0, line_end);
   read_ahead_.erase(0, line_end + 1);
--- a/src/lab/scale/hollow_rack.h
+++ b/src/lab/scale/hollow_rack.h
@@ -1,4 +1,4 @@
-// The laboratory's side of one process of hollow hosts: starts it, asks it, and ends it by its id.
+// The laboratory's side of one process of hollow hosts: starts it, sends it commands, and kills it by its id.
 #pragma once
 
 #include <sys/types.h>
@@ -12,22 +12,24 @@
 
 class HollowRack {
  public:
-  // `program` is pearchute-lab; the spec's file and the log are written in its folder.
+  // `program` is the path of pearchute-lab. The file of the spec and the log are written to `spec.folder`.
   HollowRack(std::string program, HollowHostsSpec spec, std::size_t number);
   ~HollowRack();
   HollowRack(const HollowRack&) = delete;
   HollowRack& operator=(const HollowRack&) = delete;
 
-  // Returns at once. The first answer, unasked, is the incarnations of its agents.
+  // Returns at once. The first answer, which needs no command, has the incarnations of the agents. Throws
+  // SystemError.
   void start();
-  void kill();  // at once, without a goodbye
-  bool runs() const { return process_ > 0; }
+  void kill();  // with SIGKILL; does nothing if it does not run
+  bool is_running() const { return process_ > 0; }
   pid_t process() const { return process_; }
   const HollowHostsSpec& spec() const { return spec_; }
 
-  // A command is sent first and its answer read later, so that all racks work on it at the same time.
+  // The answer is read separately, so that all racks can work on a command at the same time. Throws
+  // TestClusterError if the process does not read.
   void send(const nlohmann::json& command);
-  nlohmann::json receive();  // throws TestClusterError where none comes in time
+  nlohmann::json receive();  // throws TestClusterError after 60 s
 
  private:
   void close_pipes();
--- a/src/lab/scale/scale_cluster.h
+++ b/src/lab/scale/scale_cluster.h
@@ -1,6 +1,6 @@
-// All processes of a scale run: a channel of the engine list, stand-in engines and clients, real managers
-// under real agents, and racks of hollow hosts beside them. It strikes and mends, looks at what every agent
-// knows, and ends what it has started, by id.
+// All processes of a scale run: the command channel with the endpoint list, stand-in engines and clients,
+// real managers under real agents, and racks of hollow hosts. ScaleCluster causes and ends faults, compares
+// the gossip of every agent with the expected state, and kills the processes that it started, by id.
 #pragma once
 
 #include <chrono>
@@ -18,60 +18,63 @@
 
 namespace pearchute::lab {
 
-// The rule that real managers are given for engines that are new to the list.
+// The slow-start rule of the real managers for engines that are new to the endpoint list.
 ColdRule scale_cold_rule();
 
 class ScaleCluster {
  public:
-  // `programs` is the folder of pearchuted, pearchute-agent and pearchute-lab.
+  // `programs` is the folder of pearchuted, pearchute-agent and pearchute-lab. Throws UsageError if the run
+  // needs too many processes, and TestClusterError if a rack doesn't start.
   ScaleCluster(const ScalePlan& plan, const std::string& programs, std::uint64_t seed);
   ~ScaleCluster();
   ScaleCluster(const ScaleCluster&) = delete;
   ScaleCluster& operator=(const ScaleCluster&) = delete;
 
-  TestCluster& world() { return world_; }
+  TestCluster& world() { return cluster_; }
   std::size_t managers() const { return static_cast<std::size_t>(plan_.managers()); }
 
   void kill_racks(const std::set<std::size_t>& racks);
-  void start_racks(const std::set<std::size_t>& racks);  // returns once they answer
+  void start_racks(const std::set<std::size_t>& racks);  // returns once their agents run
   std::set<std::string> agents_of(const std::set<std::size_t>& racks) const;
   void restart_hosts(const std::vector<PlannedHost>& hosts);
   void restart_real_agent(std::size_t number);
-  // Agents of one region reach a silent socket in place of each agent of the other. What is already on its
-  // way still arrives.
+  // While the regions are cut off, the agents of one region connect to a silent socket instead of the agents
+  // of the other. Messages that are already on their way still arrive.
   void cut_regions(bool cut);
 
-  // How many managers, real and hollow, have a version of the configuration in force.
+  // The number of managers, real and hollow, that have the version with this digest in force.
   std::size_t managers_in_force(const std::string& digest);
-  // At a real agent. Empty where it is taken, else why not; `digest` is that of the version.
+  // Publishes a configuration version at a real agent. Returns an empty string and sets `digest` if the
+  // version is accepted, else the reason. With an empty `parent` the version starts an epoch.
   std::string publish(const std::string& content, const std::string& parent, std::string& digest);
 
-  Knowledge look(const Expected& expected);
-  // Until every agent knows every other one as fresh; none where that takes longer than `within`.
-  // Counted from `since`, on the machine's steady clock.
-  std::optional<std::chrono::milliseconds> until_all_fresh(Time since, std::chrono::seconds within);
+  // Compares the gossip of all running agents, hollow and real.
+  GossipComparison compare_all_gossip(const ExpectedGossip& expected);
+  // Waits until every agent has fresh gossip of every other one. Returns the time since `since`, or nothing
+  // if it exceeds `timeout`.
+  std::optional<std::chrono::milliseconds> until_all_fresh(Time since, std::chrono::seconds timeout);
 
-  // Bytes that each agent has sent so far, as counted at the hollow ones.
+  // The bytes that each agent has sent so far, by name, as counted by the hollow agents.
   std::map<std::string, std::uint64_t> bytes_sent();
   struct Usage {
     ProcessUsage used;
-    std::size_t shared_by = 1;  // managers with their agents
+    std::size_t shared_by = 1;  // number of managers, each with its agent
   };
   std::vector<Usage> hollow_usage() const;      // of each rack
   std::vector<Usage> real_agent_usage() const;  // of each real agent
   std::vector<Usage> real_manager_usage();
   std::size_t processes() const;
-  double memory_share();  // of the machine, the laboratory's own process included
+  double memory_share();  // share of the machine's memory, including this process
 
  private:
-  void write_charter(std::size_t number, bool cut);
-  void ask_all(const nlohmann::json& command, std::vector<nlohmann::json>* answers = nullptr);
-  Knowledge look_at_real(const Expected& expected);
-  void learn_incarnations(const nlohmann::json& told);
+  void write_agent_configuration(std::size_t number, bool cut);
+  void command_all(const nlohmann::json& command, std::vector<nlohmann::json>* answers = nullptr);
+  GossipComparison compare_gossip_of_real_agents(const ExpectedGossip& expected);
+  void record_incarnations(const nlohmann::json& incarnations);
 
   const ScalePlan plan_;
   const std::string programs_;
-  TestCluster world_;
+  TestCluster cluster_;
   std::unique_ptr<SilentPlace> silent_;
   std::vector<std::unique_ptr<Agent>> real_agents_;
   std::vector<std::unique_ptr<HollowRack>> racks_;
--- a/src/lab/scale/scale_faults.cpp
+++ b/src/lab/scale/scale_faults.cpp
@@ -16,20 +16,21 @@
 constexpr ScaleFault every_fault[] = {ScaleFault::ordinary,     ScaleFault::rack,  ScaleFault::zone,
                                       ScaleFault::regions,      ScaleFault::third, ScaleFault::primary,
                                       ScaleFault::configuration};
-constexpr seconds known_again_within(60);
-constexpr seconds held_for(5);
-// From a command until it is in force everywhere: real agents look for a signal twenty times a second.
-constexpr milliseconds in_force_within(500);
+constexpr seconds recovery_timeout(60);
+constexpr seconds fault_duration(5);
+// The delay until a command has taken effect everywhere. Real agents check for a signal twenty times a
+// second.
+constexpr milliseconds effect_delay(500);
 
 constexpr std::size_t ordinary_restarts = 8;
-constexpr seconds between_restarts(1);
+constexpr seconds restart_interval(1);
 
 }  // namespace
 
 std::string_view name_of(ScaleFault fault) {
-  constexpr std::string_view words[] = {"ordinary", "rack",    "zone",         "regions",
+  constexpr std::string_view names[] = {"ordinary", "rack",    "zone",         "regions",
                                         "third",    "primary", "configuration"};
-  return words[static_cast<int>(fault)];
+  return names[static_cast<int>(fault)];
 }
 
 std::vector<ScaleFault> all_scale_faults() { return {std::begin(every_fault), std::end(every_fault)}; }
@@ -37,12 +38,12 @@
 std::vector<ScaleFault> scale_faults_in(const std::string& text) {
   if (text.empty()) return all_scale_faults();
   std::vector<ScaleFault> faults;
-  std::istringstream words(text);
-  for (std::string word; std::getline(words, word, ',');) {
+  std::istringstream names(text);
+  for (std::string word; std::getline(names, word, ',');) {
     const auto known =
         std::ranges::find_if(every_fault, [&](ScaleFault one) { return name_of(one) == word; });
     if (known == std::end(every_fault))
-      throw UsageError("'" + word + "' is no fault of a scale run", "--faults",
+      throw UsageError("expected a fault of a scale run, got '" + word + "'", "--faults",
                        "write some of ordinary,rack,zone,regions,third,primary,configuration");
     faults.push_back(*known);
   }
@@ -51,14 +52,14 @@
 
 std::optional<milliseconds> FaultInjector::strike(ScaleFault fault) {
   const auto salt = static_cast<std::uint64_t>(fault) + 1;
-  const Time mended = [&] {
+  const Time repaired_at = [&] {
     switch (fault) {
       case ScaleFault::ordinary:
         return restart_one_by_one();
       case ScaleFault::rack:
-        return lose_racks(plan_.draw_racks(1, salt));
+        return fail_racks(plan_.draw_racks(1, salt));
       case ScaleFault::zone:
-        return lose_racks(plan_.racks_in_zone(plan_.draw_zone(salt)));
+        return fail_racks(plan_.racks_in_zone(plan_.draw_zone(salt)));
       case ScaleFault::regions:
         return cut_regions();
       case ScaleFault::third:
@@ -67,55 +68,56 @@
       case ScaleFault::configuration:
         break;
     }
-    throw UsageError("a change of primary or of configuration is no fault of agents");
+    throw UsageError("the faults primary and configuration have measurements of their own");
   }();
-  return cluster_.until_all_fresh(mended, known_again_within);
+  return cluster_.until_all_fresh(repaired_at, recovery_timeout);
 }
 
-// Once word that was fresh when the fault struck has to have grown old, nobody may call it fresh.
-void FaultInjector::hold(const Expected& expected) {
-  const Time struck = steady_now();
-  const Time old_from = struck + fleet::GossipState::fresh_for + in_force_within;
-  while (steady_now() - struck < held_for) {
+// Checks for the duration of a fault that no agent marks gossip of an unreachable agent as fresh. The check
+// starts once all gossip from before the fault must have become stale.
+void FaultInjector::check_during_fault(const ExpectedGossip& expected) {
+  const Time started_at = steady_now();
+  const Time stale_from = started_at + fleet::GossipState::fresh_for + effect_delay;
+  while (steady_now() - started_at < fault_duration) {
     cluster_.world().rest(milliseconds(200));
-    if (steady_now() > old_from) stale_as_fresh_ += cluster_.look(expected).stale_as_fresh;
+    if (steady_now() > stale_from) stale_as_fresh_ += cluster_.compare_all_gossip(expected).stale_as_fresh;
   }
 }
 
-Time FaultInjector::lose_racks(const std::set<std::size_t>& racks) {
+Time FaultInjector::fail_racks(const std::set<std::size_t>& racks) {
   cluster_.kill_racks(racks);
-  hold({cluster_.agents_of(racks), false, {}});
-  const Time mended = steady_now();
+  check_during_fault({cluster_.agents_of(racks), false, {}});
+  const Time repaired_at = steady_now();
   cluster_.start_racks(racks);
-  return mended;
+  return repaired_at;
 }
 
 Time FaultInjector::cut_regions() {
   cluster_.cut_regions(true);
-  hold({{}, true, {}});
-  const Time mended = steady_now();
+  check_during_fault({{}, true, {}});
+  const Time repaired_at = steady_now();
   cluster_.cut_regions(false);
-  return mended;
+  return repaired_at;
 }
 
 Time FaultInjector::restart_third(std::uint64_t salt) {
   const std::set<std::size_t> racks = plan_.draw_third(salt);
   cluster_.kill_racks(racks);
-  const Time mended = steady_now();
+  const Time repaired_at = steady_now();
   cluster_.start_racks(racks);
-  return mended;
+  return repaired_at;
 }
 
 Time FaultInjector::restart_one_by_one() {
-  Time mended = steady_now();
+  Time repaired_at = steady_now();
   for (const PlannedHost& host : plan_.draw_hosts(ordinary_restarts, 0)) {
-    mended = steady_now();
+    repaired_at = steady_now();
     cluster_.restart_hosts({host});
-    cluster_.world().rest(between_restarts);
+    cluster_.world().rest(restart_interval);
   }
-  mended = steady_now();
+  repaired_at = steady_now();
   cluster_.restart_real_agent(0);
-  return mended;
+  return repaired_at;
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/scale/scale_plan.cpp
+++ b/src/lab/scale/scale_plan.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr int managers_of_a_real_agent = 2, most_real_managers = 8;
-// A rack of the target has about thirty hosts; small runs still have several racks in a zone.
-constexpr std::size_t most_hosts_in_rack = 30;
+constexpr int managers_per_real_agent = 2, max_real_managers = 8;
+// A rack of the target fleet has about thirty hosts.
+constexpr std::size_t max_hosts_in_rack = 30;
 
 std::knuth_b generator(std::uint64_t seed, std::uint64_t salt) {
   std::seed_seq mixed{seed, seed >> 32, salt};
   return std::knuth_b(mixed);
 }
 
-// std::shuffle is not the same on every platform; a plan has to be.
+// Not std::shuffle: its order differs between standard libraries, and a seed must give one plan.
 template <class Value>
 void shuffle(std::vector<Value>& values, std::knuth_b& chance) {
   for (std::size_t left = values.size(); left > 1; --left)
@@ -45,22 +45,22 @@
 
 ScalePlan::ScalePlan(int managers, std::uint64_t seed)
     : managers_(managers),
-      real_managers_(std::clamp(managers / 8 / managers_of_a_real_agent, 1, 4) * managers_of_a_real_agent),
+      real_managers_(std::clamp(managers / 8 / managers_per_real_agent, 1, 4) * managers_per_real_agent),
       engines_(std::max(static_cast<int>(zones().size()), managers * target_engines / target_managers)),
       seed_(seed) {
-  static_assert(most_real_managers == 4 * managers_of_a_real_agent);
-  if (managers < least_managers || managers > most_managers)
-    throw UsageError("a scale run has " + std::to_string(least_managers) + " to " +
-                     std::to_string(most_managers) + " managers");
-  for (int n = 0; n < real_managers_ / managers_of_a_real_agent; ++n) {
-    const Zone& zone = zones()[static_cast<std::size_t>(n * managers_of_a_real_agent) % zones().size()];
+  static_assert(max_real_managers == 4 * managers_per_real_agent);
+  if (managers < min_managers || managers > max_managers)
+    throw UsageError("expected " + std::to_string(min_managers) + " to " + std::to_string(max_managers) +
+                     " managers of a scale run, got " + std::to_string(managers));
+  for (int n = 0; n < real_managers_ / managers_per_real_agent; ++n) {
+    const Zone& zone = zones()[static_cast<std::size_t>(n * managers_per_real_agent) % zones().size()];
     real_agents_.push_back({"a" + std::to_string(n + 1), zone});
     regions_[real_agents_.back().name] = zone.region;
   }
   const auto hollow = static_cast<std::size_t>(managers - real_managers_);
   for (std::size_t z = 0, next = 0; z < zones().size(); ++z) {
     std::size_t left = hollow / zones().size() + (z < hollow % zones().size() ? 1 : 0);
-    const std::size_t in_zone = (left + most_hosts_in_rack - 1) / most_hosts_in_rack;
+    const std::size_t in_zone = (left + max_hosts_in_rack - 1) / max_hosts_in_rack;
     for (std::size_t r = in_zone; r > 0; --r) {
       PlannedRack& rack = racks_.emplace_back();
       rack.zone = zones()[z];
@@ -126,11 +126,11 @@
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::knuth_b chance = generator(seed_, salt);
   shuffle(order, chance);
-  const auto wanted = static_cast<std::size_t>(managers_ - real_managers_ + 2) / 3;
+  const auto min_hosts = static_cast<std::size_t>(managers_ - real_managers_ + 2) / 3;
   std::set<std::size_t> drawn;
   std::size_t hosts = 0;
   for (const std::size_t rack : order) {
-    if (hosts >= wanted) break;
+    if (hosts >= min_hosts) break;
     drawn.insert(rack);
     hosts += racks_[rack].hosts.size();
   }
--- a/src/lab/scale/scale_plan.h
+++ b/src/lab/scale/scale_plan.h
@@ -1,5 +1,5 @@
-// The layout of a scale run: which hosts there are, in which zone and region each stands, which of them share
-// a rack, and which are real processes. Pure: the same size and seed give the same plan.
+// The layout of a scale run: the hosts with their zones, regions and racks, and which agents and managers are
+// real processes. Pure: the same size and seed give the same plan.
 #pragma once
 
 #include <cstddef>
@@ -18,14 +18,14 @@
   Region region;
 };
 
-// One host: an agent with its manager. A real agent looks after several real managers instead.
+// A hollow host: an agent with its manager. A real agent runs several real managers instead.
 struct PlannedHost {
   std::string agent, manager;
   Zone zone;
-  std::size_t rack = 0;
+  std::size_t rack = 0;  // index
 };
 
-// Hosts of one zone behind one switch. A rack of hollow hosts is one operating-system process.
+// Hollow hosts of one zone that fail together. A rack is one operating-system process.
 struct PlannedRack {
   Zone zone;
   std::vector<PlannedHost> hosts;
@@ -38,12 +38,12 @@
 
 class ScalePlan {
  public:
-  static constexpr int least_managers = 14, most_managers = 1024;
+  static constexpr int min_managers = 14, max_managers = 1024;
   static constexpr int target_managers = 630, target_engines = 740;
-  // Operating-system processes that a run may start.
-  static constexpr std::size_t most_processes = 300;
+  // The limit of operating-system processes that a run may start.
+  static constexpr std::size_t max_processes = 300;
 
-  // Throws UsageError where the size is out of bounds.
+  // Throws UsageError if `managers` is out of bounds.
   explicit ScalePlan(int managers, std::uint64_t seed);
 
   static const std::vector<Zone>& zones();
@@ -53,18 +53,18 @@
   int real_managers() const { return real_managers_; }
   int engines() const { return engines_; }
   std::size_t agents() const;
-  std::size_t processes() const;  // without the laboratory's own
+  std::size_t processes() const;  // to be started, without the laboratory's own
   const std::vector<PlannedRealAgent>& real_agents() const { return real_agents_; }
   const std::vector<PlannedRack>& racks() const { return racks_; }
-  // By the name of each agent, real and hollow.
+  // By the name of the agent, for all real and hollow agents.
   const std::map<std::string, Region>& regions() const { return regions_; }
   std::map<std::string, std::string> zone_by_agent() const;
 
-  // What a fault strikes, drawn by the plan's seed: indices of racks.
+  // The targets of faults, drawn by the seed of the plan and `salt`. Racks are indices into racks().
   std::set<std::size_t> racks_in_zone(const std::string& zone) const;
   std::set<std::size_t> draw_racks(std::size_t number, std::uint64_t salt) const;
   std::string draw_zone(std::uint64_t salt) const;
-  // So many hollow hosts, over all racks.
+  // Up to `number` hollow hosts of any racks.
   std::vector<PlannedHost> draw_hosts(std::size_t number, std::uint64_t salt) const;
   // A third of all hollow hosts, rounded up to whole racks.
   std::set<std::size_t> draw_third(std::uint64_t salt) const;
--- a/src/lab/scale/scale_report.cpp
+++ b/src/lab/scale/scale_report.cpp
@@ -17,14 +17,14 @@
   return time ? json(time->count()) : json();
 }
 
-std::map<std::string, double> predictable(const ScaleResult& result) {
+std::map<std::string, double> predictable_figures(const ScaleResult& result) {
   return {{"control_bytes_per_s_mean", result.control_bytes_per_s_mean},
           {"control_bytes_per_s_max", result.control_bytes_per_s_max},
           {"control_cpu_share_max", result.control_cpu_share_max},
           {"control_memory_mb_max", result.control_memory_mb_max}};
 }
 
-// By which factor a target is missed; null where nothing was there to measure.
+// The factor by which each missed target is missed; null if there is no measured value.
 json missed_targets(const ScaleResult& result, const ScaleTarget& target) {
   json missed = json::object();
   const auto compare = [&](const char* name, double measured, double limit) {
@@ -49,49 +49,49 @@
   std::ifstream in(file);
   if (!in) throw SettingsError("can't be read", file);
   const json predicted = json::parse(in, nullptr, false);
-  if (!predicted.is_object()) throw SettingsError("is no JSON object", file);
+  if (!predicted.is_object()) throw SettingsError("expected a JSON object", file);
   std::optional<double> worst;
-  for (const auto& [name, measured] : predictable(result)) {
+  for (const auto& [name, measured] : predictable_figures(result)) {
     if (!predicted.contains(name)) continue;
     const json& value = predicted.at(name);
     if (!value.is_number() || value.get<double>() <= 0)
-      throw SettingsError("'" + name + "' is no positive number", file);
+      throw SettingsError("expected a positive number for '" + name + "'", file);
     const double error = std::abs(value.get<double>() - measured) / std::max(measured, 1e-9);
     worst = std::max(worst.value_or(0), error);
   }
-  if (!worst) throw SettingsError("holds no figure that a scale run measures", file);
+  if (!worst) throw SettingsError("has no figure that a scale run measures", file);
   return *worst;
 }
 
 json to_json(const ScaleResult& result, const ScaleTarget& target) {
-  json told = {{"managers", result.managers},
-               {"engines", result.engines},
-               {"agents", result.agents},
-               {"real_managers", result.real_managers},
-               {"real_agents", result.real_agents},
-               {"processes", result.processes},
-               {"hollow_processes", result.hollow_processes},
-               {"memory_share", result.memory_share},
-               {"control_bytes_per_s_max", result.control_bytes_per_s_max},
-               {"control_bytes_per_s_mean", result.control_bytes_per_s_mean},
-               {"control_cpu_share_max", result.control_cpu_share_max},
-               {"control_memory_mb_max", result.control_memory_mb_max},
-               {"config_in_force_ms_max", in_ms(result.config_in_force)},
-               {"primary_change_ms_max", in_ms(result.primary_change)},
-               {"primary_home_share", result.primary_home_share},
-               {"all_fresh_at_start_ms", in_ms(result.all_fresh_at_start)},
-               {"statements", result.sent},
-               {"done", result.done},
-               {"lost", result.lost},
-               {"doubled", result.doubled},
-               {"stale_as_fresh", result.stale_as_fresh},
-               {"missed", missed_targets(result, target)}};
-  told["recovered_ms"] = json::object();
-  for (const auto& [fault, time] : result.recovered) told["recovered_ms"][fault] = in_ms(time);
-  told["cold_over_limit"] = result.cold_over_limit ? json(*result.cold_over_limit) : json();
-  told["cold_most_of_limit"] = result.cold_most_of_limit;
-  told["predicted_error_max"] = result.predicted_error_max ? json(*result.predicted_error_max) : json();
-  return told;
+  json values = {{"managers", result.managers},
+                 {"engines", result.engines},
+                 {"agents", result.agents},
+                 {"real_managers", result.real_managers},
+                 {"real_agents", result.real_agents},
+                 {"processes", result.processes},
+                 {"hollow_processes", result.hollow_processes},
+                 {"memory_share", result.memory_share},
+                 {"control_bytes_per_s_max", result.control_bytes_per_s_max},
+                 {"control_bytes_per_s_mean", result.control_bytes_per_s_mean},
+                 {"control_cpu_share_max", result.control_cpu_share_max},
+                 {"control_memory_mb_max", result.control_memory_mb_max},
+                 {"config_in_force_ms_max", in_ms(result.config_in_force)},
+                 {"primary_change_ms_max", in_ms(result.primary_change)},
+                 {"primary_home_share", result.primary_home_share},
+                 {"all_fresh_at_start_ms", in_ms(result.all_fresh_at_start)},
+                 {"statements", result.sent},
+                 {"done", result.done},
+                 {"lost", result.lost},
+                 {"doubled", result.doubled},
+                 {"stale_as_fresh", result.stale_as_fresh},
+                 {"missed", missed_targets(result, target)}};
+  values["recovered_ms"] = json::object();
+  for (const auto& [fault, time] : result.recovered) values["recovered_ms"][fault] = in_ms(time);
+  values["cold_over_limit"] = result.cold_over_limit ? json(*result.cold_over_limit) : json();
+  values["cold_most_of_limit"] = result.cold_most_of_limit;
+  values["predicted_error_max"] = result.predicted_error_max ? json(*result.predicted_error_max) : json();
+  return values;
 }
 
 bool rules_hold(const ScaleResult& result) {
--- a/tests/test_scale.cpp
+++ b/tests/test_scale.cpp
@@ -1,5 +1,5 @@
-// Scale runs: the plan of hosts, racks, zones and regions; what is expected of agents' knowledge; the report;
-// and a small run with two real managers under a real agent beside a dozen hollow hosts.
+// Scale runs: the plan of hosts, racks, zones and regions; the comparison of gossip with the expected state;
+// the report; and a small run with two real managers under a real agent and a dozen hollow hosts.
 #include <unistd.h>
 
 #include <cassert>
@@ -20,10 +20,10 @@
 
 namespace {
 
-template <class What>
-bool refuses(What what) {
+template <class Function>
+bool throws_error(Function function) {
   try {
-    what();
+    function();
     return false;
   } catch (const Error&) {
     return true;
@@ -33,7 +33,7 @@
 void plan_at_target() {
   const ScalePlan plan(630, 7);
   assert(plan.real_managers() == 8 && plan.real_agents().size() == 4);
-  assert(plan.engines() == 740 && plan.processes() <= ScalePlan::most_processes);
+  assert(plan.engines() == 740 && plan.processes() <= ScalePlan::max_processes);
   std::size_t hosts = 0;
   std::set<std::string> zones;
   std::set<Region> regions;
@@ -65,11 +65,11 @@
 }
 
 void plan_bounds() {
-  assert(refuses([] { ScalePlan(ScalePlan::least_managers - 1, 1); }));
-  assert(refuses([] { ScalePlan(ScalePlan::most_managers + 1, 1); }));
-  assert(ScalePlan(ScalePlan::most_managers, 1).processes() <= ScalePlan::most_processes);
+  assert(throws_error([] { ScalePlan(ScalePlan::min_managers - 1, 1); }));
+  assert(throws_error([] { ScalePlan(ScalePlan::max_managers + 1, 1); }));
+  assert(ScalePlan(ScalePlan::max_managers, 1).processes() <= ScalePlan::max_processes);
   assert(scale_faults_in("").size() == 7 && scale_faults_in("zone,third").size() == 2);
-  assert(refuses([] { scale_faults_in("zone,flood"); }));
+  assert(throws_error([] { scale_faults_in("zone,flood"); }));
 }
 
 void hollow_spec_survives_json() {
@@ -84,17 +84,17 @@
   assert(read.hosts[0].manager == "m1" && read.hosts[0].zone.region == Region::second);
 }
 
-void knowledge_against_expected() {
+void gossip_against_expected_state() {
   const std::map<std::string, Region> regions = {
       {"a", Region::first}, {"b", Region::first}, {"c", Region::second}};
-  const auto of = [&](const std::map<std::string, std::uint64_t>& fresh, const Expected& expected) {
-    return compare(regions, "a", fresh, expected);
+  const auto of = [&](const std::map<std::string, std::uint64_t>& fresh, const ExpectedGossip& expected) {
+    return compare_gossip(regions, "a", fresh, expected);
   };
   assert(of({{"b", 1}, {"c", 1}}, {}).not_fresh == 0);
   assert(of({{"b", 1}}, {}).not_fresh == 1);
-  // An earlier life is not known for the present one.
+  // Gossip of an earlier incarnation is not fresh.
   assert(of({{"b", 1}, {"c", 1}}, {{}, false, {{"c", 2}}}).not_fresh == 1);
-  // What is down, or beyond a cut, may not be called fresh.
+  // Gossip of an agent that is down or cut off must not be marked fresh.
   assert(of({{"b", 1}, {"c", 1}}, {{"b"}, false, {}}).stale_as_fresh == 1);
   assert(of({{"b", 1}, {"c", 1}}, {{}, true, {}}).stale_as_fresh == 1);
   assert(of({{"b", 1}}, {{}, true, {}}).stale_as_fresh == 0);
@@ -106,12 +106,13 @@
   result.control_cpu_share_max = 0.01, result.control_memory_mb_max = 100;
   result.primary_change = std::chrono::milliseconds(500);
   result.recovered["zone"] = std::nullopt;
-  const nlohmann::json told = to_json(result);
-  assert(told["missed"]["control_bytes_per_s_max"] == 2.0);
-  assert(!told["missed"].contains("control_cpu_share_max"));
-  assert(told["missed"].contains("config_in_force_ms_max") && told["config_in_force_ms_max"].is_null());
-  assert(told["recovered_ms"]["zone"].is_null() && told["cold_over_limit"].is_null());
-  assert(rules_hold(result));  // a target that is missed is no broken rule
+  const nlohmann::json report_json = to_json(result);
+  assert(report_json["missed"]["control_bytes_per_s_max"] == 2.0);
+  assert(!report_json["missed"].contains("control_cpu_share_max"));
+  assert(report_json["missed"].contains("config_in_force_ms_max") &&
+         report_json["config_in_force_ms_max"].is_null());
+  assert(report_json["recovered_ms"]["zone"].is_null() && report_json["cold_over_limit"].is_null());
+  assert(rules_hold(result));  // a missed target does not break a rule
   for (auto* broken : {&result.lost, &result.doubled, &result.stale_as_fresh}) {
     *broken = 1;
     assert(!rules_hold(result));
@@ -126,11 +127,11 @@
     return predicted_error(file, result);
   };
   assert(predicted(R"({"control_bytes_per_s_mean": 12000, "control_memory_mb_max": 90})") == 0.2);
-  assert(refuses([&] { predicted(R"({"control_bytes_per_s_mean": -1})"); }));
-  assert(refuses([&] { predicted(R"({"other": 1})"); }));
-  assert(refuses([&] { predicted("no json"); }));
+  assert(throws_error([&] { predicted(R"({"control_bytes_per_s_mean": -1})"); }));
+  assert(throws_error([&] { predicted(R"({"other": 1})"); }));
+  assert(throws_error([&] { predicted("no json"); }));
   std::filesystem::remove(file);
-  assert(refuses([&] { predicted_error(file, result); }));
+  assert(throws_error([&] { predicted_error(file, result); }));
 }
 
 void small_run() {
@@ -139,14 +140,15 @@
       run_program(lab, {"measure", "scale", "--size", "14", "--faults", "third,regions,configuration"});
   std::cerr << ran.out << ran.seconds << " s\n";
   assert(ran.status == 0);
-  const nlohmann::json told = nlohmann::json::parse(ran.out);
-  assert(told["managers"] == 14 && told["agents"] == 13 && told["real_managers"] == 2);
-  assert(told["all_fresh_at_start_ms"].is_number());
-  assert(told["recovered_ms"]["third"].is_number() && told["recovered_ms"]["regions"].is_number());
-  assert(told["lost"] == 0 && told["doubled"] == 0 && told["stale_as_fresh"] == 0);
-  assert(told["config_in_force_ms_max"].is_number());
-  assert(told["done"] > 100 && told["control_bytes_per_s_mean"] > 0);
-  assert(told["memory_share"] < 0.5);
+  const nlohmann::json report_json = nlohmann::json::parse(ran.out);
+  assert(report_json["managers"] == 14 && report_json["agents"] == 13 && report_json["real_managers"] == 2);
+  assert(report_json["all_fresh_at_start_ms"].is_number());
+  assert(report_json["recovered_ms"]["third"].is_number() &&
+         report_json["recovered_ms"]["regions"].is_number());
+  assert(report_json["lost"] == 0 && report_json["doubled"] == 0 && report_json["stale_as_fresh"] == 0);
+  assert(report_json["config_in_force_ms_max"].is_number());
+  assert(report_json["done"] > 100 && report_json["control_bytes_per_s_mean"] > 0);
+  assert(report_json["memory_share"] < 0.5);
   assert(run_program(lab, {"measure", "scale", "--size", "3"}).status == 3);
 }
 
@@ -157,7 +159,7 @@
   plan_by_seed();
   plan_bounds();
   hollow_spec_survives_json();
-  knowledge_against_expected();
+  gossip_against_expected_state();
   report();
   small_run();
   return 0;
