--- a/src/lab/measurements/measure_drain.cpp
+++ b/src/lab/measurements/measure_drain.cpp
@@ -1,5 +1,6 @@
-// How long after a manager has an order to drain an engine the last new dispatch reaches that engine: five
-// managers, eight engines, steady load, at least a hundred drains at random moments.
+// How long after a manager receives an order to drain an engine its last new attempt reaches that engine:
+// five managers, eight engines, steady load, 120 drains at random moments by default. Fails where an attempt
+// comes 500 ms or more after the order, or where a client's history breaks a rule.
 #include <algorithm>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -14,60 +15,61 @@
 
 using std::chrono::milliseconds;
 
-int measure_drain(const Bench& bench) {
-  const int drains = bench.size > 0 ? bench.size : 120;
-  ClusterSpec site;
-  site.managers = 5, site.engines = 8, site.seed = bench.seed,
-  site.pearchuted = bench.programs + "/pearchuted";
-  TestCluster world(site);
-  world.must_serve(8);
+int measure_drain(const MeasurementOptions& options) {
+  const int drains = options.size > 0 ? options.size : 120;
+  ClusterSpec spec;
+  spec.managers = 5, spec.engines = 8, spec.seed = options.seed,
+  spec.pearchuted = options.programs + "/pearchuted";
+  TestCluster cluster(spec);
+  cluster.must_serve(8);
   std::vector<Ask> mix = {{"quick", "SELECT work=4 FROM a_1.t", milliseconds(2000), 0, 4, 8},
                           {"quick", "SELECT work=12 FROM a_2.t", milliseconds(2000), 0, 12, 16},
                           {"report", "SELECT work=60 pages=2 FROM a_3.t", milliseconds(3500), 0, 60, 64},
                           {"once", "UPDATE work=8 a_4.t", milliseconds(2000), 0, 8, 8},
                           {"load", "INSERT work=10 INTO a_5.t", milliseconds(2500), 7, 10, 16},
                           {"load", "INSERT work=10 INTO a_5.t", milliseconds(2500), 8, 10, 16}};
-  world.on([&] { world.crowd().offer(1500, mix); });
-  world.rest(milliseconds(500));
+  cluster.on([&] { cluster.crowd().offer(1500, mix); });
+  cluster.rest(milliseconds(500));
 
-  std::knuth_b chance(static_cast<std::knuth_b::result_type>(bench.seed));
-  const auto pause = [&](unsigned least, unsigned most) {
-    return milliseconds(least + chance() % (most - least));
+  std::knuth_b rng(static_cast<std::knuth_b::result_type>(options.seed));
+  const auto random_pause = [&](unsigned min_ms, unsigned max_ms) {
+    return milliseconds(min_ms + rng() % (max_ms - min_ms));
   };
   std::set<std::size_t> drained;
   std::uint64_t generation = 0;
-  const auto order_all = [&](std::size_t engine, bool drain) {
-    const std::string name = world.on([&] { return world.engines()[engine]->name(); });
+  const auto order_all_managers = [&](std::size_t engine, bool drain) {
+    const std::string name = cluster.on([&] { return cluster.engines()[engine]->name(); });
     ++generation;
-    for (std::size_t m = 0; m < world.managers().size(); ++m) {
-      if (!drain) world.on([&] { world.record().drain_over(name, static_cast<int>(m)); });
-      const admin::v1::Reply reply = world.order(m, name, drain, generation);
+    for (std::size_t m = 0; m < cluster.managers().size(); ++m) {
+      if (!drain) cluster.on([&] { cluster.record().drain_over(name, static_cast<int>(m)); });
+      const admin::v1::Reply reply = cluster.order(m, name, drain, generation);
       if (reply.ordered().verdict() != "done")
-        throw TestClusterError("an order is not done: " + reply.fault(), world.folder());
-      const Time came(reply.ordered().came_monotonic_us());
-      if (drain) world.on([&] { world.record().drain_came(name, static_cast<int>(m), came); });
+        throw TestClusterError("a manager did not carry out a drain order: " + reply.fault(),
+                               cluster.folder());
+      const Time received_at(reply.ordered().came_monotonic_us());
+      if (drain) cluster.on([&] { cluster.record().drain_came(name, static_cast<int>(m), received_at); });
     }
   };
-  for (int done = 0; done < drains;) {
-    world.rest(pause(20, 120));
-    const std::size_t engine = chance() % 8;
+  for (int drain_count = 0; drain_count < drains;) {
+    cluster.rest(random_pause(20, 120));
+    const std::size_t engine = rng() % 8;
     if (drained.size() < 3 && !drained.contains(engine)) {
-      order_all(engine, true), drained.insert(engine), ++done;
+      order_all_managers(engine, true), drained.insert(engine), ++drain_count;
     } else if (!drained.empty()) {
-      const std::size_t back =
-          *std::next(drained.begin(), static_cast<std::ptrdiff_t>(chance() % drained.size()));
-      order_all(back, false), drained.erase(back);
+      const std::size_t restored =
+          *std::next(drained.begin(), static_cast<std::ptrdiff_t>(rng() % drained.size()));
+      order_all_managers(restored, false), drained.erase(restored);
     }
   }
-  world.rest(milliseconds(700));
-  while (!drained.empty()) order_all(*drained.begin(), false), drained.erase(drained.begin());
-  world.on([&] { world.crowd().offer(0, {}); });
-  world.quiet();
+  cluster.rest(milliseconds(700));
+  while (!drained.empty()) order_all_managers(*drained.begin(), false), drained.erase(drained.begin());
+  cluster.on([&] { cluster.crowd().offer(0, {}); });
+  cluster.quiet();
 
-  HistoryChecker::Verdict verdict = world.verdict();
+  HistoryChecker::Verdict verdict = cluster.verdict();
   std::vector<Time>& delays = verdict.drain_delays;
   std::ranges::sort(delays);
-  const auto at = [&](double share) {
+  const auto delay_ms = [&](double share) {
     return delays.empty()
                ? 0.0
                : static_cast<double>(
@@ -76,25 +78,25 @@
                      1000;
   };
   for (const std::string& fault : verdict.faults) std::cerr << fault << "\n";
-  const nlohmann::json told = {{"drains", drains},
-                               {"orders", verdict.drains},
-                               {"jobs", verdict.sent},
-                               {"done", verdict.done},
-                               {"refused", verdict.refused},
-                               {"failed", verdict.failed},
-                               {"late_over_500ms", verdict.late_over_500ms},
-                               {"p50_ms", at(0.5)},
-                               {"p99_ms", at(0.99)},
-                               {"max_ms", at(1)},
-                               {"lost", verdict.lost},
-                               {"doubled", verdict.doubled},
-                               {"twice_run", verdict.twice_run},
-                               {"overlaps", verdict.overlaps},
-                               {"disorder", verdict.disorder},
-                               {"late_answers", verdict.late},
-                               {"seed", bench.seed}};
-  std::cout << told.dump() << std::endl;
-  return verdict.clean() && at(1) < 500 ? 0 : 1;
+  const nlohmann::json report = {{"drains", drains},
+                                 {"orders", verdict.drains},
+                                 {"jobs", verdict.sent},
+                                 {"done", verdict.done},
+                                 {"refused", verdict.refused},
+                                 {"failed", verdict.failed},
+                                 {"late_over_500ms", verdict.late_over_500ms},
+                                 {"p50_ms", delay_ms(0.5)},
+                                 {"p99_ms", delay_ms(0.99)},
+                                 {"max_ms", delay_ms(1)},
+                                 {"lost", verdict.lost},
+                                 {"doubled", verdict.doubled},
+                                 {"twice_run", verdict.twice_run},
+                                 {"overlaps", verdict.overlaps},
+                                 {"disorder", verdict.disorder},
+                                 {"late_answers", verdict.late},
+                                 {"seed", options.seed}};
+  std::cout << report.dump() << std::endl;
+  return verdict.clean() && delay_ms(1) < 500 ? 0 : 1;
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/measurements/measure_gossip.cpp
+++ b/src/lab/measurements/measure_gossip.cpp
@@ -1,7 +1,7 @@
-// What agents know of each other: seeded histories of the decisions with every kind of trouble, at a small
-// and at a large size, and real agents with relays between them, struck by one fault after another. How soon
-// a change is known, how soon all is known again, what it costs; and whether anything old was ever told as
-// fresh.
+// The gossip of agents about their instances: simulated histories with every kind of fault, drawn from a
+// seed, at a small and at a large size, and real agents with relays between them, with one fault after
+// another. How soon every agent has a change, how soon all status is fresh again after a fault, how many
+// bytes it costs, and whether an agent ever reports old status as fresh.
 #include <signal.h>
 
 #include <algorithm>
@@ -21,133 +21,141 @@
 
 namespace {
 
-double at_share(std::vector<double> values, double share) {
+// The quantile of the values; 0 where there are none.
+double quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
   std::ranges::sort(values);
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 double in_ms(fleet::Duration span) { return static_cast<double>(span.count()) / 1000; }
 
-nlohmann::json histories(std::uint64_t seed, int number, GossipSimulation::Shape shape, bool& well) {
+// Clears `passed` where a history breaks a rule.
+nlohmann::json run_histories(std::uint64_t seed, int histories, GossipSimulation::Shape shape, bool& passed) {
   std::vector<double> spread, settled;
-  std::uint64_t broken = 0, changes = 0, digest = 0, kept = 0, answer = 0;
+  std::uint64_t broken = 0, changes = 0, digest = 0, max_state_bytes = 0, max_answer_bytes = 0;
   double bytes = 0;
-  for (int n = 0; n < number; ++n) {
+  for (int n = 0; n < histories; ++n) {
     shape.seed = seed * 100'000 + static_cast<std::uint64_t>(n);
     const GossipSimulation::Result result = GossipSimulation(shape).play();
     for (const std::string& fault : result.faults)
       std::cerr << "seed " << shape.seed << ": " << fault << "\n";
     broken += result.never_said + result.stale_as_newer + result.overruled + result.apart;
     changes += result.changes, digest = digest * 31 + result.digest;
-    kept = std::max(kept, result.most_kept), answer = std::max(answer, result.most_answer);
-    bytes += result.bytes_a_second / number;
+    max_state_bytes = std::max(max_state_bytes, result.most_kept),
+    max_answer_bytes = std::max(max_answer_bytes, result.most_answer);
+    bytes += result.bytes_a_second / histories;
     for (const fleet::Duration one : result.spread) spread.push_back(in_ms(one));
     settled.push_back(in_ms(result.settled));
   }
-  well = well && broken == 0;
-  return {{"histories", number},
+  passed = passed && broken == 0;
+  return {{"histories", histories},
           {"agents", shape.agents},
           {"instances", shape.agents * shape.instances_each},
           {"changes", changes},
           {"broken", broken},
-          {"spread_ms_p50", at_share(spread, 0.5)},
-          {"spread_ms_p99", at_share(spread, 0.99)},
-          {"settle_ms_p50", at_share(settled, 0.5)},
-          {"settle_ms_p99", at_share(settled, 0.99)},
+          {"spread_ms_p50", quantile(spread, 0.5)},
+          {"spread_ms_p99", quantile(spread, 0.99)},
+          {"settle_ms_p50", quantile(settled, 0.5)},
+          {"settle_ms_p99", quantile(settled, 0.99)},
           {"bytes_a_second", static_cast<std::uint64_t>(bytes)},
-          {"most_kept", kept},
-          {"most_answer", answer},
+          {"most_kept", max_state_bytes},
+          {"most_answer", max_answer_bytes},
           {"digest", digest}};
 }
 
-// Three agents, six managers, eight engines, one fault after another, and load on.
-nlohmann::json processes(const Bench& bench, bool& well) {
-  ClusterSpec site;
-  site.managers = 6, site.engines = 8, site.seed = bench.seed, site.starts_managers = false;
-  site.pearchuted = bench.programs + "/pearchuted",
-  site.pearchute_agent = bench.programs + "/pearchute-agent";
-  AgentCluster fleet(site, 3, true);
-  TestCluster& world = fleet.world;
+// Three agents, six managers and eight engines as processes, under load, with one fault after another. Clears
+// `passed` where an agent reports old status as fresh, where status isn't fresh everywhere in time after a
+// fault has ended, or where a client gets two answers.
+nlohmann::json run_processes(const MeasurementOptions& options, bool& passed) {
+  ClusterSpec spec;
+  spec.managers = 6, spec.engines = 8, spec.seed = options.seed, spec.starts_managers = false;
+  spec.pearchuted = options.programs + "/pearchuted",
+  spec.pearchute_agent = options.programs + "/pearchute-agent";
+  AgentCluster fleet(spec, 3, true);
+  TestCluster& cluster = fleet.world;
   if (!wait_for([&] { return fleet.all_serve() && fleet.all_know(); }))
-    throw TestClusterError("the agents do not come to know each other", world.folder());
-  world.must_serve(8);
-  world.on([&] {
-    world.crowd().offer(200, {{"quick", "SELECT work=5 FROM a_1.t", milliseconds(2000), 0, 5, 8}});
+    throw TestClusterError("the agents have no fresh status of each other after the start", cluster.folder());
+  cluster.must_serve(8);
+  cluster.on([&] {
+    cluster.crowd().offer(200, {{"quick", "SELECT work=5 FROM a_1.t", milliseconds(2000), 0, 5, 8}});
   });
-  // An agent that can't hear of a manager's end for longer than word is fresh must not call its word fresh.
-  std::knuth_b chance(static_cast<std::knuth_b::result_type>(bench.seed));
-  std::uint64_t stale = 0, unknown_at_end = 0;
-  std::vector<double> known_again, spread;
-  std::vector<std::string> struck;
-  const int rounds = bench.size > 0 ? bench.size : 12;
+  // An agent that has received nothing from another for longer than status stays fresh must not report that
+  // agent's status as fresh.
+  std::knuth_b rng(static_cast<std::knuth_b::result_type>(options.seed));
+  std::uint64_t stale = 0, not_fresh_at_end = 0;
+  std::vector<double> fresh_again, spread;
+  std::vector<std::string> injected_faults;
+  const int rounds = options.size > 0 ? options.size : 12;
   for (int round = 0; round < rounds; ++round) {
-    const auto whom = static_cast<std::size_t>(chance() % 3);
-    Agent& agent = fleet.agents[whom];
-    const int kind = static_cast<int>(chance() % 4);
+    const auto faulty_agent = static_cast<std::size_t>(rng() % 3);
+    Agent& agent = fleet.agents[faulty_agent];
+    const int kind = static_cast<int>(rng() % 4);
     if (kind == 0) agent.end(SIGKILL);
     else if (kind == 1) ::kill(agent.process, SIGSTOP);
     else
-      world.on([&] {
-        for (int n = 0; n < 3; ++n) struck.push_back(fleet.relays->strike(chance));
+      cluster.on([&] {
+        for (int n = 0; n < 3; ++n) injected_faults.push_back(fleet.relays->strike(rng));
       });
-    // A manager falls meanwhile: its agent, if it lives, starts it anew, and its word is another.
-    const std::string fallen = "n" + std::to_string(1 + chance() % 6);
-    const Time fell = steady_now();
+    // A manager is killed meanwhile: its agent, if it runs, restarts it, and its status changes.
+    const std::string killed_instance = "n" + std::to_string(1 + rng() % 6);
+    const Time killed_at = steady_now();
     for (const auto& [name, instance] : fleet.conditions()) {
-      if (name != fallen) continue;
+      if (name != killed_instance) continue;
       ::kill(static_cast<pid_t>(instance.pid()), SIGKILL);
     }
-    const Time end = steady_now() + milliseconds(3000 + chance() % 4000);
+    const Time end = steady_now() + milliseconds(3000 + rng() % 4000);
     while (steady_now() < end) {
-      // By what each says itself: an agent that does not answer can't have been heard for as long.
-      for (std::size_t who = 0; who < 3; ++who) {
-        if (kind > 1 || who == whom) continue;
-        const auto known = fleet.agents[who].heard(agent.name);
-        const bool silent_long = steady_now() - fell > fleet::GossipState::fresh_for + milliseconds(300);
-        stale += known && silent_long && known->freshness() == "fresh";
+      // Each agent's own report is checked, and only where another agent was killed or stopped: that one
+      // sends nothing until it runs again. After a fault of the relays its status may still arrive.
+      for (std::size_t observer = 0; observer < 3; ++observer) {
+        if (kind > 1 || observer == faulty_agent) continue;
+        const auto known = fleet.agents[observer].heard(agent.name);
+        const bool silent_too_long =
+            steady_now() - killed_at > fleet::GossipState::fresh_for + milliseconds(300);
+        stale += known && silent_too_long && known->freshness() == "fresh";
       }
-      world.rest(milliseconds(100));
+      cluster.rest(milliseconds(100));
     }
-    world.on([&] { fleet.relays->heal(); });
+    cluster.on([&] { fleet.relays->heal(); });
     if (kind == 0) agent.start();
     if (kind == 1) ::kill(agent.process, SIGCONT);
-    const Time healed = steady_now();
-    const bool known = wait_for([&] { return fleet.all_serve() && fleet.all_know(); });
-    unknown_at_end += !known;
-    known_again.push_back(in_ms(steady_now() - healed));
+    const Time fault_ended_at = steady_now();
+    const bool fresh = wait_for([&] { return fleet.all_serve() && fleet.all_know(); });
+    not_fresh_at_end += !fresh;
+    fresh_again.push_back(in_ms(steady_now() - fault_ended_at));
   }
-  // What it costs, and how soon a change is known, with no fault.
-  const std::uint64_t bytes = world.on([&] { return fleet.relays->bytes(); });
-  const Time from = steady_now();
+  // The bytes per second, and how soon an agent has a change, without faults.
+  const std::uint64_t bytes = cluster.on([&] { return fleet.relays->bytes(); });
+  const Time started_at = steady_now();
   for (int n = 0; n < 5; ++n) {
-    const auto life = [&] {
+    const auto incarnation_of_n1 = [&] {
       const agent::v1::Heard heard = fleet.heard(2, 0);
-      for (const auto& word : heard.words()) {
-        if (word.instance() == "n1") return word.life();
+      for (const auto& entry : heard.words()) {
+        if (entry.instance() == "n1") return entry.life();
       }
       return std::uint64_t{0};
     };
-    const std::uint64_t before = life();
+    const std::uint64_t before = incarnation_of_n1();
     ::kill(static_cast<pid_t>(fleet.seen("n1").pid()), SIGKILL);
-    const Time fell = steady_now();
-    wait_for([&] { return life() != before; });
-    spread.push_back(in_ms(steady_now() - fell));
+    const Time killed_at = steady_now();
+    wait_for([&] { return incarnation_of_n1() != before; });
+    spread.push_back(in_ms(steady_now() - killed_at));
     wait_for([&] { return fleet.all_serve() && fleet.all_know(); });
   }
-  const double rate = static_cast<double>(world.on([&] { return fleet.relays->bytes(); }) - bytes) /
-                      std::chrono::duration<double>(steady_now() - from).count() / 3;
-  world.on([&] { world.crowd().offer(0, {}); });
-  world.quiet();
-  const HistoryChecker::Verdict verdict = world.verdict();
+  const double rate = static_cast<double>(cluster.on([&] { return fleet.relays->bytes(); }) - bytes) /
+                      std::chrono::duration<double>(steady_now() - started_at).count() / 3;
+  cluster.on([&] { cluster.crowd().offer(0, {}); });
+  cluster.quiet();
+  const HistoryChecker::Verdict verdict = cluster.verdict();
   for (const std::string& fault : verdict.faults) std::cerr << fault << "\n";
-  well = well && stale == 0 && unknown_at_end == 0 && verdict.doubled == 0;
+  passed = passed && stale == 0 && not_fresh_at_end == 0 && verdict.doubled == 0;
   return {{"faults", rounds},
           {"stale_as_fresh", stale},
-          {"unknown_at_end", unknown_at_end},
-          {"known_again_ms_p50", at_share(known_again, 0.5)},
-          {"known_again_ms_max", at_share(known_again, 1)},
-          {"spread_ms_p50", at_share(spread, 0.5)},
-          {"spread_ms_max", at_share(spread, 1)},
+          {"unknown_at_end", not_fresh_at_end},
+          {"known_again_ms_p50", quantile(fresh_again, 0.5)},
+          {"known_again_ms_max", quantile(fresh_again, 1)},
+          {"spread_ms_p50", quantile(spread, 0.5)},
+          {"spread_ms_max", quantile(spread, 1)},
           {"bytes_a_second_with_tls", static_cast<std::uint64_t>(rate)},
           {"jobs", verdict.sent},
           {"doubled", verdict.doubled}};
@@ -155,18 +163,18 @@
 
 }  // namespace
 
-int measure_word(const Bench& bench) {
-  bool well = true;
-  nlohmann::json told;
-  const GossipSimulation::Shape trouble = {
+int measure_gossip(const MeasurementOptions& options) {
+  bool passed = true;
+  nlohmann::json report;
+  const GossipSimulation::Shape faulty = {
       .loss = 0.1, .doubled = 0.1, .kills = true, .stops = true, .cuts = true, .drops = true};
-  told["small"] = histories(bench.seed, 1000, trouble, well);
-  GossipSimulation::Shape large = trouble;
+  report["small"] = run_histories(options.seed, 1000, faulty, passed);
+  GossipSimulation::Shape large = faulty;
   large.agents = 50, large.instances_each = 20;
-  told["large"] = histories(bench.seed, 3, large, well);
-  told["processes"] = processes(bench, well);
-  std::cout << told.dump() << std::endl;
-  return well ? 0 : 1;
+  report["large"] = run_histories(options.seed, 3, large, passed);
+  report["processes"] = run_processes(options, passed);
+  std::cout << report.dump() << std::endl;
+  return passed ? 0 : 1;
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/measurements/measure_overload.cpp
+++ b/src/lab/measurements/measure_overload.cpp
@@ -1,6 +1,7 @@
-// One manager as the offered load passes what its core bears, as when a region is lost at the peak: whether
-// final answers stay in time, who is rejected and how early, whether a rule is broken, and how soon it serves
-// all again once the load has fallen. The engines have room to spare; the manager's core is what is short.
+// One manager while the offered load exceeds what its core can sustain, as after the loss of a region at peak
+// load: whether final answers stay within their timeouts, which classes are rejected and how early, whether a
+// rule is broken, and how soon the manager serves all requests again once the load has fallen. The engines
+// have capacity to spare; the manager's core is the bottleneck.
 #include <algorithm>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -17,67 +18,70 @@
 
 namespace {
 
-constexpr int usual_engines = 80;
-constexpr int client_connections = 4'920;  // a manager's share of 3.1 million, by 630
+constexpr int default_engines = 80;
+constexpr int client_connections = 4'920;  // 3.1 million client connections over 630 managers
 constexpr milliseconds search_step(1500);
 constexpr double first_rate = 1000;
-constexpr int most_doublings = 6;
+constexpr int max_doublings = 6;
 constexpr int bisections = 3;
-constexpr double served_share = 0.99;  // of what is offered, for a rate to count as borne
+constexpr double served_share = 0.99;  // of the offered requests, for a rate to count as sustained
 constexpr std::size_t low_value = 0, high_value = 1;
 
-LoadClusterSpec cluster_spec(const Bench& bench) {
+LoadClusterSpec cluster_spec(const MeasurementOptions& options) {
   LoadClusterSpec spec;
-  spec.pearchuted = bench.programs + "/pearchuted";
-  spec.engines.engines = bench.size > 0 ? bench.size : usual_engines;
-  spec.engines.seed = bench.seed;
-  spec.seed = bench.seed;
+  spec.pearchuted = options.programs + "/pearchuted";
+  spec.engines.engines = options.size > 0 ? options.size : default_engines;
+  spec.engines.seed = options.seed;
+  spec.seed = options.seed;
   return spec;
 }
 
-LoadGeneratorSpec generator_spec(const Bench& bench, const LoadCluster& cluster) {
+LoadGeneratorSpec generator_spec(const MeasurementOptions& options, const LoadCluster& cluster) {
   const milliseconds timeout(2000);
   LoadGeneratorSpec spec;
   spec.manager = cluster.manager_address();
-  spec.seed = bench.seed;
+  spec.seed = options.seed;
   spec.kept_connections = client_connections;
-  // They differ by their value only.
+  // The classes differ by their value only; class_run_once is also never run twice.
   spec.classes = {{class_of_low_value, "SELECT work=5 FROM a_1.t", timeout, 5, 8, 0.55},
                   {class_of_high_value, "SELECT work=5 FROM a_1.t", timeout, 5, 8, 0.40},
                   {class_run_once, "SELECT work=5 FROM a_1.t", timeout, 5, 8, 0.05}};
   return spec;
 }
 
-double share_of(std::uint64_t part, std::uint64_t whole) {
-  return whole == 0 ? 1 : static_cast<double>(part) / static_cast<double>(whole);
+double share_of(std::uint64_t part, std::uint64_t total) {
+  return total == 0 ? 1 : static_cast<double>(part) / static_cast<double>(total);
 }
 
-// The highest rate found at which a step is borne.
-struct BorneRate {
+// The highest rate found that the manager sustains.
+struct SustainedRate {
   double per_second = 0;
-  bool is_void = false;  // a step of the search was beyond the generator
+  bool is_void = false;  // the generator lagged in a step of the search
   LoadCounts counts;
 };
 
-BorneRate find_borne_rate(LoadGenerator& generator) {
-  BorneRate found;
-  double too_much = 0;
-  const auto is_borne = [&](double rate) {
+// Doubles the rate until the manager fails to sustain it, then bisects between the sustained and the failing
+// rate.
+SustainedRate find_sustained_rate(LoadGenerator& generator) {
+  SustainedRate found;
+  double lowest_failing = 0;
+  const auto try_rate = [&](double rate) {
     const LoadResult result = generator.run({{rate, search_step}});
     const ClassResult total = result.steps.front().total();
     found.counts += result.counts();
     found.is_void = found.is_void || result.is_void();
-    const bool borne = share_of(total.answered_in_time, total.offered) >= served_share;
-    if (borne) found.per_second = rate;
-    else too_much = rate;
+    const bool sustained = share_of(total.answered_in_time, total.offered) >= served_share;
+    if (sustained) found.per_second = rate;
+    else lowest_failing = rate;
     std::cerr << "search: " << rate << "/s, answered in time "
               << share_of(total.answered_in_time, total.offered) << ", lag p99 "
               << result.steps.front().lag.quantile_ms(0.99) << " ms\n";
-    return borne;
+    return sustained;
   };
   double rate = first_rate;
-  for (int i = 0; i < most_doublings && is_borne(rate); ++i) rate *= 2;
-  for (int i = 0; i < bisections && too_much > 0; ++i) is_borne((found.per_second + too_much) / 2);
+  for (int i = 0; i < max_doublings && try_rate(rate); ++i) rate *= 2;
+  for (int i = 0; i < bisections && lowest_failing > 0; ++i)
+    try_rate((found.per_second + lowest_failing) / 2);
   return found;
 }
 
@@ -100,31 +104,32 @@
           {"rejection_p99_ms", result.rejection_time.quantile_ms(0.99)}};
 }
 
-json step_json(const StepResult& step, double borne, double cpu_share) {
-  json told = class_json(step.total());
-  told["offered_per_s"] = step.step.per_second;
-  told["of_borne"] = step.step.per_second / borne;
-  told["manager_cpu_share"] = cpu_share;
-  told["lag_p99_ms"] = step.lag.quantile_ms(0.99);
-  told["lag_max_ms"] = step.lag.max_ms();
-  told["void"] = step.is_void();
-  told["low_value"] = class_json(step.classes[low_value]);
-  told["high_value"] = class_json(step.classes[high_value]);
-  return told;
+json step_json(const StepResult& step, double sustained, double cpu_share) {
+  json report = class_json(step.total());
+  report["offered_per_s"] = step.step.per_second;
+  report["of_borne"] = step.step.per_second / sustained;
+  report["manager_cpu_share"] = cpu_share;
+  report["lag_p99_ms"] = step.lag.quantile_ms(0.99);
+  report["lag_max_ms"] = step.lag.max_ms();
+  report["void"] = step.is_void();
+  report["low_value"] = class_json(step.classes[low_value]);
+  report["high_value"] = class_json(step.classes[high_value]);
+  return report;
 }
 
 }  // namespace
 
-int measure_overload(const Bench& bench) {
-  LoadCluster cluster(cluster_spec(bench));
-  LoadGenerator generator(generator_spec(bench, cluster));
-  const BorneRate borne = find_borne_rate(generator);
-  if (borne.per_second <= 0) {
-    std::cout << json{{"error", "the first rate of the search was not borne"}, {"void", borne.is_void}}.dump()
-              << std::endl;
-    return borne.counts.keeps_rules_but_for_lateness() ? 0 : 1;
+int measure_overload(const MeasurementOptions& options) {
+  LoadCluster cluster(cluster_spec(options));
+  LoadGenerator generator(generator_spec(options, cluster));
+  const SustainedRate sustained = find_sustained_rate(generator);
+  if (sustained.per_second <= 0) {
+    std::cout
+        << json{{"error", "the first rate of the search was not borne"}, {"void", sustained.is_void}}.dump()
+        << std::endl;
+    return sustained.counts.keeps_rules_but_for_lateness() ? 0 : 1;
   }
-  const double rate = borne.per_second;
+  const double rate = sustained.per_second;
   const std::vector<LoadStep> steps = {{rate * 0.5, milliseconds(2000)},
                                        {rate, milliseconds(4000)},
                                        {rate * 1.5, milliseconds(5000)},
@@ -135,29 +140,29 @@
 
   const ExecutionCounts executions = cluster.executions().counts();
   LoadCounts counts = result.counts();
-  counts += borne.counts;
-  json told = {{"engines", cluster.engines().addresses().size()},
-               {"borne_per_s", rate},
-               {"connections_most", result.connections_most},
-               {"connections_turned_away", result.connections_turned_away},
-               {"lost", counts.lost},
-               {"doubled", counts.doubled},
-               {"late", counts.late},
-               {"misdelivered", counts.misdelivered},
-               {"twice_run", executions.twice_run},
-               {"overlaps", executions.overlaps},
-               {"manager_runs", cluster.manager_runs()},
-               {"manager_memory_kb", usage.most_resident_kb()},
-               {"finished", result.finished},
-               {"void", result.is_void()}};
+  counts += sustained.counts;
+  json report = {{"engines", cluster.engines().addresses().size()},
+                 {"borne_per_s", rate},
+                 {"connections_most", result.connections_most},
+                 {"connections_turned_away", result.connections_turned_away},
+                 {"lost", counts.lost},
+                 {"doubled", counts.doubled},
+                 {"late", counts.late},
+                 {"misdelivered", counts.misdelivered},
+                 {"twice_run", executions.twice_run},
+                 {"overlaps", executions.overlaps},
+                 {"manager_runs", cluster.manager_runs()},
+                 {"manager_memory_kb", usage.most_resident_kb()},
+                 {"finished", result.finished},
+                 {"void", result.is_void()}};
   for (std::size_t i = 0; i < steps.size(); ++i) {
     const bool sampled = usage.samples().size() == steps.size() + 1;
     const double share = sampled ? cpu_share_between(usage.samples()[i], usage.samples()[i + 1]) : 0;
-    told["steps"].push_back(step_json(result.steps[i], rate, share));
+    report["steps"].push_back(step_json(result.steps[i], rate, share));
   }
   const auto recovered = result.time_to_share(steps.size() - 1, served_share);
-  told["recovered_ms"] = recovered ? json(recovered->count()) : json(nullptr);
-  std::cout << told.dump() << std::endl;
+  report["recovered_ms"] = recovered ? json(recovered->count()) : json(nullptr);
+  std::cout << report.dump() << std::endl;
   const bool keeps_rules = counts.keeps_rules_but_for_lateness() && executions.keeps_rules() &&
                            cluster.manager_runs() && result.finished;
   return keeps_rules ? 0 : 1;
--- a/src/lab/measurements/measure_slopes.cpp
+++ b/src/lab/measurements/measure_slopes.cpp
@@ -1,5 +1,5 @@
-// What each role costs against what drives it: the groups of slopes, one after another, each slope fitted
-// with one size left out, as one JSON object and as a file of slopes.
+// Measures how the cost of each role grows with its driver: runs the groups of slopes one after another, fits
+// each slope with one size left out, and prints one JSON object; writes a file of slopes where one is named.
 #include "lab/measurements/measure_slopes.h"
 
 #include <algorithm>
@@ -32,11 +32,14 @@
 
 const std::vector<SlopeGroup>& slope_groups() {
   static const std::vector<SlopeGroup> groups = {
-      {"manager-control", [](const Bench& bench) { return fit_all(measure_manager_control_slopes(bench)); }},
+      {"manager-control",
+       [](const MeasurementOptions& options) { return fit_all(measure_manager_control_slopes(options)); }},
       {"manager-data", measure_manager_data_slopes},
-      {"agent", [](const Bench& bench) { return fit_all(measure_agent_slopes(bench)); }},
-      {"channel-engine", [](const Bench& bench) { return fit_all(measure_channel_engine_slopes(bench)); }},
-      {"operator", [](const Bench& bench) { return fit_all(measure_operator_slopes(bench)); }},
+      {"agent", [](const MeasurementOptions& options) { return fit_all(measure_agent_slopes(options)); }},
+      {"channel-engine",
+       [](const MeasurementOptions& options) { return fit_all(measure_channel_engine_slopes(options)); }},
+      {"operator",
+       [](const MeasurementOptions& options) { return fit_all(measure_operator_slopes(options)); }},
   };
   return groups;
 }
@@ -63,22 +66,22 @@
   capacity::write_slopes(path, capacity::merge_slopes(std::move(kept), measured));
 }
 
-int measure_slopes(const Bench& bench) {
+int measure_slopes(const MeasurementOptions& options) {
   std::vector<Slope> measured;
   for (const SlopeGroup& group : slope_groups()) {
-    if (!bench.group.empty() && bench.group != group.name) continue;
-    const std::vector<Slope> of_group = group.measure(bench);
+    if (!options.group.empty() && options.group != group.name) continue;
+    const std::vector<Slope> of_group = group.measure(options);
     measured.insert(measured.end(), of_group.begin(), of_group.end());
   }
   if (measured.empty()) {
     std::string known;
     for (const SlopeGroup& group : slope_groups()) known += (known.empty() ? "" : ", ") + group.name;
-    throw UsageError("'" + bench.group + "' is no group of slopes; there are " + known);
+    throw UsageError("unknown group of slopes '" + options.group + "', expected one of " + known);
   }
-  if (!bench.out.empty()) write_measured_slopes(bench.out, measured);
-  nlohmann::json told;
-  for (const Slope& slope : measured) told[slope.description.name] = slope_as_json(slope);
-  std::cout << told.dump() << std::endl;
+  if (!options.out.empty()) write_measured_slopes(options.out, measured);
+  nlohmann::json report;
+  for (const Slope& slope : measured) report[slope.description.name] = slope_as_json(slope);
+  std::cout << report.dump() << std::endl;
   return 0;
 }
 
--- a/src/lab/measurements/process_cpu_clock.cpp
+++ b/src/lab/measurements/process_cpu_clock.cpp
@@ -9,7 +9,7 @@
 
 std::chrono::nanoseconds process_cpu_time(pid_t process) {
   const auto used = cpu_time_of(process);
-  if (!used) throw SystemError("no processor clock of process " + std::to_string(process));
+  if (!used) throw SystemError("can't read the processor clock of process " + std::to_string(process));
   return *used;
 }
 
--- a/src/lab/measurements/process_cpu_clock.h
+++ b/src/lab/measurements/process_cpu_clock.h
@@ -1,5 +1,5 @@
-// The processor time of another process by its own clock, in nanoseconds. Unlike a sum over the threads that
-// are there now, it keeps the time of threads that have ended.
+// The processor time of another process, read from that process's CPU clock. Unlike a sum over its current
+// threads, it includes the time of threads that have ended.
 #pragma once
 
 #include <sys/types.h>
@@ -8,16 +8,16 @@
 
 namespace pearchute::lab {
 
-// Throws SystemError where the process is gone.
+// Throws SystemError where the process has ended.
 std::chrono::nanoseconds process_cpu_time(pid_t process);
 
-// What a process uses from the meter's making on.
+// The processor time that a process uses from the construction of the meter on.
 class CpuMeter {
  public:
   explicit CpuMeter(pid_t process);
-  double microseconds() const;             // of processor time so far
-  double seconds() const;                  // that have passed
-  double microseconds_per_second() const;  // of processor time, on average
+  double microseconds() const;             // of processor time
+  double seconds() const;                  // of elapsed time
+  double microseconds_per_second() const;  // the mean processor time per elapsed second
 
  private:
   const pid_t process_;
--- a/src/lab/measurements/slopes_agent.cpp
+++ b/src/lab/measurements/slopes_agent.cpp
@@ -19,47 +19,49 @@
 
 namespace {
 
-constexpr seconds ready_within{60};
+constexpr seconds ready_timeout{60};
 
-ClusterSpec cluster_of(const Bench& bench, int instances) {
+ClusterSpec cluster_of(const MeasurementOptions& options, int instances) {
   ClusterSpec spec;
   spec.managers = instances;
   spec.engines = 2;
-  spec.seed = bench.seed;
+  spec.seed = options.seed;
   spec.starts_managers = false;
-  spec.pearchuted = bench.programs + "/pearchuted";
-  spec.pearchute_agent = bench.programs + "/pearchute-agent";
+  spec.pearchuted = options.programs + "/pearchuted";
+  spec.pearchute_agent = options.programs + "/pearchute-agent";
   return spec;
 }
 
-// How many transactions have changed a SQLite file with a rollback journal: the file change counter of its
-// header, four bytes at offset 24, most significant first.
+// The number of transactions that have changed a SQLite file with a rollback journal: the file change counter
+// of its header, four bytes at offset 24 in big-endian order. 0 where the file can't be read.
 std::uint32_t transactions_written(const std::string& database) {
-  constexpr std::streamoff counter_at = 24;
+  constexpr std::streamoff counter_offset = 24;
   std::ifstream file(database, std::ios::binary);
   std::array<char, 4> bytes{};
-  file.seekg(counter_at);
+  file.seekg(counter_offset);
   if (!file.read(bytes.data(), bytes.size())) return 0;
   std::uint32_t counter = 0;
   for (const char byte : bytes) counter = counter << 8 | static_cast<unsigned char>(byte);
   return counter;
 }
 
-// Agents as processes with their instances, and relays between them that count bytes.
+// Agents as processes with their instances, and relays between the agents that count bytes.
 class AgentsUnderMeasure {
  public:
   struct Usage {
-    double bytes = 0, cpu = 0, memory = 0, writes = 0;  // of one agent, on average
+    // Means over the agents: bytes/s to other agents, us/s of processor time, kB resident, transactions/s.
+    double bytes = 0, cpu = 0, memory = 0, writes = 0;
   };
 
-  AgentsUnderMeasure(const Bench& bench, const AgentPlan& plan, int agents, int instances_each)
-      : cluster_(cluster_of(bench, agents * instances_each), static_cast<std::size_t>(agents), true) {
-    if (!wait_for([&] { return cluster_.all_serve() && all_fresh(); }, ready_within))
-      throw TestClusterError("the agents do not come to know each other", cluster_.world.folder());
+  AgentsUnderMeasure(const MeasurementOptions& options, const AgentPlan& plan, int agents, int instances_each)
+      : cluster_(cluster_of(options, agents * instances_each), static_cast<std::size_t>(agents), true) {
+    if (!wait_for([&] { return cluster_.all_serve() && all_fresh(); }, ready_timeout))
+      throw TestClusterError("the agents have no fresh status of each other after the start",
+                             cluster_.world.folder());
     cluster_.world.rest(plan.warm_up);
   }
 
-  // The instances are ended at once; the cluster would ask one after another to end.
+  // Kills all instances at once; the cluster's destructor would stop one after another.
   ~AgentsUnderMeasure() {
     const auto instances = cluster_.conditions();
     for (Agent& agent : cluster_.agents) agent.end(SIGKILL);
@@ -110,10 +112,10 @@
   }
   bool all_fresh() {
     return std::ranges::all_of(cluster_.agents, [&](Agent& agent) {
-      const auto shown = agent.show();
-      if (!shown) return false;
+      const auto status = agent.show();
+      if (!status) return false;
       const auto fresh =
-          std::ranges::count_if(shown->heard(), [](const auto& one) { return one.freshness() == "fresh"; });
+          std::ranges::count_if(status->heard(), [](const auto& one) { return one.freshness() == "fresh"; });
       return static_cast<std::size_t>(fresh) + 1 >= cluster_.agents.size();
     });
   }
@@ -164,47 +166,48 @@
   instances("agent.disk_writes.by_instances", "transactions written to its store", "writes/s");
 }
 
-void measure_by_agents(const Bench& bench, const AgentPlan& plan, SeriesSet& series) {
+void measure_by_agents(const MeasurementOptions& options, const AgentPlan& plan, SeriesSet& series) {
   double share = 0;
-  for (const int number : plan.agents) {
-    AgentsUnderMeasure agents(bench, plan, number, 1);
+  for (const int size : plan.agents) {
+    AgentsUnderMeasure agents(options, plan, size, 1);
     const AgentsUnderMeasure::Usage usage = agents.measure(plan);
-    series.add("agent.bytes_sent.by_agents", number, usage.bytes);
-    series.add("agent.bytes_received.by_agents", number, usage.bytes);
-    series.add("agent.cpu.by_agents", number, usage.cpu);
-    series.add("agent.memory.by_agents", number, usage.memory);
+    series.add("agent.bytes_sent.by_agents", size, usage.bytes);
+    series.add("agent.bytes_received.by_agents", size, usage.bytes);
+    series.add("agent.cpu.by_agents", size, usage.cpu);
+    series.add("agent.memory.by_agents", size, usage.memory);
     share = std::max(share, agents.largest_stand_in_share());
   }
-  const std::string busy = "the relays used " + std::to_string(share) + " of a core at most";
+  const std::string relay_load = "the relays used " + std::to_string(share) + " of a core at most";
   for (const char* name : {"agent.bytes_sent.by_agents", "agent.bytes_received.by_agents",
                            "agent.cpu.by_agents", "agent.memory.by_agents"})
-    series.append_to_source(name, busy);
+    series.append_to_source(name, relay_load);
 }
 
-void measure_by_instances(const Bench& bench, const AgentPlan& plan, SeriesSet& series) {
+void measure_by_instances(const MeasurementOptions& options, const AgentPlan& plan, SeriesSet& series) {
   constexpr int agents_of_a_point = 2;
-  std::string starts;
-  for (const int number : plan.instances) {
-    AgentsUnderMeasure agents(bench, plan, agents_of_a_point, number);
-    starts += (starts.empty() ? "" : ", ") + std::to_string(agents.writes_so_far() / agents_of_a_point) +
-              " for " + std::to_string(number);
+  std::string writes_at_start;
+  for (const int size : plan.instances) {
+    AgentsUnderMeasure agents(options, plan, agents_of_a_point, size);
+    writes_at_start += (writes_at_start.empty() ? "" : ", ") +
+                       std::to_string(agents.writes_so_far() / agents_of_a_point) + " for " +
+                       std::to_string(size);
     const AgentsUnderMeasure::Usage usage = agents.measure(plan);
-    series.add("agent.bytes_sent.by_instances", number, usage.bytes);
-    series.add("agent.cpu.by_instances", number, usage.cpu);
-    series.add("agent.memory.by_instances", number, usage.memory);
-    series.add("agent.disk_writes.by_instances", number, usage.writes);
+    series.add("agent.bytes_sent.by_instances", size, usage.bytes);
+    series.add("agent.cpu.by_instances", size, usage.cpu);
+    series.add("agent.memory.by_instances", size, usage.memory);
+    series.add("agent.disk_writes.by_instances", size, usage.writes);
   }
   series.append_to_source("agent.disk_writes.by_instances",
-                          "transactions from a first start until all instances serve: " + starts);
+                          "transactions from a first start until all instances serve: " + writes_at_start);
 }
 
 }  // namespace
 
-std::vector<MeasuredSeries> measure_agent_slopes(const Bench& bench, const AgentPlan& plan) {
+std::vector<MeasuredSeries> measure_agent_slopes(const MeasurementOptions& options, const AgentPlan& plan) {
   SeriesSet series;
   declare(series);
-  measure_by_agents(bench, plan, series);
-  measure_by_instances(bench, plan, series);
+  measure_by_agents(options, plan, series);
+  measure_by_instances(options, plan, series);
   return series.take();
 }
 
--- a/src/lab/measurements/slopes_channel_engine.cpp
+++ b/src/lab/measurements/slopes_channel_engine.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-constexpr milliseconds between_list_events{40};
-constexpr milliseconds after_list_events{300};
-// A manager asks a connection for a sign of life where an open statement has been silent for 400 ms.
-constexpr milliseconds until_signs{700};
+constexpr milliseconds list_event_interval{40};
+constexpr milliseconds list_settle_time{300};
+// Longer than the 400 ms of silence of an open statement after which a manager sends a liveness probe.
+constexpr milliseconds liveness_probe_delay{700};
 
-ClusterSpec cluster_of(const Bench& bench, const ChannelEnginePlan& plan, int managers) {
+ClusterSpec cluster_of(const MeasurementOptions& options, const ChannelEnginePlan& plan, int managers) {
   ClusterSpec spec;
   spec.managers = managers;
   spec.engines = plan.engines;
-  spec.seed = bench.seed;
-  spec.pearchuted = bench.programs + "/pearchuted";
-  // Each manager may have a statement at each engine.
+  spec.seed = options.seed;
+  spec.pearchuted = options.programs + "/pearchuted";
+  // Enough cores for a statement of each manager at each engine.
   spec.cores = 2 * managers;
   spec.sla_time = milliseconds(15'000);
   spec.slowest = milliseconds(30'000);
@@ -32,8 +32,8 @@
 
 class ManagersUnderMeasure {
  public:
-  ManagersUnderMeasure(const Bench& bench, const ChannelEnginePlan& plan, int managers)
-      : plan_(plan), managers_(managers), cluster_(cluster_of(bench, plan, managers)) {
+  ManagersUnderMeasure(const MeasurementOptions& options, const ChannelEnginePlan& plan, int managers)
+      : plan_(plan), managers_(managers), cluster_(cluster_of(options, plan, managers)) {
     cluster_.must_serve(static_cast<std::uint64_t>(plan.engines));
   }
 
@@ -43,28 +43,29 @@
     const std::uint64_t before = channel_bytes();
     for (int event = 0; event < plan_.list_events; ++event) {
       cluster_.on([&] { cluster_.channel().tell(cluster_.members_now(), true); });
-      cluster_.rest(between_list_events);
+      cluster_.rest(list_event_interval);
     }
-    cluster_.rest(after_list_events);
+    cluster_.rest(list_settle_time);
     series.add("channel.bytes.by_managers", managers_,
                static_cast<double>(channel_bytes() - before) / plan_.list_events);
   }
 
-  // A long statement of each manager for each engine, so that connections are open and signs of life asked.
+  // Opens one long statement per manager and engine, so that connections are open and liveness probes are
+  // sent.
   void measure_engine(SeriesSet& series) {
     open_statements();
-    cluster_.rest(until_signs);
+    cluster_.rest(liveness_probe_delay);
     series.add("engine.connections.by_managers", managers_, connections() / plan_.engines);
-    const double signs = median_of(plan_.windows, [&] {
-      const std::uint64_t before = signs_of_life();
-      const Time from = steady_now();
+    const double probes_per_second = median_of(plan_.windows, [&] {
+      const std::uint64_t before = liveness_probes();
+      const Time started_at = steady_now();
       cluster_.rest(plan_.window);
-      return static_cast<double>(signs_of_life() - before) /
-             std::chrono::duration<double>(steady_now() - from).count();
+      return static_cast<double>(liveness_probes() - before) /
+             std::chrono::duration<double>(steady_now() - started_at).count();
     });
-    series.add("engine.probes.by_managers", managers_, signs / plan_.engines);
+    series.add("engine.probes.by_managers", managers_, probes_per_second / plan_.engines);
     if (!cluster_.quiet(plan_.statement + std::chrono::seconds(10)))
-      throw TestClusterError("statements do not end", cluster_.folder());
+      throw TestClusterError("the long statements did not end in time", cluster_.folder());
   }
 
   TestCluster& cluster() { return cluster_; }
@@ -89,7 +90,8 @@
       return begun >= all;
     };
     if (!cluster_.until(all_begun, plan_.statement))
-      throw TestClusterError("the statements of a measurement did not all begin in time", cluster_.folder());
+      throw TestClusterError("the long statements did not all reach their engines in time",
+                             cluster_.folder());
   }
 
   std::uint64_t channel_bytes() {
@@ -102,11 +104,11 @@
       return open;
     });
   }
-  std::uint64_t signs_of_life() {
+  std::uint64_t liveness_probes() {
     return cluster_.on([&] {
-      std::uint64_t signs = 0;
-      for (const auto& engine : cluster_.engines()) signs += engine->signs();
-      return signs;
+      std::uint64_t probes = 0;
+      for (const auto& engine : cluster_.engines()) probes += engine->signs();
+      return probes;
     });
   }
 
@@ -136,12 +138,13 @@
 
 }  // namespace
 
-std::vector<MeasuredSeries> measure_channel_engine_slopes(const Bench& bench, const ChannelEnginePlan& plan) {
+std::vector<MeasuredSeries> measure_channel_engine_slopes(const MeasurementOptions& options,
+                                                          const ChannelEnginePlan& plan) {
   SeriesSet series;
   declare(series, plan);
   double largest_share = 0;
-  for (const int number : plan.managers) {
-    ManagersUnderMeasure managers(bench, plan, number);
+  for (const int size : plan.managers) {
+    ManagersUnderMeasure managers(options, plan, size);
     StandInLoadMeter stand_ins(managers.cluster());
     managers.measure_channel(series);
     managers.measure_engine(series);
--- a/src/lab/measurements/slopes_channel_engine.h
+++ b/src/lab/measurements/slopes_channel_engine.h
@@ -1,5 +1,5 @@
-// What the channel of the engine list and one engine see from all managers together, against how many
-// managers there are.
+// How the load of the engine-list channel and of one engine grows with the number of managers: connections,
+// bytes and liveness probes from all managers together.
 #pragma once
 
 #include <chrono>
@@ -13,13 +13,13 @@
 struct ChannelEnginePlan {
   std::vector<int> managers = {2, 4, 8, 16, 24};
   int engines = 16;
-  int windows = 3;  // of which the median counts
+  int windows = 3;  // the result is their median
   std::chrono::milliseconds window{800};
   int list_events = 10;
-  std::chrono::milliseconds statement{5000};  // lasts as long as signs of life are counted
+  std::chrono::milliseconds statement{5000};  // the length of the statements; covers all windows
 };
 
-std::vector<MeasuredSeries> measure_channel_engine_slopes(const Bench& bench,
+std::vector<MeasuredSeries> measure_channel_engine_slopes(const MeasurementOptions& options,
                                                           const ChannelEnginePlan& plan = {});
 
 }  // namespace pearchute::lab
--- a/src/lab/measurements/slopes_manager_control.cpp
+++ b/src/lab/measurements/slopes_manager_control.cpp
@@ -16,31 +16,31 @@
 namespace {
 
 constexpr milliseconds warm_up{500};
-constexpr milliseconds between_list_events{80};
-// A manager asks a connection for a sign of life where an open statement has been silent for 400 ms.
-constexpr milliseconds until_signs{700};
-constexpr milliseconds signs_window{800};
-// A burst of a thousand would be turned away in part.
-constexpr int statements_at_once = 16;
-constexpr milliseconds between_statements{12};
+constexpr milliseconds list_event_interval{80};
+// Longer than the 400 ms of silence of an open statement after which a manager sends a liveness probe.
+constexpr milliseconds liveness_probe_delay{700};
+constexpr milliseconds liveness_window{800};
+// Statements are sent in batches: the manager would reject a part of a burst of a thousand.
+constexpr int statement_batch_size = 16;
+constexpr milliseconds statement_batch_interval{12};
 
 std::string milliseconds_text(milliseconds time) { return std::to_string(time.count()) + " ms"; }
 
-ClusterSpec cluster_of(const Bench& bench, int engines) {
+ClusterSpec cluster_of(const MeasurementOptions& options, int engines) {
   ClusterSpec spec;
   spec.engines = engines;
-  spec.seed = bench.seed;
-  spec.pearchuted = bench.programs + "/pearchuted";
-  // A third of the descriptors may be clients with an open statement, and each engine gets one.
+  spec.seed = options.seed;
+  spec.pearchuted = options.programs + "/pearchuted";
+  // Clients with an open statement may take a third of the descriptors, and here there is one per engine.
   spec.sockets = 4 * engines + 512;
   spec.manager_memory_mb = 256;
-  // Statements that last for seconds are turned away where they can't be within their SLA time.
+  // A manager rejects statements that can't end within their SLA time, and these last for seconds.
   spec.sla_time = milliseconds(15'000);
   spec.slowest = milliseconds(30'000);
   return spec;
 }
 
-// A statement that is never run twice.
+// A statement of the given length, of a type that is never run twice.
 Ask long_statement(milliseconds length) {
   Ask ask;
   ask.type = "once";
@@ -50,25 +50,25 @@
   return ask;
 }
 
-// One manager over a number of stand-in engines, and the windows that are measured there.
+// One manager over a number of stand-in engines, with the measurements on it.
 class ManagerUnderMeasure {
  public:
-  ManagerUnderMeasure(const Bench& bench, const ManagerControlPlan& plan, int engines)
-      : plan_(plan), engines_(engines), cluster_(cluster_of(bench, engines)) {
+  ManagerUnderMeasure(const MeasurementOptions& options, const ManagerControlPlan& plan, int engines)
+      : plan_(plan), engines_(engines), cluster_(cluster_of(options, engines)) {
     cluster_.must_serve(static_cast<std::uint64_t>(engines));
     cluster_.rest(warm_up);
   }
 
   void measure_rest(SeriesSet& series) {
-    // The channel's comments come once a second: they are counted over all windows together.
-    const CpuMeter whole(manager());
+    // The channel sends a comment once a second, so bytes are counted over all windows together.
+    const CpuMeter all_windows(manager());
     const std::uint64_t bytes = bytes_exchanged();
     const double cpu = median_of(plan_.windows, [&] {
       const CpuMeter meter(manager());
       cluster_.rest(plan_.rest_window);
       return meter.microseconds_per_second();
     });
-    const double bytes_per_second = static_cast<double>(bytes_exchanged() - bytes) / whole.seconds();
+    const double bytes_per_second = static_cast<double>(bytes_exchanged() - bytes) / all_windows.seconds();
     rest_cpu_ = cpu;
     series.add("manager.control_cpu_at_rest.by_engines", engines_, cpu);
     series.add("manager.control_bytes_at_rest.by_engines", engines_, bytes_per_second);
@@ -88,12 +88,12 @@
     series.add("manager.status_call_cpu.by_engines", engines_, cpu);
   }
 
-  // The processor time of a start up to the moment at which the manager is at rest.
+  // The processor time of a start in us, until the manager is at rest; the cost at rest is subtracted.
   double start_cpu() {
     return median_of(plan_.windows, [&] {
       cluster_.signal(0, SIGKILL);
       if (!cluster_.until([&] { return cluster_.ended(0) != -1; }))
-        throw TestClusterError("a manager does not end", cluster_.folder());
+        throw TestClusterError("the manager did not end after SIGKILL", cluster_.folder());
       cluster_.start(0);
       const CpuMeter meter(manager());
       cluster_.rest(plan_.start_window);
@@ -103,28 +103,28 @@
     });
   }
 
-  // Opens a connection to each engine by one long statement for each, and counts what that costs beyond the
-  // same statements over connections that are open. The second time the statements last: the signs of life
-  // are counted then.
+  // Opens a connection to each engine with one long statement per engine, and takes the processor time beyond
+  // that of the same statements over open connections. The second set of statements is longer, so that
+  // liveness probes can be counted meanwhile.
   void measure_connections(SeriesSet& series, double start_cpu_difference) {
-    const double opening = dispatch_cpu(plan_.opening_statement);
+    const double opening = sending_cpu(plan_.opening_statement);
     const std::size_t connected = engines_connected();
-    if (!quiet()) throw TestClusterError("statements do not end", cluster_.folder());
-    const double reusing = dispatch_cpu(plan_.waiting_statement);
+    if (!quiet()) throw TestClusterError("the long statements did not end in time", cluster_.folder());
+    const double reusing = sending_cpu(plan_.waiting_statement);
     series.add("manager.handshake_cpu.by_engines", engines_,
                std::max(0.0, start_cpu_difference + opening - reusing));
     connected_share_ = static_cast<double>(connected) / engines_;
-    cluster_.rest(until_signs);
+    cluster_.rest(liveness_probe_delay);
     const double bytes = median_of(plan_.windows, [&] {
       const std::uint64_t before = engine_bytes();
-      const Time from = steady_now();
-      cluster_.rest(signs_window);
+      const Time started_at = steady_now();
+      cluster_.rest(liveness_window);
       return static_cast<double>(engine_bytes() - before) /
-             std::chrono::duration<double>(steady_now() - from).count();
+             std::chrono::duration<double>(steady_now() - started_at).count();
     });
     series.add("manager.heartbeat_bytes.by_engines_connected", static_cast<double>(engines_connected()),
                bytes);
-    if (!quiet()) throw TestClusterError("statements do not end", cluster_.folder());
+    if (!quiet()) throw TestClusterError("the long statements did not end in time", cluster_.folder());
   }
 
   double rest_cpu() const { return rest_cpu_; }
@@ -141,16 +141,16 @@
   void measure_events(SeriesSet& series, const std::string& name, bool whole_list) {
     std::uint64_t bytes = 0;
     const double cpu = median_of(plan_.windows, [&] {
-      // What it takes at rest is measured right before, for as long: it changes with what else the machine
-      // does.
+      // The cost at rest is measured right before, for the same time, since it varies with the machine's
+      // other load.
       const CpuMeter at_rest(manager());
-      cluster_.rest(plan_.list_events * between_list_events);
+      cluster_.rest(plan_.list_events * list_event_interval);
       const double rest_cpu = at_rest.microseconds_per_second();
       const CpuMeter meter(manager());
       const std::uint64_t sent_before = cluster_.on([&] { return cluster_.channel().bytes_sent(); });
       for (int event = 0; event < plan_.list_events; ++event) {
         cluster_.on([&] { send_event(event, whole_list); });
-        cluster_.rest(between_list_events);
+        cluster_.rest(list_event_interval);
       }
       bytes = cluster_.on([&] { return cluster_.channel().bytes_sent(); }) - sent_before;
       return (meter.microseconds() - rest_cpu * meter.seconds()) / plan_.list_events;
@@ -159,7 +159,7 @@
     series.add(name + "_bytes.by_engines", engines_, static_cast<double>(bytes) / plan_.list_events);
   }
 
-  // One engine's phase changes: told by itself, or within the whole list.
+  // Sends a change of one engine's phase, in an event with that engine alone or with the whole list.
   void send_event(int number, bool whole_list) {
     const std::size_t changed = static_cast<std::size_t>(number / 2) % static_cast<std::size_t>(engines_);
     const std::string phase = number % 2 == 0 ? "leaving" : "active";
@@ -169,16 +169,17 @@
     cluster_.channel().tell(members, true);
   }
 
-  // The manager's processor time from when a statement for each engine is offered until all run.
-  double dispatch_cpu(milliseconds length) {
+  // The manager's processor time in us for sending one statement to each engine, until all run; the cost at
+  // rest is subtracted.
+  double sending_cpu(milliseconds length) {
     const std::uint64_t begun_before = statements_begun();
     const CpuMeter meter(manager());
-    for (int offered = 0; offered < engines_; offered += statements_at_once) {
-      const int now = std::min(statements_at_once, engines_ - offered);
+    for (int sent = 0; sent < engines_; sent += statement_batch_size) {
+      const int batch = std::min(statement_batch_size, engines_ - sent);
       cluster_.on([&] {
-        for (int i = 0; i < now; ++i) cluster_.crowd().ask(0, long_statement(length), {});
+        for (int i = 0; i < batch; ++i) cluster_.crowd().ask(0, long_statement(length), {});
       });
-      cluster_.rest(between_statements);
+      cluster_.rest(statement_batch_interval);
     }
     const auto all_begun = [&] {
       return statements_begun_on_loop() >= begun_before + static_cast<std::uint64_t>(engines_);
@@ -186,8 +187,8 @@
     if (!cluster_.until(all_begun, length)) {
       const HistoryChecker::Verdict verdict = cluster_.verdict();
       throw TestClusterError(std::to_string(statements_begun() - begun_before) + " of " +
-                                 std::to_string(engines_) + " statements began in time, " +
-                                 std::to_string(verdict.refused) + " were refused",
+                                 std::to_string(engines_) + " statements reached their engines in time, " +
+                                 std::to_string(verdict.refused) + " were rejected",
                              cluster_.folder());
     }
     return meter.microseconds() - rest_cpu_ * meter.seconds();
@@ -261,31 +262,31 @@
 
 }  // namespace
 
-std::vector<MeasuredSeries> measure_manager_control_slopes(const Bench& bench,
+std::vector<MeasuredSeries> measure_manager_control_slopes(const MeasurementOptions& options,
                                                            const ManagerControlPlan& plan) {
   SeriesSet series;
   declare(series, plan);
-  double start_with_none = 0;
+  double start_cpu_without_engines = 0;
   {
     SeriesSet unused;
     declare(unused, plan);
-    ManagerUnderMeasure none(bench, plan, 0);
-    none.measure_rest(unused);
-    start_with_none = none.start_cpu();
+    ManagerUnderMeasure without_engines(options, plan, 0);
+    without_engines.measure_rest(unused);
+    start_cpu_without_engines = without_engines.start_cpu();
   }
-  double largest_share = 0, least_connected = 1;
+  double largest_share = 0, min_connected_share = 1;
   for (const int engines : plan.engines) {
-    ManagerUnderMeasure manager(bench, plan, engines);
+    ManagerUnderMeasure manager(options, plan, engines);
     StandInLoadMeter stand_ins(manager.cluster());
     manager.measure_rest(series);
     manager.measure_list_events(series);
     manager.measure_status_calls(series);
-    manager.measure_connections(series, manager.start_cpu() - start_with_none);
+    manager.measure_connections(series, manager.start_cpu() - start_cpu_without_engines);
     stand_ins.require_below_bound(largest_share);
-    least_connected = std::min(least_connected, manager.connected_share());
+    min_connected_share = std::min(min_connected_share, manager.connected_share());
   }
   series.append_to_source("manager.handshake_cpu.by_engines",
-                          std::to_string(least_connected) + " of the engines were connected at least");
+                          std::to_string(min_connected_share) + " of the engines were connected at least");
   std::vector<MeasuredSeries> all = series.take();
   for (MeasuredSeries& one : all)
     one.source += "; the stand-ins used " + std::to_string(largest_share) + " of a core at most";
--- a/src/lab/measurements/slopes_operator.cpp
+++ b/src/lab/measurements/slopes_operator.cpp
@@ -20,16 +20,17 @@
 
 namespace {
 
-constexpr int instances_of_an_agent = 20;
+constexpr int instances_per_agent = 20;
 constexpr int zones = 4;
-constexpr int rolled_at_once = 20;
+constexpr int max_concurrent_steps = 20;
 
-// Stand-in admin endpoints on one loop, in a folder of their own with the fleet file that names them.
-class Endpoints {
+// Stand-in admin endpoints on one event loop. Their sockets and the fleet file that names them are in a
+// temporary folder, which the destructor removes.
+class StandInEndpoints {
  public:
-  explicit Endpoints(int number) {
+  explicit StandInEndpoints(int number) {
     char folder[] = "/tmp/pearchute-lab-XXXXXX";
-    if (!::mkdtemp(folder)) throw SystemError("no folder for the laboratory's files", "/tmp");
+    if (!::mkdtemp(folder)) throw SystemError("can't create a folder for the laboratory's files", "/tmp");
     folder_ = folder;
     std::ofstream file(fleet_file());
     file << "[fleet]\ntimeout_ms = 5000\n";
@@ -40,13 +41,13 @@
       thread_.on([&] { managers_.push_back(std::make_unique<StandInManager>(thread_.loop(), path, name)); });
     }
   }
-  ~Endpoints() {
+  ~StandInEndpoints() {
     thread_.on([this] { managers_.clear(); });
     std::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
   }
-  Endpoints(const Endpoints&) = delete;
-  Endpoints& operator=(const Endpoints&) = delete;
+  StandInEndpoints(const StandInEndpoints&) = delete;
+  StandInEndpoints& operator=(const StandInEndpoints&) = delete;
   std::string fleet_file() const { return folder_ + "/fleet.ini"; }
 
  private:
@@ -55,29 +56,30 @@
   std::vector<std::unique_ptr<StandInManager>> managers_;
 };
 
-double status_milliseconds(const Bench& bench, int number, int repeats) {
-  const Endpoints endpoints(number);
+double status_milliseconds(const MeasurementOptions& options, int number, int repeats) {
+  const StandInEndpoints endpoints(number);
   return median_of(repeats, [&] {
-    const Ran ran = run_program(bench.programs + "/pearchutectl",
-                                {"--fleet", endpoints.fleet_file(), "--output", "json", "status"});
-    const nlohmann::json rows = nlohmann::json::parse(ran.out, nullptr, false);
-    if (ran.status != 0 || !rows.is_array() || rows.size() != static_cast<std::size_t>(number))
-      throw TestClusterError("a status over " + std::to_string(number) + " endpoints ended with status " +
-                             std::to_string(ran.status));
-    return ran.seconds * 1000;
+    const Ran result = run_program(options.programs + "/pearchutectl",
+                                   {"--fleet", endpoints.fleet_file(), "--output", "json", "status"});
+    const nlohmann::json rows = nlohmann::json::parse(result.out, nullptr, false);
+    if (result.status != 0 || !rows.is_array() || rows.size() != static_cast<std::size_t>(number))
+      throw TestClusterError("a status over " + std::to_string(number) +
+                             " endpoints failed or has missing rows, exit status " +
+                             std::to_string(result.status));
+    return result.seconds * 1000;
   });
 }
 
-double rollout_seconds(const Bench& bench, int instances) {
+double rollout_seconds(const MeasurementOptions& options, int instances) {
   RolloutSimulation::Shape shape;
-  shape.seed = bench.seed;
-  shape.agents = instances / instances_of_an_agent;
-  shape.instances_each = instances_of_an_agent;
+  shape.seed = options.seed;
+  shape.agents = instances / instances_per_agent;
+  shape.instances_each = instances_per_agent;
   shape.zones = zones;
   fleet::RolloutPlan plan;
   plan.id = "slope";
   plan.who = "lab";
-  plan.max_concurrent = rolled_at_once;
+  plan.max_concurrent = max_concurrent_steps;
   plan.gate = milliseconds(500);
   plan.warm = milliseconds(500);
   for (int zone = 0; zone < zones; ++zone)
@@ -85,13 +87,14 @@
   const RolloutSimulation::Result result = RolloutSimulation(shape).play(plan);
   if (result.state != fleet::Rollout::State::done)
     throw TestClusterError("the simulated rollout over " + std::to_string(instances) +
-                           " instances does not end");
+                           " instances did not succeed");
   return std::chrono::duration<double>(result.lasted).count();
 }
 
 }  // namespace
 
-std::vector<MeasuredSeries> measure_operator_slopes(const Bench& bench, const OperatorPlan& plan) {
+std::vector<MeasuredSeries> measure_operator_slopes(const MeasurementOptions& options,
+                                                    const OperatorPlan& plan) {
   SeriesSet series;
   series.declare({"operator.status_time.by_instances", "operator", "time of pearchutectl status", "ms",
                   "instances", "instances"},
@@ -102,9 +105,10 @@
                  "the rollout simulation, 20 instances at once of 20 for each agent, four zones, no gate "
                  "between batches, nothing goes wrong; simulated time");
   for (const int number : plan.endpoints)
-    series.add("operator.status_time.by_instances", number, status_milliseconds(bench, number, plan.repeats));
+    series.add("operator.status_time.by_instances", number,
+               status_milliseconds(options, number, plan.repeats));
   for (const int number : plan.rollout_instances)
-    series.add("operator.rollout_time.by_instances", number, rollout_seconds(bench, number));
+    series.add("operator.rollout_time.by_instances", number, rollout_seconds(options, number));
   return series.take();
 }
 
--- a/src/lab/measurements/slopes_operator.h
+++ b/src/lab/measurements/slopes_operator.h
@@ -1,4 +1,5 @@
-// What operators wait for, against the instances of the fleet: a status of all, and a rollout over all.
+// How the time that operators wait grows with the instances of the fleet: for a status of all instances, and
+// for a rollout over all of them.
 #pragma once
 
 #include <vector>
@@ -10,10 +11,12 @@
 
 struct OperatorPlan {
   std::vector<int> endpoints = {50, 100, 200, 400, 800};
-  int repeats = 3;                                                  // of a status, of which the median counts
-  std::vector<int> rollout_instances = {100, 200, 400, 800, 1000};  // multiples of 20
+  int repeats = 3;  // of a status; the result is their median
+  // Multiples of 20, the instances of one agent.
+  std::vector<int> rollout_instances = {100, 200, 400, 800, 1000};
 };
 
-std::vector<MeasuredSeries> measure_operator_slopes(const Bench& bench, const OperatorPlan& plan = {});
+std::vector<MeasuredSeries> measure_operator_slopes(const MeasurementOptions& options,
+                                                    const OperatorPlan& plan = {});
 
 }  // namespace pearchute::lab
--- a/src/lab/measurements/slopes_series.cpp
+++ b/src/lab/measurements/slopes_series.cpp
@@ -11,7 +11,7 @@
 }
 
 void SeriesSet::add(const std::string& name, double size, double value) {
-  // The difference of two readings may come out below nothing where there is hardly anything to measure.
+  // The difference of two readings may be slightly negative where the measured quantity is close to 0.
   find(name).points.push_back({size, std::max(0.0, value)});
 }
 
@@ -26,7 +26,7 @@
 
 MeasuredSeries& SeriesSet::find(const std::string& name) {
   const auto found = std::ranges::find(series_, name, [](const auto& one) { return one.description.name; });
-  if (found == series_.end()) throw SystemError("the slope '" + name + "' is not declared");
+  if (found == series_.end()) throw SystemError("the slope '" + name + "' is not declared in its group");
   return *found;
 }
 
--- a/src/lab/measurements/stand_in_load.cpp
+++ b/src/lab/measurements/stand_in_load.cpp
@@ -27,10 +27,10 @@
 void StandInLoadMeter::require_below_bound(double& largest_share) {
   const double now = share();
   largest_share = std::max(largest_share, now);
-  if (now <= most_stand_in_share) return;
+  if (now <= max_stand_in_share) return;
   throw TestClusterError("the stand-ins used " + std::to_string(now) + " of a core, over the bound of " +
-                             std::to_string(most_stand_in_share) + "; the point is void",
-                         cluster_.folder(), "measure on a machine with less else to do");
+                             std::to_string(max_stand_in_share) + "; the point is void",
+                         cluster_.folder(), "measure on a machine with less other load");
 }
 
 }  // namespace pearchute::lab
--- a/src/lab/measurements/stand_in_load.h
+++ b/src/lab/measurements/stand_in_load.h
@@ -1,4 +1,4 @@
-// How busy the loop of a laboratory's stand-ins is: a measurement is void where the stand-ins are the
+// Measures the load of the stand-ins' event loop: a measurement is void where the stand-ins are the
 // bottleneck.
 #pragma once
 
@@ -8,15 +8,15 @@
 
 namespace pearchute::lab {
 
-// Above this share of one core the stand-ins may be late, and a point that was taken meanwhile is void.
-inline constexpr double most_stand_in_share = 0.7;
+// Above this share of one core the stand-ins may answer late, and a point measured meanwhile is void.
+inline constexpr double max_stand_in_share = 0.7;
 
-// The share of a core that the loop's thread used since the meter was made.
+// The share of one core that the loop's thread has used since the construction of the meter.
 class StandInLoadMeter {
  public:
   explicit StandInLoadMeter(TestCluster& cluster);
   double share();
-  // Throws TestClusterError above the bound, and keeps the largest share seen.
+  // Raises `largest_share` to the share so far. Throws TestClusterError where it is above max_stand_in_share.
   void require_below_bound(double& largest_share);
 
  private:
--- a/tests/test_slopes.cpp
+++ b/tests/test_slopes.cpp
@@ -1,5 +1,5 @@
-// The measurement of slopes at small sizes: each group gives all its slopes with a unit, sizes and values
-// that can be, and both the JSON and the file of slopes hold every name.
+// Measures slopes at small sizes: each group returns all its slopes, each with a unit, the measured sizes and
+// plausible values, and both the JSON and the file of slopes contain every slope.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
@@ -22,13 +22,13 @@
 
 namespace {
 
-Bench bench_of_tests() {
-  Bench bench;
-  bench.programs = std::filesystem::path(PEARCHUTED).parent_path();
-  return bench;
+MeasurementOptions test_options() {
+  MeasurementOptions options;
+  options.programs = std::filesystem::path(PEARCHUTED).parent_path();
+  return options;
 }
 
-// Values that a small size may well give as nothing.
+// Slopes whose values may be 0 at a small size.
 const std::set<std::string> may_be_zero = {"agent.disk_writes.by_instances",
                                            "manager.handshake_cpu.by_engines"};
 
@@ -50,14 +50,15 @@
   assert(found == names);
 }
 
-// The first point, carried on to four sizes as if the growth were linear, so that they can be fitted.
-std::vector<capacity::Slope> fitted(const std::vector<MeasuredSeries>& group) {
+// Extrapolates the first point linearly to four sizes, as many as a fit needs.
+std::vector<capacity::Slope> fit_extrapolated(const std::vector<MeasuredSeries>& group) {
   std::vector<capacity::Slope> slopes;
   for (MeasuredSeries series : group) {
-    const std::vector<capacity::SlopePoint> few = series.points;
+    const std::vector<capacity::SlopePoint> measured_points = series.points;
     series.points.clear();
-    for (const double times : {1.0, 2.0, 4.0, 8.0})
-      series.points.push_back({few.front().driver * times, few.front().value * times});
+    for (const double factor : {1.0, 2.0, 4.0, 8.0})
+      series.points.push_back(
+          {measured_points.front().driver * factor, measured_points.front().value * factor});
     slopes.push_back(fit_series(series));
   }
   return slopes;
@@ -72,24 +73,24 @@
   const std::vector<capacity::Slope> read = capacity::read_slopes(path);
   assert(read == slopes);
   for (const capacity::Slope& slope : read) {
-    const nlohmann::json told = slope_as_json(slope);
-    assert(told.at("unit") == slope.description.unit && told.at("points").size() == slope.points.size());
-    assert(told.contains("left_out") && told.contains("error") && told.contains("shape"));
+    const nlohmann::json report = slope_as_json(slope);
+    assert(report.at("unit") == slope.description.unit && report.at("points").size() == slope.points.size());
+    assert(report.contains("left_out") && report.contains("error") && report.contains("shape"));
   }
   std::filesystem::remove(path);
 }
 
-std::vector<MeasuredSeries> manager_control(const Bench& bench) {
+std::vector<MeasuredSeries> manager_control(const MeasurementOptions& options) {
   ManagerControlPlan plan;
   plan.engines = {4};
   plan.windows = 1;
   plan.rest_window = milliseconds(1200);
-  plan.list_events = 10;  // with two, what else the machine does counts for more
+  plan.list_events = 10;  // with 2 events the machine's other load distorts the result
   plan.status_calls = 4;
   plan.start_window = milliseconds(400);
   plan.opening_statement = milliseconds(300);
   plan.waiting_statement = milliseconds(1900);
-  std::vector<MeasuredSeries> group = measure_manager_control_slopes(bench, plan);
+  std::vector<MeasuredSeries> group = measure_manager_control_slopes(options, plan);
   check_group(group,
               {"manager.control_cpu_at_rest.by_engines", "manager.control_bytes_at_rest.by_engines",
                "manager.list_event_cpu.by_engines", "manager.list_event_bytes.by_engines",
@@ -100,14 +101,14 @@
   return group;
 }
 
-std::vector<MeasuredSeries> agent(const Bench& bench) {
+std::vector<MeasuredSeries> agent(const MeasurementOptions& options) {
   AgentPlan plan;
   plan.agents = {2};
   plan.instances = {1};
   plan.windows = 1;
   plan.warm_up = milliseconds(300);
   plan.window = milliseconds(1200);
-  std::vector<MeasuredSeries> group = measure_agent_slopes(bench, plan);
+  std::vector<MeasuredSeries> group = measure_agent_slopes(options, plan);
   for (MeasuredSeries& series : group) {
     assert(series.points.size() == 1);
     assert(series.source.find("simulat") == std::string::npos);
@@ -121,29 +122,29 @@
   return group;
 }
 
-std::vector<MeasuredSeries> channel_engine(const Bench& bench) {
+std::vector<MeasuredSeries> channel_engine(const MeasurementOptions& options) {
   ChannelEnginePlan plan;
   plan.managers = {2};
   plan.statement = milliseconds(1900);
   plan.engines = 2;
   plan.windows = 1;
   plan.list_events = 2;
-  std::vector<MeasuredSeries> group = measure_channel_engine_slopes(bench, plan);
+  std::vector<MeasuredSeries> group = measure_channel_engine_slopes(options, plan);
   check_group(group,
               {"channel.connections.by_managers", "channel.bytes.by_managers",
                "engine.connections.by_managers", "engine.probes.by_managers"},
               plan.managers.size());
-  // A stream for each manager, and none beyond.
+  // One stream per manager.
   assert(group.front().points.front().value == 2);
   return group;
 }
 
-std::vector<MeasuredSeries> operators(const Bench& bench) {
+std::vector<MeasuredSeries> operators(const MeasurementOptions& options) {
   OperatorPlan plan;
   plan.endpoints = {4, 8};
   plan.repeats = 1;
   plan.rollout_instances = {40, 80};
-  std::vector<MeasuredSeries> group = measure_operator_slopes(bench, plan);
+  std::vector<MeasuredSeries> group = measure_operator_slopes(options, plan);
   check_group(group, {"operator.status_time.by_instances", "operator.rollout_time.by_instances"},
               plan.endpoints.size());
   return group;
@@ -154,10 +155,10 @@
 int main() {
   net::start_log("test");
   spdlog::set_level(spdlog::level::err);
-  const Bench bench = bench_of_tests();
+  const MeasurementOptions options = test_options();
   std::vector<capacity::Slope> slopes;
   for (const auto measure : {operators, channel_engine, manager_control, agent}) {
-    const std::vector<capacity::Slope> group = fitted(measure(bench));
+    const std::vector<capacity::Slope> group = fit_extrapolated(measure(options));
     slopes.insert(slopes.end(), group.begin(), group.end());
   }
   check_file_and_json(slopes);
