--- a/tests/test_characterization_messages.cpp
+++ b/tests/test_characterization_messages.cpp
@@ -1,9 +1,9 @@
-// Characterization of every message that goes over a wire or to a disk as protobuf: the shape of the services
-// and messages in src/proto, as far as a peer or a file of another build can notice it. That is the full name
-// of each method, and of each field its number, type and label; names of messages, fields and files are not
-// on the wire. Written from the build of 2026-12-02.
+// Characterization of every protobuf message that is sent or stored: the parts of the services and messages
+// in src/proto that matter to a peer or a file of another build. These are the full name of each method and
+// the number, type and label of each field. Names of messages, fields and files are not encoded. The expected
+// values are those of the build of 2026-12-02.
 //
-// The expected values are not changed in a sitting that renames: a difference there is a rename that broke
+// A change that only renames must not change the expected values: a difference means that the rename breaks
 // the protocol.
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/descriptor.pb.h>
@@ -21,7 +21,8 @@
 using google::protobuf::FieldDescriptor;
 using google::protobuf::FileDescriptor;
 
-// All of src/proto by its descriptors: the lite runtime of two of the files has none, so protoc writes them.
+// Reads the descriptors of all files in src/proto from a file that protoc writes, since two of the files use
+// the lite runtime, which has no descriptors.
 class MessagesTest : public testing::Test {
  protected:
   MessagesTest() {
@@ -55,7 +56,7 @@
   return text + ")";
 }
 
-// Fields by their numbers, those of messages within written out.
+// The fields in the order of their numbers, with the shapes of nested messages written out.
 std::string shape_of(const Descriptor& message) {
   std::vector<const FieldDescriptor*> fields;
   for (int i = 0; i < message.field_count(); ++i) fields.push_back(message.field(i));
@@ -65,7 +66,7 @@
   return text + "}";
 }
 
-// The shapes of the messages that no other message holds, sorted.
+// The sorted shapes of the messages that are no field's type.
 std::vector<std::string> outermost_shapes(const FileDescriptor& file) {
   std::set<const Descriptor*> within;
   for (int i = 0; i < file.message_type_count(); ++i) {
--- a/tests/test_characterization_persistence.cpp
+++ b/tests/test_characterization_persistence.cpp
@@ -1,10 +1,10 @@
-// Characterization of what is on disk: an agent's store (SQLite) and a manager's file of operators' orders.
-// The files under data/characterization were written by the build of 2026-12-02 (commit 00483fc) by the
-// functions `write_store` and `write_orders` below; this build has to read every field of them, and to write
-// the same.
+// Characterization of the data on disk: an agent's store (SQLite) and a manager's file of operators' orders.
+// The functions `write_store` and `write_orders` below wrote the files under data/characterization with the
+// build of 2026-12-02 (commit 00483fc). This build has to read every field of them and to write the same
+// contents.
 //
-// The expected values and the files are not changed in a sitting that renames: a difference there is a rename
-// that loses what an installation has kept.
+// A change that only renames must not change the expected values or the files: a difference means that the
+// rename loses data of existing installations.
 #include <SQLiteCpp/SQLiteCpp.h>
 #include <gtest/gtest.h>
 
@@ -36,7 +36,7 @@
     folder_ = mkdtemp(name);
   }
   ~PersistenceTest() override { std::filesystem::remove_all(folder_); }
-  // A copy, since opening may write.
+  // A copy, since opening a file may change it.
   std::string copy_of(const char* file) const {
     const std::string copy = folder_ + "/copy";
     std::filesystem::copy_file(file, copy);
@@ -95,7 +95,7 @@
   return rollout;
 }
 
-// One more, so that each state and stage is on disk once.
+// A rollout in the given state; `number` sets its stage, so that each state and each stage is stored.
 store::RolloutRecord rollout_in(fleet::Rollout::State state, int number) {
   store::RolloutRecord rollout;
   rollout.plan.id = "s" + std::to_string(number), rollout.plan.who = "ben", rollout.state = state;
@@ -138,7 +138,7 @@
   ASSERT_TRUE(store.write_config(configuration()));
 }
 
-// Every table with its columns, and every row, as they lie in the file.
+// Every table with its columns and rows, as text, ordered by the names of the tables.
 std::vector<std::string> contents_of(const std::string& file) {
   std::vector<std::string> lines;
   SQLite::Database database(file);
@@ -253,7 +253,7 @@
   EXPECT_EQ(newest.stages.at("i1"), fleet::Rollout::Stage::warming);
   EXPECT_EQ(newest.stages.at("i2"), fleet::Rollout::Stage::waiting);
   for (std::size_t number = 0; number < std::size(all_states); ++number) {
-    const store::RolloutRecord& one = rollouts[rollouts.size() - 1 - number];  // the newest first
+    const store::RolloutRecord& one = rollouts[rollouts.size() - 1 - number];  // the newest is first
     EXPECT_EQ(one.plan.id, "s" + std::to_string(number));
     EXPECT_EQ(one.state, all_states[number]);
     EXPECT_EQ(one.stages.at("i1"), static_cast<fleet::Rollout::Stage>(number % 6));
--- a/tests/test_glossary.cpp
+++ b/tests/test_glossary.cpp
@@ -1,4 +1,4 @@
-// Names that docs/glossary.md gives as the code's own have to occur in the sources.
+// The names in the code column of docs/glossary.md have to occur as identifiers in the sources.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -19,7 +19,7 @@
   return text.str();
 }
 
-// A word in a comment is no name in the code.
+// All identifiers and keywords in the .h and .cpp files below the folder; words in comments don't count.
 std::set<std::string> identifiers_below(const std::filesystem::path& folder) {
   std::set<std::string> identifiers;
   const std::regex word("[A-Za-z_][A-Za-z0-9_]*"), comment("//[^\n]*");
@@ -33,7 +33,7 @@
   return identifiers;
 }
 
-// The cells of one row, without the empty ones before its first and behind its last bar.
+// The cells of one table row, without the text before the first bar and after the last one.
 std::vector<std::string> cells_of(const std::string& row) {
   std::vector<std::string> cells;
   std::istringstream in(row);
@@ -73,7 +73,7 @@
   EXPECT_GT(names_seen, 0U);
 }
 
-// What the architecture page names as a class has to be one.
+// Each name in CamelCase on the architecture page has to occur in the sources.
 TEST(Architecture, ClassesOccurInTheSources) {
   const std::set<std::string> identifiers = identifiers_below(SOURCE_FOLDER);
   const std::regex camel_case("[A-Z][a-z]+([A-Z][a-z]*)*");
--- a/tests/test_log_lines.cpp
+++ b/tests/test_log_lines.cpp
@@ -1,5 +1,5 @@
-// Whoever is on call looks a log line up by its words: each kind of line that the manager or the agent writes
-// has to stand on the on-call page, by the longest part of it that doesn't change.
+// Operators on call look up log lines by their text: the on-call page has to contain the longest fixed part
+// of each log line that the manager or the agent writes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
   return joined;
 }
 
-// The string literal at the position of its first quote, with those that follow it directly.
+// The string literal whose first quote is at `at`, joined with the literals that follow it directly.
 std::string literal_at(const std::string& text, std::size_t at) {
   std::string literal;
   while (at < text.size() && text[at] == '"') {
@@ -39,8 +39,8 @@
   return literal;
 }
 
-// The forms of the log calls in a source file: of each call the first literal before its end. A request's own
-// lines go through a function of the file that writes them.
+// The format strings of the log calls in a source file: the first literal of each call. request_log.cpp
+// writes its lines with a function `write` of its own.
 std::vector<std::string> log_forms_in(const std::filesystem::path& file) {
   std::vector<std::string_view> calls = {"PEARCHUTE_LOG(", "spdlog::info(", "spdlog::warn(",
                                          "spdlog::error("};
@@ -56,7 +56,7 @@
   return forms;
 }
 
-// The longest part of a form between its placeholders, without the punctuation around it.
+// The longest part of a format string between its placeholders, without the punctuation around it.
 std::string longest_fixed_part(const std::string& form) {
   constexpr std::string_view around = " :;,()";
   std::string longest;
@@ -73,7 +73,7 @@
   return longest;
 }
 
-// The laboratory is not run in service, and the command line writes no log.
+// The laboratory doesn't run in production, and the command line writes no log.
 bool writes_no_log_in_service(const std::filesystem::path& file) {
   const std::string path = file.string();
   return path.find("/src/lab/") != std::string::npos || path.find("/src/ctl/") != std::string::npos;
@@ -83,18 +83,19 @@
 
 TEST(LogLines, StandOnTheOnCallPage) {
   const std::string page = with_single_spaces(text_of(ON_CALL));
-  constexpr std::size_t shortest = 4;  // below, a line has no words of its own: it passes on another's
+  // A line whose fixed parts are shorter has no text of its own: it passes on another message.
+  constexpr std::size_t min_part_length = 4;
   std::size_t lines_seen = 0;
   for (const auto& entry : std::filesystem::recursive_directory_iterator(SOURCE_FOLDER)) {
     const std::filesystem::path& file = entry.path();
     if ((file.extension() != ".h" && file.extension() != ".cpp") || writes_no_log_in_service(file)) continue;
     for (const std::string& form : log_forms_in(file)) {
       const std::string part = longest_fixed_part(form);
-      if (part.size() < shortest) continue;
+      if (part.size() < min_part_length) continue;
       ++lines_seen;
       EXPECT_NE(page.find(part), std::string::npos) << file.filename() << ": \"" << form << "\"";
     }
   }
-  constexpr std::size_t fewest_lines = 50;  // fewer would mean that the log calls are not found any more
-  EXPECT_GE(lines_seen, fewest_lines);
+  constexpr std::size_t min_lines = 50;  // fewer mean that the search misses log calls
+  EXPECT_GE(lines_seen, min_lines);
 }
