--- a/src/core/arrival_order.h
+++ b/src/core/arrival_order.h
@@ -18,14 +18,14 @@
 class ArrivalOrder {
  public:
   // A request that has been read, with the bounds of its arrival time.
-  struct Call {
+  struct Arrival {
     RequestId id;
     OrderKey key;
     TimePoint earliest{}, latest{};  // its last byte arrived between these
     TimePoint read{};                // when it was read
   };
   // A request that is released. `arrival_order_known`: its place among the requests of its key is certain.
-  struct Settled {
+  struct ReleasedRequest {
     RequestId id;
     bool arrival_order_known = true;
   };
@@ -33,19 +33,19 @@
   // time are not waited for.
   static constexpr std::chrono::milliseconds max_wait{300};
 
-  void came(const Call& call) { waiting_.push_back(call); }
+  void on_request_read(const Arrival& call) { waiting_.push_back(call); }
   // Drops a waiting request, such as one whose client has disconnected.
-  void withdrawn(RequestId id);
+  void on_request_cancelled(RequestId id);
   // Removes and returns the requests that are released now, in order of arrival. `read_up_to`: everything
   // that arrived before this time has been read.
-  std::vector<Settled> settle(TimePoint now, TimePoint read_up_to);
+  std::vector<ReleasedRequest> release(TimePoint now, TimePoint read_up_to);
   bool empty() const { return waiting_.empty(); }
   // The time up to which everything has to be read for the first waiting request to be released; max() if no
   // request waits.
   TimePoint needs_read_up_to() const;
 
  private:
-  std::vector<Call> waiting_;
+  std::vector<Arrival> waiting_;
 };
 
 }  // namespace pearchute
--- a/src/core/decision_sink.h
+++ b/src/core/decision_sink.h
@@ -15,13 +15,13 @@
   virtual ~DecisionSink() = default;
   // Sends the request's next attempt; attempts of a request are numbered from 0. A `time_limit` of 0 stands
   // for the request timeout.
-  virtual void dispatch(RequestId request, EngineId engine, Duration time_limit) = 0;
-  // Called before `dispatch`. A grant of 0 MB leaves the choice to the engine. Priorities range from 0 to 3,
-  // the highest.
+  virtual void send_attempt(RequestId request, EngineId engine, Duration time_limit) = 0;
+  // Called before `send_attempt`. A grant of 0 MB leaves the choice to the engine. Priorities range from 0 to
+  // 3, the highest.
   virtual void set_execution_terms(RequestId request, double grant_mb, int priority) = 0;
-  // Called before `dispatch` of a repeat that engines recognize only within the given time: if the attempt
-  // has not been sent by then, it ends as unreachable. An implementation that sends attempts at once can
-  // ignore it.
+  // Called before `send_attempt` of a repeat that engines recognize only within the given time: if the
+  // attempt has not been sent by then, it ends as unreachable. An implementation that sends attempts at once
+  // can ignore it.
   virtual void limit_send_delay(RequestId, Duration) {}
   virtual void cancel_attempt(RequestId request, int attempt_index) = 0;
   // Called before `throttle` or `fail` with the reason.
--- a/src/core/workload_manager.cpp
+++ b/src/core/workload_manager.cpp
@@ -193,7 +193,7 @@
   queue_.release(now);
 }
 
-void WorkloadManager::closing(TimePoint now) {
+void WorkloadManager::on_shutdown(TimePoint now) {
   requests_.visit_by_arrival([&](RequestState& state) {
     reject(now, state, RejectionReason::shutting_down);
     return true;
@@ -256,7 +256,7 @@
   if (const auto latest = retries_.latest_repeat(type, state)) {
     sink_.limit_send_delay(id, std::max(*latest - now, Duration(1)));
   }
-  sink_.dispatch(id, engine.id(), Duration(0));
+  sink_.send_attempt(id, engine.id(), Duration(0));
 }
 
 // ---- Final answers
--- a/src/core/workload_manager.h
+++ b/src/core/workload_manager.h
@@ -71,17 +71,17 @@
   // A wake-up that was scheduled through the sink is due.
   void on_wakeup(TimePoint now, std::uint64_t token);
   // The program shuts down: each open request receives its final answer now.
-  void closing(TimePoint now);
+  void on_shutdown(TimePoint now);
 
   // Estimates that the decisions use, for operators. Reading them does not affect any decision.
   struct EngineEstimate {
     double slots = 0;  // threads
     double capacity_mb = 0;
-    bool is_cold = false;  // in slow start
+    bool is_warming_up = false;  // in slow start
   };
   // Calls `visit(engine, estimate)` for each engine, by id.
   template <class Visit>
-  void tell_engines(TimePoint now, Visit visit) const {
+  void visit_engines(TimePoint now, Visit visit) const {
     for (const auto& [id, engine] : engines_) {
       const EngineEstimate estimate{grants_.slots(now, engine), grants_.capacity_mb(engine),
                                     slow_start_.is_warming_up(now, engine)};
--- a/src/daemon/admin_binding.cpp
+++ b/src/daemon/admin_binding.cpp
@@ -157,7 +157,7 @@
   void on_poll(TimePoint now) override {
     configuration_.on_poll();
     if (phase_ < net::Program::Phase::leaving)
-      quiescence_.update(now.time_since_epoch(), components_.front.idle());
+      quiescence_.update(now.time_since_epoch(), components_.front.is_idle());
   }
 
   // ---- fleet::Drains::Host and fleet::Quiescence::Host
@@ -171,7 +171,7 @@
     components_.front.on_endpoints_changed(EndpointUpdate::delta, {endpoint});
   }
   void manager_drains(bool drains) override {
-    quiescence_.set_drain_ordered(now_since_start(), drains, components_.front.idle());
+    quiescence_.set_drain_ordered(now_since_start(), drains, components_.front.is_idle());
   }
   void wake_at(Duration when) override {
     if (next_timer_ && *next_timer_ <= when && *next_timer_ > now_since_start()) return;
@@ -318,7 +318,7 @@
       to.set_kind(name_at(components_.deployment.kinds, endpoint.engine.kind.value));
       to.set_said(std::string(fleet::name_of(admin_state_of(endpoint.engine.state))));
       to.set_state(std::string(fleet::name_of(drains_.state_of(endpoint.name))));
-      to.set_cold(estimate.is_cold), to.set_live_mb(engine.ledger.reserved_mb()),
+      to.set_cold(estimate.is_warming_up), to.set_live_mb(engine.ledger.reserved_mb()),
           to.set_capacity_mb(estimate.capacity_mb);
       to.set_live_threads(static_cast<std::uint32_t>(std::max(engine.ledger.reserved_threads(), 0)));
       to.set_slots(estimate.slots), to.set_closed_for_ms(to_ms(engine.health.ejected_until - TimePoint(now)));
@@ -327,7 +327,7 @@
       to.set_on_trial(engine.health.on_probation), to.set_pace(engine.latency.ratio),
           to.set_error_rate(engine.health.error_rate);
       to.set_connections(static_cast<std::uint32_t>(sockets.connections));
-      to.set_dispatches(static_cast<std::uint32_t>(sockets.dispatches));
+      to.set_dispatches(static_cast<std::uint32_t>(sockets.outstanding_attempts));
       to.set_kept_back(static_cast<std::uint32_t>(sockets.unsent_requests));
       to.set_oldest_ms(to_ms(oldest));
       for (const fleet::ActiveDirective& active : drains_.in_force(endpoint.name)) {
@@ -350,10 +350,10 @@
     components_.front.visit_requests(page_items(page), [&](const net::Front::RequestView& request) {
       admin::v1::Job to;
       to.set_id(request.id), to.set_type(request.type);
-      to.set_age_ms(to_ms(request.age)), to.set_left_ms(request.left.count() / 1000);
-      to.set_dispatches(static_cast<std::uint32_t>(request.dispatches));
-      for (const EngineId engine : request.out) to.add_out(names[engine]);
-      to.set_waits_for(std::string(name_of(request.waits)));
+      to.set_age_ms(to_ms(request.age)), to.set_left_ms(request.time_left.count() / 1000);
+      to.set_dispatches(static_cast<std::uint32_t>(request.attempt_count));
+      for (const EngineId engine : request.engines) to.add_out(names[engine]);
+      to.set_waits_for(std::string(name_of(request.queued_for)));
       if (budget.take(to)) *jobs.add_jobs() = std::move(to);
     });
   }
@@ -410,13 +410,13 @@
       reply.set_outcome(admin::v1::refused);
       reply.set_fault("the manager is shutting down already");
     } else if (end.called_off()) {
-      quiescence_.cancel_shutdown(now, components_.front.idle());
+      quiescence_.cancel_shutdown(now, components_.front.is_idle());
     } else if (end.within_ms() > max_shutdown_timeout_ms) {
       reply.set_outcome(admin::v1::unusable);
       reply.set_fault("the shutdown timeout is " + std::to_string(end.within_ms()) +
                       " ms; the longest is one day (86400000 ms)");
     } else {
-      quiescence_.request_shutdown(now, milliseconds(end.within_ms()), components_.front.idle());
+      quiescence_.request_shutdown(now, milliseconds(end.within_ms()), components_.front.is_idle());
     }
     fill_identity(*reply.mutable_identity());
   }
--- a/src/daemon/program.cpp
+++ b/src/daemon/program.cpp
@@ -110,7 +110,7 @@
   if (const std::string channel = configuration.value("channel", ""); !channel.empty())
     resolved_address(channel, "channel");
   if (const auto known = configuration.find("known"); known != configuration.end()) {
-    const EndpointList::Change change = EndpointList(deployment, milliseconds(0)).known(*known);
+    const EndpointList::Change change = EndpointList(deployment, milliseconds(0)).load_cached(*known);
     if (change.result != EndpointList::EventResult::applied) throw ConfigurationError(change.fault, "known");
   }
 }
@@ -152,24 +152,25 @@
   front_ = std::make_unique<Front>(loop_, deployment_, seed_in(configuration), descriptors, memory_mb << 20,
                                    counters_);
   if (make_extension) {
-    extension_ = make_extension({loop_, *front_, deployment_, name_, digest_of(configuration),
-                                 [] { shutdown_requested = 1; }, [this] { return front_->counters_now(); }});
+    extension_ =
+        make_extension({loop_, *front_, deployment_, name_, digest_of(configuration),
+                        [] { shutdown_requested = 1; }, [this] { return front_->counters_as_json(); }});
   }
-  endpoint_list_->heard(loop_.now(), false);
+  endpoint_list_->on_data_received(loop_.now(), false);
   if (const auto known = configuration.find("known"); known != configuration.end()) {
-    const EndpointList::Change change = endpoint_list_->known(*known);
+    const EndpointList::Change change = endpoint_list_->load_cached(*known);
     if (change.result == EndpointList::EventResult::applied)
       endpoint_listener().on_endpoints_changed(change.update, change.endpoints);
     else spdlog::warn("ignored the endpoint list in the configuration ('known'): {}", change.fault);
-    endpoint_list_->heard(loop_.now(), true);
+    endpoint_list_->on_data_received(loop_.now(), true);
   }
   listener_ = std::make_unique<ListeningSocket>(
       loop_, resolved_address(address, "listen"),
       [this](const Poco::Net::StreamSocket& socket) { front_->on_client_accepted(socket); });
   if (const std::string channel = configuration.value("channel", ""); !channel.empty()) {
-    endpoint_watch_ =
-        std::make_unique<EndpointWatch>(loop_, channel, *endpoint_list_, endpoint_listener(), counters_);
-    endpoint_watch_->open();
+    endpoint_list_client_ =
+        std::make_unique<EndpointListClient>(loop_, channel, *endpoint_list_, endpoint_listener(), counters_);
+    endpoint_list_client_->open();
   }
   fixed_settings_ = fixed_settings(configuration);
   enter(endpoint_list_->has_endpoints() ? Phase::serving : Phase::listing);
@@ -178,7 +179,7 @@
 
 Program::~Program() = default;
 
-EndpointWatch::Listener& Program::endpoint_listener() {
+EndpointListClient::Listener& Program::endpoint_listener() {
   if (extension_) return *extension_;
   return *front_;
 }
@@ -219,12 +220,12 @@
                resolved_address(channel, "channel").toString());
   if (fixed_settings(configuration) != fixed_settings_)
     spdlog::warn("other settings in the configuration have changed; they take effect at the next restart");
-  if (endpoint_watch_) {
-    endpoint_watch_->set_address(channel);
+  if (endpoint_list_client_) {
+    endpoint_list_client_->set_address(channel);
   } else {
-    endpoint_watch_ =
-        std::make_unique<EndpointWatch>(loop_, channel, *endpoint_list_, endpoint_listener(), counters_);
-    endpoint_watch_->open();
+    endpoint_list_client_ =
+        std::make_unique<EndpointListClient>(loop_, channel, *endpoint_list_, endpoint_listener(), counters_);
+    endpoint_list_client_->open();
   }
   apply_newer_endpoint_events(configuration);
 }
@@ -235,7 +236,7 @@
   const auto known = configuration.find("known");
   if (known == configuration.end()) return;
   try {
-    endpoint_list_->heard(loop_.now(), false);
+    endpoint_list_->on_data_received(loop_.now(), false);
     endpoint_list_->apply_newer(*known, [this](const EndpointList::Change& change) {
       endpoint_listener().on_endpoints_changed(change.update, change.endpoints);
     });
@@ -253,7 +254,7 @@
   constexpr seconds counters_log_interval(10);
   if (counters_requested || now - counters_logged_at_ >= counters_log_interval) {
     counters_requested = 0, counters_logged_at_ = now;
-    spdlog::info("counters {}", front_->counters_now());
+    spdlog::info("counters {}", front_->counters_as_json());
   }
   if (reload_requested && phase_ < Phase::finishing) {
     reload_requested = 0;
@@ -272,22 +273,23 @@
     // another 0.2 s; 0.1 s more allows for transit.
     const bool have_all_requests_arrived = now - shutdown_requested_at_ > milliseconds(750);
     // No attempt is sent in the last 0.1 s: it could reach its engine after the final response.
-    if (now - shutdown_requested_at_ > shutdown_timeout_ - milliseconds(100)) front_->send_nothing();
-    if (now - shutdown_requested_at_ > shutdown_timeout_) front_->answer_all();
+    if (now - shutdown_requested_at_ > shutdown_timeout_ - milliseconds(100)) front_->stop_sending();
+    if (now - shutdown_requested_at_ > shutdown_timeout_) front_->answer_open_requests();
     if (have_all_requests_arrived) front_->close_idle_connections();
     // idle() also waits for clients that have lost their connection and may still fetch their response; the
     // platform's kill timeout bounds the wait.
     if (have_all_requests_arrived &&
-        (front_->idle() || now - shutdown_requested_at_ > shutdown_timeout_ + milliseconds(50))) {
+        (front_->is_idle() || now - shutdown_requested_at_ > shutdown_timeout_ + milliseconds(50))) {
       listener_->shut();
       finishing_since_ = now;
-      front_->answer_all();  // requests that still arrive on open connections are rejected, not lost
+      // Requests that still arrive on open connections are rejected, not lost.
+      front_->answer_open_requests();
       enter(Phase::finishing);
     }
   } else if (phase_ == Phase::finishing && !listener_->is_shut()) {
     finishing_since_ = now;  // connections that the closing socket still accepts get their responses
   } else if (phase_ == Phase::finishing && now - finishing_since_ > milliseconds(100) &&
-             (front_->all_written() ||
+             (front_->has_written_all() ||
               now - shutdown_requested_at_ > shutdown_timeout_ + milliseconds(150))) {
     // Requests sent while their connection was being closed have arrived by now, and the last responses are
     // written or the time for them is over.
@@ -302,7 +304,7 @@
 int Program::run() {
   loop_.settle();
   loop_.run();
-  spdlog::info("counters {}", front_->counters_now());
+  spdlog::info("counters {}", front_->counters_as_json());
   flush_log();
   return 0;
 }
--- a/src/daemon/program.h
+++ b/src/daemon/program.h
@@ -29,7 +29,7 @@
   };
   // Extends a running program, as the admin channel does. Sits between the endpoint list and the front: it
   // receives each change of the endpoint list in place of the front, and passes it on.
-  class Extension : public EndpointWatch::Listener {
+  class Extension : public EndpointListClient::Listener {
    public:
     virtual void on_phase_entered(Phase phase) = 0;
     // Called on each poll, about fifty times a second, after a requested reload has been tried.
@@ -63,7 +63,7 @@
   void reload_configuration();
   void apply_configuration();  // throws std::exception where the configuration is unusable
   void apply_newer_endpoint_events(const nlohmann::json& configuration);
-  EndpointWatch::Listener& endpoint_listener();
+  EndpointListClient::Listener& endpoint_listener();
 
   Phase phase_ = Phase::starting;
   Counters counters_;
@@ -74,7 +74,7 @@
   std::unique_ptr<EndpointList> endpoint_list_;
   std::unique_ptr<Front> front_;
   std::unique_ptr<Extension> extension_;  // declared after front_, so that it is destroyed before it
-  std::unique_ptr<EndpointWatch> endpoint_watch_;
+  std::unique_ptr<EndpointListClient> endpoint_list_client_;
   std::unique_ptr<ListeningSocket> listener_;
   TimePoint counters_logged_at_{}, shutdown_requested_at_{}, finishing_since_{}, next_reload_at_{};
   Duration shutdown_timeout_{};               // from the shutdown request to the last responses
--- a/src/engines/endpoint_list.cpp
+++ b/src/engines/endpoint_list.cpp
@@ -46,12 +46,12 @@
     }
     change.result = EventResult::applied;
   } catch (const std::exception& error) {
-    change.result = EventResult::broken, change.fault = error.what();
+    change.result = EventResult::malformed, change.fault = error.what();
   }
   return change;
 }
 
-EndpointList::Change EndpointList::known(const json& known) {
+EndpointList::Change EndpointList::load_cached(const json& known) {
   std::map<EngineId, DiscoveredEndpoint> endpoints;
   Change cached;
   for (const json& event : known.value("cmds", json::array())) {
@@ -70,7 +70,7 @@
   return cached;
 }
 
-EndpointList::Change EndpointList::event(std::string_view id, std::string_view data, bool gap_allowed) {
+EndpointList::Change EndpointList::apply_event(std::string_view id, std::string_view data, bool gap_allowed) {
   Change change;
   json event = json::parse(data, nullptr, false);
   if (event.is_discarded() || !event.is_object()) {
@@ -92,7 +92,7 @@
 void EndpointList::apply_newer(const json& known, const std::function<void(const Change&)>& on_applied) {
   for (const json& event : known.value("cmds", json::array())) {
     const Change change = apply(event, event.value("cursor", std::int64_t{0}), false);
-    if (change.result == EventResult::old) continue;
+    if (change.result == EventResult::duplicate) continue;
     if (change.result != EventResult::applied) return;  // the stream delivers this event
     on_applied(change);
   }
@@ -102,7 +102,7 @@
 EndpointList::Change EndpointList::apply(const json& event, std::int64_t version, bool gap_allowed) {
   Change change;
   if (version <= resume_version_) {
-    change.result = EventResult::old;
+    change.result = EventResult::duplicate;
     return change;
   }
   change = read(event);
@@ -133,11 +133,11 @@
   });
 }
 
-EndpointWatch::EndpointWatch(Loop& loop, std::string address, EndpointList& list, Listener& listener,
-                             Counters& counters)
+EndpointListClient::EndpointListClient(Loop& loop, std::string address, EndpointList& list,
+                                       Listener& listener, Counters& counters)
     : loop_(loop), address_(std::move(address)), list_(list), listener_(listener), counters_(counters) {}
 
-EndpointWatch::~EndpointWatch() = default;
+EndpointListClient::~EndpointListClient() = default;
 
 namespace {
 
@@ -156,7 +156,7 @@
 
 }  // namespace
 
-void EndpointWatch::open() {
+void EndpointListClient::open() {
   last_data_at_ = opened_at_ = loop_.now();
   broken_ = received_data_ = false;
   const std::uint64_t stream_number = ++opened_;
@@ -176,7 +176,7 @@
   check_timeouts_later(stream_number);
 }
 
-void EndpointWatch::set_address(std::string address) {
+void EndpointListClient::set_address(std::string address) {
   if (address == address_) return;
   address_ = std::move(address);
   backoff_ = Duration(0);
@@ -184,9 +184,9 @@
   reopen("the channel's address has changed");
 }
 
-void EndpointWatch::on_opened() { last_data_at_ = loop_.now(); }
+void EndpointListClient::on_opened() { last_data_at_ = loop_.now(); }
 
-void EndpointWatch::check_timeouts_later(std::uint64_t stream_number) {
+void EndpointListClient::check_timeouts_later(std::uint64_t stream_number) {
   loop_.at(loop_.now() + milliseconds(100), [this, stream_number] {
     if (stream_number != opened_ || !connection_) return;
     Duration timeout = connection_->opened() ? first_data_timeout : connect_timeout;
@@ -197,12 +197,12 @@
   });
 }
 
-void EndpointWatch::on_data(std::string_view bytes) {
+void EndpointListClient::on_data(std::string_view bytes) {
   last_data_at_ = loop_.now();
   received_data_ = true;
   timeout_factor_ = 1;
   // A stream delivers all missing events as soon as it is open, so after a second the list is current.
-  list_.heard(last_data_at_, last_data_at_ - opened_at_ >= stable_after);
+  list_.on_data_received(last_data_at_, last_data_at_ - opened_at_ >= stable_after);
   const Connection* current = connection_.get();
   const bool valid = stream_->feed(bytes);
   if (connection_.get() != current || !connection_)
@@ -210,23 +210,23 @@
   if (!valid || broken_) reopen("the response is not a valid event stream");
 }
 
-void EndpointWatch::on_event(std::string_view id, std::string_view data) {
+void EndpointListClient::on_event(std::string_view id, std::string_view data) {
   if (broken_) return;  // events after a malformed event or a gap are sent again on the next stream
   ++counters_.list_events;
-  const EndpointList::Change change = list_.event(id, data, gap_seen_);
+  const EndpointList::Change change = list_.apply_event(id, data, gap_seen_);
   switch (change.result) {
     case EndpointList::EventResult::applied:
       gap_seen_ = false;
       listener_.on_endpoints_changed(change.update, change.endpoints);
       break;
-    case EndpointList::EventResult::old:
+    case EndpointList::EventResult::duplicate:
       break;
     case EndpointList::EventResult::gap:
       PEARCHUTE_LOG(spdlog::level::warn, "endpoint list: event {} follows version {}; events are missing", id,
                     list_.resume_version());
       gap_seen_ = broken_ = true;
       break;
-    case EndpointList::EventResult::broken:
+    case EndpointList::EventResult::malformed:
       ++counters_.broken_events;
       PEARCHUTE_LOG(spdlog::level::warn, "endpoint list: event {} is malformed: {}", id, change.fault);
       broken_ = true;
@@ -234,7 +234,7 @@
   }
 }
 
-void EndpointWatch::reopen(const char* reason) {
+void EndpointListClient::reopen(const char* reason) {
   PEARCHUTE_LOG(spdlog::level::warn, "endpoint list: {}; reopening the stream", reason);
   loop_.retire(std::move(connection_));
   connection_.reset();
--- a/src/engines/endpoint_list.h
+++ b/src/engines/endpoint_list.h
@@ -33,24 +33,26 @@
   EndpointList(const service::Deployment& deployment, std::chrono::milliseconds unix_start)
       : deployment_(deployment), start_times_(unix_start) {}
 
-  // old: applied before; gap: events before it are missing; broken: malformed, see `fault`.
-  enum class EventResult { applied, old, gap, broken };
+  // duplicate: applied before; gap: events before it are missing; malformed: see `fault`.
+  enum class EventResult { applied, duplicate, gap, malformed };
   struct Change {
-    EventResult result = EventResult::broken;
+    EventResult result = EventResult::malformed;
     EndpointUpdate update = EndpointUpdate::delta;
     std::vector<DiscoveredEndpoint> endpoints;
     std::string fault;
   };
   // Loads the events of a configuration; returns their result as one cached list.
-  Change known(const nlohmann::json& known);
+  Change load_cached(const nlohmann::json& known);
   // Applies one event of the stream. Where `gap_allowed`, it is applied even if events before it are missing.
-  Change event(std::string_view id, std::string_view data, bool gap_allowed);
+  Change apply_event(std::string_view id, std::string_view data, bool gap_allowed);
   // Applies the events of a reloaded configuration that have not been applied yet, in order, up to a gap or a
   // malformed event. Calls `on_applied` for each.
   void apply_newer(const nlohmann::json& known, const std::function<void(const Change&)>& on_applied);
   // Records that the source of the list has sent data; `is_current` means that by then everything that it had
   // to report has been received.
-  void heard(TimePoint now, bool is_current) { start_times_.heard(now, has_endpoints_ && is_current); }
+  void on_data_received(TimePoint now, bool is_current) {
+    start_times_.on_data_received(now, has_endpoints_ && is_current);
+  }
   // The version of the last applied event, after which the stream resumes.
   std::int64_t resume_version() const { return resume_version_; }
   bool has_endpoints() const { return has_endpoints_; }
@@ -71,7 +73,7 @@
 };
 
 // The connection to the command channel; applies the events of the stream to an EndpointList.
-class EndpointWatch final : public Connection::Listener, public EventStreamReader::Listener {
+class EndpointListClient final : public Connection::Listener, public EventStreamReader::Listener {
  public:
   class Listener {
    public:
@@ -79,8 +81,9 @@
     virtual void on_endpoints_changed(EndpointUpdate update,
                                       const std::vector<DiscoveredEndpoint>& endpoints) = 0;
   };
-  EndpointWatch(Loop& loop, std::string address, EndpointList& list, Listener& listener, Counters& counters);
-  ~EndpointWatch() override;
+  EndpointListClient(Loop& loop, std::string address, EndpointList& list, Listener& listener,
+                     Counters& counters);
+  ~EndpointListClient() override;
   void open();
   // Reconnects to another address of the channel; the versions of the events continue.
   void set_address(std::string address);
--- a/src/engines/engine_pool.cpp
+++ b/src/engines/engine_pool.cpp
@@ -35,7 +35,7 @@
 
   EngineId engine() const { return engine_; }
   std::unique_ptr<Connection> release_connection() { return std::move(connection_); }
-  std::size_t attempt_count() const { return session_.open() + unsent_requests_.size(); }
+  std::size_t attempt_count() const { return session_.open_attempt_count() + unsent_requests_.size(); }
   bool opened() const { return connection_->opened(); }
   bool may_still_answer(std::string_view id) const { return session_.may_still_answer(id); }
   TimePoint idle_since() const { return idle_since_; }
@@ -340,7 +340,7 @@
   if (it == endpoints_.end()) return {};
   SocketStats socket_stats{it->second.address, it->second.connections.size(), 0, 0};
   for (const auto& connection : it->second.connections) {
-    socket_stats.dispatches += connection->attempt_count();
+    socket_stats.outstanding_attempts += connection->attempt_count();
     socket_stats.unsent_requests += connection->unsent_requests();
   }
   return socket_stats;
--- a/src/engines/engine_pool.h
+++ b/src/engines/engine_pool.h
@@ -57,7 +57,7 @@
   // The state of the sockets to one engine.
   struct SocketStats {
     std::string address;
-    std::size_t connections = 0, dispatches = 0, unsent_requests = 0;
+    std::size_t connections = 0, outstanding_attempts = 0, unsent_requests = 0;
   };
   SocketStats socket_stats(EngineId engine) const;
   std::size_t connections() const { return connections_; }
--- a/src/engines/engine_session.h
+++ b/src/engines/engine_session.h
@@ -96,7 +96,7 @@
   // is none, or where it is not `only`.
   std::optional<std::pair<AttemptId, std::size_t>> retract_unsent(
       std::uint64_t bytes_written, std::optional<AttemptId> only = std::nullopt);
-  std::size_t open() const { return open_.size(); }
+  std::size_t open_attempt_count() const { return open_.size(); }
   // Whether an answer under this id may still arrive, for an open attempt or as a late or duplicate answer.
   bool may_still_answer(std::string_view id) const;
   // Whether an answer has begun but is incomplete: a part of its bytes, or a result with missing pages.
--- a/src/engines/start_times.h
+++ b/src/engines/start_times.h
@@ -20,7 +20,7 @@
 
   // Records that the source of the list has sent data at `now`; `is_current` means that by then everything
   // that it has to report has been received.
-  void heard(TimePoint now, bool is_current) {
+  void on_data_received(TimePoint now, bool is_current) {
     current_until_ = last_current_;
     if (is_current) last_current_ = now;
     now_ = now;
--- a/src/front/arrival_times.h
+++ b/src/front/arrival_times.h
@@ -15,13 +15,13 @@
  public:
   // Records that all bytes of the connection before offset `up_to` had arrived by `read`, and that none of
   // the new ones arrived before `at`.
-  void came(std::uint64_t up_to, TimePoint at, TimePoint read) {
+  void record(std::uint64_t up_to, TimePoint at, TimePoint read) {
     constexpr std::chrono::milliseconds resolution(10);
     if (!arrivals_.empty() && at - arrivals_.back().at < resolution)
       arrivals_.back().up_to = up_to, arrivals_.back().read = read;
     else arrivals_.push_back({up_to, at, read});
   }
-  void came(std::uint64_t up_to, TimePoint at) { came(up_to, at, at); }
+  void record(std::uint64_t up_to, TimePoint at) { record(up_to, at, at); }
   // Returns the earliest time at which the last byte before `offset` may have arrived, `otherwise` where it
   // is not recorded. Forgets the bytes before it.
   TimePoint of(std::uint64_t offset, TimePoint otherwise) {
--- a/src/front/client.h
+++ b/src/front/client.h
@@ -38,7 +38,7 @@
     // Bytes that are read in the same turn as the connection was accepted may have arrived with it.
     if (http_.received_bytes() == 0 && at <= state_since_) at = std::min(at, connected_since_);
     const TimePoint now = front_.loop_.now();
-    arrivals_.came(http_.received_bytes() + bytes.size(), std::min(at, now), now);
+    arrivals_.record(http_.received_bytes() + bytes.size(), std::min(at, now), now);
     http_.feed(bytes);
     if (!connection_->paused()) paused_since_.reset();
     apply_backpressure();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -57,7 +57,7 @@
                counters),
       manager_(deployment_.service, seed, *this) {
   counters_.rules.configure(deployment_.service);
-  loop.after_each_poll([this] { return !arrivals_.empty(); }, [this] { submit_settled(); });
+  loop.after_each_poll([this] { return !arrivals_.empty(); }, [this] { submit_released(); });
   sweep();
 }
 
@@ -73,10 +73,10 @@
   retract_unsent_attempts(id, request);
   statement_bytes_ -= request.statement.size();
   request.statement = {};
-  if (awaiting_order_.erase(id) > 0) arrivals_.withdrawn(id);
+  if (awaiting_order_.erase(id) > 0) arrivals_.on_request_cancelled(id);
 }
 
-std::string Front::counters_now() {
+std::string Front::counters_as_json() {
   counters_.open_jobs = requests_.size(), counters_.open_clients = clients_.size();
   counters_.open_engine_connections = engines_.connections();
   counters_.failed_events = loop_.failed_events();
@@ -204,7 +204,7 @@
   if (it != requests_.end() && !it->second.waiting_client) on_client_unreachable(id);
 }
 
-bool Front::idle() const {
+bool Front::is_idle() const {
   if (unanswered_requests_ > 0) return false;
   const TimePoint now = loop_.now();
   return std::ranges::none_of(requests_, [&](const auto& one) {
@@ -213,7 +213,7 @@
   });
 }
 
-bool Front::all_written() const {
+bool Front::has_written_all() const {
   return loop_.all_written() && std::ranges::all_of(clients_, [](const auto& one) {
            return one.second->connection().waiting() == 0;
          });
@@ -255,7 +255,7 @@
     const bool up = ready_ && !draining_;
     return respond(client.id(), up ? 200 : 503, "", up ? R"({"up":true})" : R"({"up":false})");
   }
-  if (target == "/counters" && method == "GET") return respond(client.id(), 200, "", counters_now());
+  if (target == "/counters" && method == "GET") return respond(client.id(), 200, "", counters_as_json());
   if (target.starts_with(submit_path_prefix)) {
     if (method == "POST")
       return accept_request(client, percent_decoded(target.substr(target.rfind('/') + 1)), message);
@@ -362,11 +362,11 @@
     return one.second.get() != &client && one.second->may_have_buffered_request_of(key);
   });
   awaiting_order_.emplace(request.id, arrived);
-  arrivals_.came({request.id, *request.key, earliest, latest, now});
+  arrivals_.on_request_read({request.id, *request.key, earliest, latest, now});
 }
 
-void Front::submit_settled() {
-  for (const ArrivalOrder::Settled& settled : arrivals_.settle(loop_.now(), loop_.read_up_to())) {
+void Front::submit_released() {
+  for (const ArrivalOrder::ReleasedRequest& settled : arrivals_.release(loop_.now(), loop_.read_up_to())) {
     const auto at = awaiting_order_.find(settled.id);
     Request request = at->second;
     awaiting_order_.erase(at);
@@ -482,14 +482,14 @@
   for (Client* client : idle) drop(*client, ClientCloseReason::manager_ends);
 }
 
-void Front::answer_all() {
+void Front::answer_open_requests() {
   if (closing_) return;
   closing_ = true;
   // Requests whose arrival order is not settled have to be answered, too.
   const auto unsettled = std::exchange(awaiting_order_, {});
-  for (const auto& [id, request] : unsettled) arrivals_.withdrawn(id);
+  for (const auto& [id, request] : unsettled) arrivals_.on_request_cancelled(id);
   for (const auto& [id, request] : std::map(unsettled.begin(), unsettled.end())) submit(request);
-  manager_.closing(loop_.now());
+  manager_.on_shutdown(loop_.now());
 }
 
 void Front::sweep() {
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -25,7 +25,7 @@
 
 namespace pearchute::net {
 
-class Front final : public DecisionSink, public EnginePool::Listener, public EndpointWatch::Listener {
+class Front final : public DecisionSink, public EnginePool::Listener, public EndpointListClient::Listener {
  public:
   Front(Loop& loop, const service::Deployment& deployment, std::uint64_t seed, std::size_t descriptors,
         std::size_t memory, Counters& counters);
@@ -33,14 +33,14 @@
   void on_client_accepted(const Poco::Net::StreamSocket& socket);
   void set_ready(bool ready) { ready_ = ready; }
   // Whether all requests are answered and no client is expected to fetch an answer by its path.
-  bool idle() const;
-  bool all_written() const;  // whether all answers have been handed to the system
-  std::string counters_now();
+  bool is_idle() const;
+  bool has_written_all() const;  // whether all answers have been handed to the system
+  std::string counters_as_json();
   // Gives all open requests their final answer now; rejects requests that arrive later.
-  void answer_all();
+  void answer_open_requests();
   // Sends no more attempts to engines: the WorkloadManager rejects the queued requests, attempts that are
   // sent may still end.
-  void send_nothing() { sending_nothing_ = true; }
+  void stop_sending() { sending_stopped_ = true; }
   // Closes idle connections now and the others after their next answer, so that clients reconnect to another
   // manager.
   void close_idle_connections();
@@ -55,10 +55,10 @@
   struct RequestView {
     const std::string& id;
     const std::string& type;
-    Duration age{}, left{};
-    int dispatches = 0;
-    std::vector<EngineId> out;
-    WorkloadManager::QueuedFor waits{};
+    Duration age{}, time_left{};
+    int attempt_count = 0;
+    std::vector<EngineId> engines;
+    WorkloadManager::QueuedFor queued_for{};
   };
   std::size_t open_requests() const { return unanswered_requests_; }
   std::size_t queued_requests() const { return manager_.queued_requests(); }
@@ -71,7 +71,7 @@
                                               const EnginePool::SocketStats&, Duration oldest)>& visit) const;
 
   // DecisionSink
-  void dispatch(RequestId request, EngineId engine, Duration time_limit) override;
+  void send_attempt(RequestId request, EngineId engine, Duration time_limit) override;
   void set_execution_terms(RequestId request, double grant_mb, int priority) override;
   void limit_send_delay(RequestId request, Duration span) override;
   void cancel_attempt(RequestId request, int number) override;
@@ -83,7 +83,7 @@
   void subscribe_endpoints() override {}  // the command channel sends the endpoint list without a request
   void trace_event(std::string_view text) override;
 
-  // EnginePool::Listener and EndpointWatch::Listener
+  // EnginePool::Listener and EndpointListClient::Listener
   std::optional<Outcome> check_before_send(const PendingSend& pending) override;
   void on_attempt_ended(AttemptId attempt, Outcome outcome, std::vector<std::string> pages) override;
   void on_attempt_progress(AttemptId attempt, double share_done) override;
@@ -135,7 +135,7 @@
   void accept_request(Client& client, std::string_view kind, Message& message);
   void submit(const Request& request);
   void submit_in_order(Client& client, const Request& request, std::string_view key);
-  void submit_settled();
+  void submit_released();
   void on_client_left(Client& client, ClientCloseReason reason);
   // Treats the client of a request as disconnected unless it waits on a connection.
   void disconnect_if_unattended(RequestId id);
@@ -170,7 +170,7 @@
   std::map<EngineId, std::string> engine_names_;
   std::size_t max_clients_, max_unparsed_bytes_;
   std::size_t statement_bytes_ = 0;  // of the unanswered requests
-  bool ready_ = false, closing_ = false, closing_idle_connections_ = false, sending_nothing_ = false,
+  bool ready_ = false, closing_ = false, closing_idle_connections_ = false, sending_stopped_ = false,
        draining_ = false;
   std::unordered_map<RequestId, OpenRequest> requests_;
   std::size_t unanswered_requests_ = 0;
--- a/src/front/front_engines.cpp
+++ b/src/front/front_engines.cpp
@@ -29,7 +29,7 @@
   if (it != requests_.end()) it->second.send_deadline = loop_.now() + delay;
 }
 
-void Front::dispatch(RequestId id, EngineId engine, Duration time_limit) {
+void Front::send_attempt(RequestId id, EngineId engine, Duration time_limit) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   OpenRequest& request = it->second;
@@ -41,7 +41,7 @@
   const auto name = engine_names_.find(engine);
   request.open_attempts.push_back(
       {attempt.index, now, engine, name == engine_names_.end() ? std::string("?") : name->second, false});
-  if (request.answered || sending_nothing_ || deadline <= now || is_forbidden) {
+  if (request.answered || sending_stopped_ || deadline <= now || is_forbidden) {
     loop_.post([this, attempt] { on_attempt_ended(attempt, Outcome::not_sent, {}); });
     return;
   }
@@ -212,8 +212,8 @@
                      request.attempt_count,
                      {},
                      {}};
-    for (const SentAttempt& sent : request.open_attempts) view.out.push_back(sent.engine);
-    view.waits = manager_.queued_for(now, oldest[i].second);
+    for (const SentAttempt& sent : request.open_attempts) view.engines.push_back(sent.engine);
+    view.queued_for = manager_.queued_for(now, oldest[i].second);
     visit(view);
   }
 }
@@ -240,14 +240,14 @@
       age = std::max(age, now - sent.submitted_at);
     }
   }
-  manager_.tell_engines(now, [&](const Engine& engine, const WorkloadManager::EngineEstimate& estimate) {
+  manager_.visit_engines(now, [&](const Engine& engine, const WorkloadManager::EngineEstimate& estimate) {
     const auto at = oldest.find(engine.id());
     visit(engine, estimate, engines_.socket_stats(engine.id()),
           at == oldest.end() ? Duration(0) : at->second);
   });
 }
 
-// ---- EnginePool::Listener and EndpointWatch::Listener ----
+// ---- EnginePool::Listener and EndpointListClient::Listener ----
 
 void Front::on_attempt_ended(AttemptId attempt, Outcome outcome, std::vector<std::string> pages) {
   const auto it = requests_.find(attempt.request);
--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -15,7 +15,7 @@
 
 namespace pearchute::lab {
 
-class HollowManager final : public admin::CallHandler, public net::EndpointWatch::Listener {
+class HollowManager final : public admin::CallHandler, public net::EndpointListClient::Listener {
  public:
   struct Spec {
     std::string name, admin_path;
@@ -52,7 +52,7 @@
   bool channel_renamed_ = false;
   net::Counters counters_;
   net::EndpointList list_;
-  net::EndpointWatch feed_;
+  net::EndpointListClient feed_;
   std::map<std::string, std::string> engines_;  // their addresses, by name
   std::map<std::string, std::unique_ptr<EngineConnection>> connections_;
   std::unique_ptr<admin::AdminServer> admin_server_;
--- a/src/lab/simulations/many_managers.cpp
+++ b/src/lab/simulations/many_managers.cpp
@@ -135,7 +135,7 @@
     }
   }
 
-  void dispatch(RequestId job, EngineId engine, Duration) override {
+  void send_attempt(RequestId job, EngineId engine, Duration) override {
     Open& open = jobs.at(job);
     auto& machine = all.machines[engine.value - 1];
     machine.got.push_back({all.now, open.work_ms});
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -71,7 +71,7 @@
     return type;
   }
 
-  void dispatch(RequestId request, EngineId engine, Duration time_limit) override {
+  void send_attempt(RequestId request, EngineId engine, Duration time_limit) override {
     begin("TRANSMIT").add("handle", request.value).add("engine", engine.value);
     if (time_limit > Duration(0)) add("giveUpAfter", time_limit.count());
     end();
--- a/tests/decision_calls.h
+++ b/tests/decision_calls.h
@@ -197,15 +197,15 @@
                             well ? Outcome::succeeded : Outcome::unreachable, Duration(1000), LoadReport{});
   }
   void on_wakeup(Microseconds now, std::uint64_t mark) { manager_.on_wakeup(at(now), mark); }
-  void closing(Microseconds now) { manager_.closing(at(now)); }
+  void on_shutdown(Microseconds now) { manager_.on_shutdown(at(now)); }
 
   // The estimates of the manager as text.
   std::string beliefs(Microseconds now) const {
     std::string text;
-    manager_.tell_engines(at(now), [&](const auto& engine, const auto& estimate) {
+    manager_.visit_engines(at(now), [&](const auto& engine, const auto& estimate) {
       char line[160];
       std::snprintf(line, sizeof line, "engine %u slots %.17g capacity %.17g cold %d\n", engine.id().value,
-                    estimate.slots, estimate.capacity_mb, estimate.is_cold ? 1 : 0);
+                    estimate.slots, estimate.capacity_mb, estimate.is_warming_up ? 1 : 0);
       text += line;
     });
     char line[120];
@@ -230,7 +230,7 @@
   }
 
  private:
-  void dispatch(RequestId request, EngineId engine, Duration time_limit) override {
+  void send_attempt(RequestId request, EngineId engine, Duration time_limit) override {
     world_.act("transmit " + std::to_string(request.value) + " " + std::to_string(engine.value) + " " +
                std::to_string(time_limit.count()));
     world_.attempt_begins(request.value, static_cast<int>(engine.value));
@@ -396,12 +396,12 @@
  public:
   void came(std::uint64_t id, std::uint64_t key, Microseconds earliest, Microseconds latest,
             Microseconds read) {
-    order_.came({RequestId{id}, OrderKey{key}, at(earliest), at(latest), at(read)});
+    order_.on_request_read({RequestId{id}, OrderKey{key}, at(earliest), at(latest), at(read)});
   }
-  void withdrawn(std::uint64_t id) { order_.withdrawn(RequestId{id}); }
+  void withdrawn(std::uint64_t id) { order_.on_request_cancelled(RequestId{id}); }
   std::string settle(Microseconds now, Microseconds read_up_to) {
     std::string text = "settled";
-    for (const auto& one : order_.settle(at(now), at(read_up_to))) {
+    for (const auto& one : order_.release(at(now), at(read_up_to))) {
       text += " " + std::to_string(one.id.value) + (one.arrival_order_known ? "" : "?");
     }
     if (!order_.empty())
--- a/tests/manager_fixture.h
+++ b/tests/manager_fixture.h
@@ -35,7 +35,7 @@
   int priority = 1;
   TimePoint now{};
 
-  void dispatch(RequestId request, EngineId engine, Duration) override {
+  void send_attempt(RequestId request, EngineId engine, Duration) override {
     sent.push_back({request, engine, grant_mb, priority});
   }
   void set_execution_terms(RequestId, double new_grant_mb, int new_priority) override {
--- a/tests/test_characterization_decisions.cpp
+++ b/tests/test_characterization_decisions.cpp
@@ -176,7 +176,7 @@
       if (events_ % 1201 == 0) relist();
     }
     note("closing\n");
-    manager_.closing(now_);
+    manager_.on_shutdown(now_);
     note(manager_.beliefs(now_));
   }
   std::uint64_t digest() const { return digest_.value(); }
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -211,7 +211,7 @@
     ManagerFixture fixture(service, 1);
     const auto threads = [&] {
       int reserved = 0;
-      fixture.manager.tell_engines(fixture.now, [&](const Engine& engine, const auto&) {
+      fixture.manager.visit_engines(fixture.now, [&](const Engine& engine, const auto&) {
         reserved = engine.ledger.reserved_threads();
       });
       return reserved;
--- a/tests/test_many.cpp
+++ b/tests/test_many.cpp
@@ -96,8 +96,8 @@
   ManagerFixture fixture(service, 8);
   const auto slots = [&] {
     double all = 0;
-    fixture.manager.tell_engines(fixture.now,
-                                 [&](const Engine&, const auto& estimate) { all += estimate.slots; });
+    fixture.manager.visit_engines(fixture.now,
+                                  [&](const Engine&, const auto& estimate) { all += estimate.slots; });
     return all;
   };
   const double before = slots();
--- a/tests/test_rule_guard.cpp
+++ b/tests/test_rule_guard.cpp
@@ -91,9 +91,9 @@
 void arrivals() {
   ArrivalTimes times;
   assert(times.of(10, at(seconds(9))) == at(seconds(9)));  // no arrival is recorded
-  times.came(100, at(seconds(1)));
-  times.came(150, at(milliseconds(1005)));  // close enough to count as arrived with the first
-  times.came(300, at(seconds(2)));
+  times.record(100, at(seconds(1)));
+  times.record(150, at(milliseconds(1005)));  // close enough to count as arrived with the first
+  times.record(300, at(seconds(2)));
   assert(times.of(120, {}) == at(seconds(1)));
   assert(times.of(150, {}) == at(seconds(1)));
   assert(times.of(151, {}) == at(seconds(2)));
@@ -106,33 +106,37 @@
   };
   const EngineId one{1}, other{2}, third{3};
   StartTimes clock_is_right(unix_time(seconds(0)));
-  clock_is_right.heard(TimePoint(seconds(0)), true), clock_is_right.heard(TimePoint(seconds(10)), true),
-      clock_is_right.heard(TimePoint(seconds(11)), true);
+  clock_is_right.on_data_received(TimePoint(seconds(0)), true),
+      clock_is_right.on_data_received(TimePoint(seconds(10)), true),
+      clock_is_right.on_data_received(TimePoint(seconds(11)), true);
   assert(clock_is_right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
   // The list could not have omitted an engine of this age, so this machine's clock is assumed to be ahead.
   assert(clock_is_right.start_of(other, unix_time(seconds(-600))) == TimePoint(seconds(11)));
   clock_is_right.forget(one);  // and the engine is listed again
   assert(clock_is_right.start_of(one, unix_time(seconds(9))) == TimePoint(seconds(9)));
   // The start time of an engine that started while the list was not current is accepted.
-  clock_is_right.heard(TimePoint(seconds(40)), false), clock_is_right.heard(TimePoint(seconds(40)), false);
+  clock_is_right.on_data_received(TimePoint(seconds(40)), false),
+      clock_is_right.on_data_received(TimePoint(seconds(40)), false);
   assert(clock_is_right.start_of(third, unix_time(seconds(20))) == TimePoint(seconds(20)));
   // The start times in the first list are accepted, too.
   StartTimes without_list(unix_time(seconds(0)));
-  without_list.heard(TimePoint(seconds(0)), false), without_list.heard(TimePoint(seconds(30)), false);
+  without_list.on_data_received(TimePoint(seconds(0)), false),
+      without_list.on_data_received(TimePoint(seconds(30)), false);
   assert(without_list.start_of(one, unix_time(seconds(-600))) == TimePoint(seconds(-600)));
   StartTimes clock_is_behind(unix_time(seconds(-3600)));
-  clock_is_behind.heard(TimePoint(seconds(0)), false);
+  clock_is_behind.on_data_received(TimePoint(seconds(0)), false);
   assert(clock_is_behind.start_of(one, unix_time(seconds(-60))) ==
          TimePoint(seconds(0)));  // no start time is in the future
   assert(clock_is_behind.start_of(other, unix_time(seconds(-70))) == TimePoint(seconds(-10)));
   assert(clock_is_behind.start_of(one, unix_time(seconds(-60))) ==
          TimePoint(seconds(0)));  // the same when repeated
   StartTimes clock_is_ahead(unix_time(seconds(3600)));
-  clock_is_ahead.heard(TimePoint(seconds(0)), true), clock_is_ahead.heard(TimePoint(seconds(10)), true);
+  clock_is_ahead.on_data_received(TimePoint(seconds(0)), true),
+      clock_is_ahead.on_data_received(TimePoint(seconds(10)), true);
   assert(clock_is_ahead.start_of(third, unix_time(seconds(10))) == TimePoint(seconds(10)));
   StartTimes clock_is_slightly_behind(unix_time(milliseconds(-500)));
-  clock_is_slightly_behind.heard(TimePoint(seconds(0)), true),
-      clock_is_slightly_behind.heard(TimePoint(seconds(1)), true);
+  clock_is_slightly_behind.on_data_received(TimePoint(seconds(0)), true),
+      clock_is_slightly_behind.on_data_received(TimePoint(seconds(1)), true);
   assert(clock_is_slightly_behind.start_of(one, unix_time(seconds(1))) ==
          TimePoint(milliseconds(1500)));  // small differences between clocks are not corrected
 }
@@ -288,7 +292,7 @@
   using Settled = std::vector<std::pair<std::uint64_t, bool>>;
   struct Case {
     const char* name;
-    std::vector<ArrivalOrder::Call> calls;
+    std::vector<ArrivalOrder::Arrival> calls;
     TimePoint now, read_up_to;
     Settled settled;
   };
@@ -335,17 +339,17 @@
   };
   for (const Case& one : cases) {
     ArrivalOrder order;
-    for (const ArrivalOrder::Call& call : one.calls) order.came(call);
+    for (const ArrivalOrder::Arrival& call : one.calls) order.on_request_read(call);
     Settled settled;
-    for (const ArrivalOrder::Settled& call : order.settle(one.now, one.read_up_to))
+    for (const ArrivalOrder::ReleasedRequest& call : order.release(one.now, one.read_up_to))
       settled.emplace_back(call.id.value, call.arrival_order_known);
     if (settled != one.settled) std::fprintf(stderr, "%s\n", one.name);
     assert(settled == one.settled);
     assert(order.empty() == (settled.size() == one.calls.size()));
   }
   ArrivalOrder order;
-  order.came({RequestId{1}, key, at(1), at(2), at(2)});
-  order.withdrawn(RequestId{1});
+  order.on_request_read({RequestId{1}, key, at(1), at(2), at(2)});
+  order.on_request_cancelled(RequestId{1});
   assert(order.empty());
 }
 
--- a/tests/test_rules.cpp
+++ b/tests/test_rules.cpp
@@ -375,7 +375,7 @@
   for (int id = 1; id <= 60; ++id) fixture.add_request(id, id % 2, 400);
   fixture.end_attempt(2, Outcome::succeeded);
   assert(fixture.sink.sent.size() < 60);  // some are sent, some are queued
-  fixture.manager.closing(fixture.now), fixture.manager.closing(fixture.now);
+  fixture.manager.on_shutdown(fixture.now), fixture.manager.on_shutdown(fixture.now);
   for (int id = 1; id <= 60; ++id) {
     assert(fixture.final_answers(id) == (id == 2 ? 0 : 1));
     if (id % 2 == 1 && id != 2 && fixture.attempt_count(id) > 0) assert(fixture.is_failed(id));
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -200,7 +200,7 @@
     assert(recorder.text.empty() && session.may_still_answer(id));
     assert(session.feed(c.bytes, out));
     if (c.is_abandoned) session.abandon(attempt);
-    assert(recorder.text == c.expected && session.may_still_answer(id) && session.open() == 0);
+    assert(recorder.text == c.expected && session.may_still_answer(id) && session.open_attempt_count() == 0);
     session.abandon(attempt), session.on_connection_lost(0);
     assert(recorder.text == c.expected);
   }
@@ -255,7 +255,7 @@
                     R"("phase":"active","up_since_ms":3000})";
   const char* left = R"({"id":"s-1","phase":"left"})";
   const auto cached =
-      list.known(nlohmann::json::parse(R"({"cursor":2,"cmds":[)" + event(1, "true", one) + "]}"));
+      list.load_cached(nlohmann::json::parse(R"({"cursor":2,"cmds":[)" + event(1, "true", one) + "]}"));
   assert(cached.update == EndpointUpdate::cached && cached.endpoints.size() == 1 &&
          list.resume_version() == 2);
   assert(cached.endpoints[0].engine.started_at == TimePoint(Duration(2'000'000)) &&
@@ -267,29 +267,29 @@
     EndpointList::EventResult result;
   };
   using EventResult = EndpointList::EventResult;
-  const Case cases[] = {{"2", event(2, "false", left), false, EventResult::old},
-                        {"4", event(4, "false", left), false, EventResult::gap},
-                        {"3", "{", false, EventResult::broken},
-                        {"3", R"({"cursor":3})", false, EventResult::broken},
-                        {"3", event(3, "false", R"({"id":"s-1","phase":"odd"})"), false, EventResult::broken},
-                        {"3", event(3, "false", R"({"id":7,"phase":"left"})"), false, EventResult::broken},
-                        {"x", event(3, "false", left), false, EventResult::applied},
-                        {"5", event(5, "false", one), true, EventResult::applied},
-                        {"9", event(9, "true", one), false, EventResult::applied}};
-  for (const Case& c : cases) assert(list.event(c.id, c.data, c.gap_allowed).result == c.result);
+  const Case cases[] = {
+      {"2", event(2, "false", left), false, EventResult::duplicate},
+      {"4", event(4, "false", left), false, EventResult::gap},
+      {"3", "{", false, EventResult::malformed},
+      {"3", R"({"cursor":3})", false, EventResult::malformed},
+      {"3", event(3, "false", R"({"id":"s-1","phase":"odd"})"), false, EventResult::malformed},
+      {"3", event(3, "false", R"({"id":7,"phase":"left"})"), false, EventResult::malformed},
+      {"x", event(3, "false", left), false, EventResult::applied},
+      {"5", event(5, "false", one), true, EventResult::applied},
+      {"9", event(9, "true", one), false, EventResult::applied}};
+  for (const Case& c : cases) assert(list.apply_event(c.id, c.data, c.gap_allowed).result == c.result);
   assert(list.resume_version() == 9);
   // The names of replaced engines are forgotten.
   for (int number = 10; number < 1000; number += 2) {
     const std::string name = R"({"id":"t-)" + std::to_string(number);
     const std::string up = name + R"(","host_port":"127.0.0.1:1","phase":"active"})";
-    assert(list.event("", event(number, "false", up.c_str()), false).result == EventResult::applied);
+    assert(list.apply_event("", event(number, "false", up.c_str()), false).result == EventResult::applied);
     assert(list.name_count() == 2);
-    assert(
-        list.event("", event(number + 1, "false", (name + R"(","phase":"left"})").c_str()), false).result ==
-        EventResult::applied);
+    assert(list.apply_event("", event(number + 1, "false", (name + R"(","phase":"left"})").c_str()), false)
+               .result == EventResult::applied);
   }
   assert(list.name_count() == 1);
-  assert(list.event("", event(2000, "true", ""), false).result == EventResult::applied &&
+  assert(list.apply_event("", event(2000, "true", ""), false).result == EventResult::applied &&
          list.name_count() == 0);
 }
 
