--- a/src/lab/scale/hollow_manager.h
+++ b/src/lab/scale/hollow_manager.h
@@ -15,7 +15,7 @@
 
 namespace pearchute::lab {
 
-class HollowManager final : public admin::CallHandler, public net::EndpointWatch::Listener {
+class HollowManager final : public admin::CallHandler, public net::EndpointListClient::Listener {
  public:
   struct Spec {
     std::string name, admin_path;
@@ -52,7 +52,7 @@
   bool has_alternate_address_ = false;
   net::Counters counters_;
   net::EndpointList endpoint_list_;
-  net::EndpointWatch endpoint_watch_;
+  net::EndpointListClient endpoint_watch_;
   std::map<std::string, std::string> engines_;  // addresses of the engines that are up, by name
   std::map<std::string, std::unique_ptr<EngineConnection>> connections_;
   std::unique_ptr<admin::AdminServer> admin_server_;
--- a/src/lab/simulations/many_managers.cpp
+++ b/src/lab/simulations/many_managers.cpp
@@ -142,7 +142,7 @@
     }
   }
 
-  void dispatch(RequestId request, EngineId to, Duration) override {
+  void send_attempt(RequestId request, EngineId to, Duration) override {
     OpenRequest& open = requests.at(request);
     auto& engine = simulation.engines[to.value - 1];
     engine.received.push_back({simulation.now, open.work_ms});
