--- a/src/lab/scale/hollow_manager.cpp
+++ b/src/lab/scale/hollow_manager.cpp
@@ -106,8 +106,8 @@
   admin_server_.reset();
   connections_.clear();
   open_admin_channel();
-  // EndpointWatch reconnects only if the text of the address changes, so a leading zero is added to the port
-  // and removed again in turn.
+  // EndpointListClient reconnects only if the text of the address changes, so a leading zero is added to the
+  // port and removed again in turn.
   has_alternate_address_ = !has_alternate_address_;
   std::string channel = spec_.channel;
   if (has_alternate_address_) channel.insert(channel.rfind(':') + 1, "0");
