--- a/src/drill/fields.h
+++ b/src/simulator_adapter/fields.h
@@ -1,15 +1,16 @@
-// One line of the simulator's wire: a message name and name=value pairs, set apart by tabs. It refers to the
-// line that it was read from.
+// One line of the simulator protocol: a message name and name=value pairs, separated by tabs.
 #pragma once
 
 #include <string_view>
 
 #include "service/named_values.h"
 
-namespace pearchute::drill {
+namespace pearchute::simulator_adapter {
 
+// The parsed fields of one line. Refers to the line, which must outlive it.
 class Fields {
  public:
+  // Replaces the fields by those of `line`. Throws Malformed where a field is not name=value.
   void read(std::string_view line) {
     values_.clear();
     std::size_t tab = line.find('\t');
@@ -24,8 +25,8 @@
   const service::NamedValues& values() const { return values_; }
   std::optional<std::string_view> text(std::string_view name) const { return values_.text(name); }
   std::string_view required_text(std::string_view name) const { return values_.required_text(name); }
-  std::optional<std::int64_t> whole(std::string_view name) const { return values_.whole(name); }
-  std::int64_t required_whole(std::string_view name) const { return values_.required_whole(name); }
+  std::optional<std::int64_t> integer(std::string_view name) const { return values_.whole(name); }
+  std::int64_t required_integer(std::string_view name) const { return values_.required_whole(name); }
   std::optional<double> number(std::string_view name) const { return values_.number(name); }
   bool flag(std::string_view name) const { return values_.flag(name); }
 
@@ -34,4 +35,4 @@
   service::NamedValues values_;
 };
 
-}  // namespace pearchute::drill
+}  // namespace pearchute::simulator_adapter
--- a/tests/test_capacity.cpp
+++ b/tests/test_capacity.cpp
@@ -57,7 +57,7 @@
        {"'managers': expected a number and its unit, got 'nan managers'"}},
       {"managers = 630", "manager = 630", {"unknown key 'manager' in [letter]"}},
       {"[assumptions]", "[guesses]", {"unknown section [guesses]"}},
-      {"zones = 7 zones", "zones = 7 zones\nzones = 7 zones", {"'zones' comes twice"}},
+      {"zones = 7 zones", "zones = 7 zones\nzones = 7 zones", {"'zones' is set twice"}},
       {"zones = 7 zones", "zones = 4 zones", {"'zones_of_larger_region' has to be less than 'zones'"}},
       {"engines_connected = 100 %",
        "engines_connected = 101 %",
--- a/tests/test_slope_fits.cpp
+++ b/tests/test_slope_fits.cpp
@@ -175,10 +175,10 @@
        {section, "the driver -80; expected a number of at least 0"}},
       {"point_2 = ", "point_3 = ", {"'point_3'", "out of order"}},
       {"point_2 = 160:111.3\npoint_3 = 320:147.9\npoint_4 = 1024:290.25\n", "", {section, "2 sizes"}},
-      {"role = manager\n", "role = manager\nrole = manager\n", {"'role' comes twice"}},
+      {"role = manager\n", "role = manager\nrole = manager\n", {"'role' is set twice"}},
       {"left_out_measured = 225", "left_out_measured = 200", {section, "'left_out_error'"}},
       {"a = ", "a = 1", {section, "'left_out_predicted'"}},
-      {"[manager.statement", "nonsense\n[manager.statement", {":3", "neither"}},
+      {"[manager.statement", "nonsense\n[manager.statement", {":3", "expected [section] or name = value"}},
       {"[manager.statement", "x = 1\n[manager.statement", {"'x' is not in a section"}}};
   for (const Case& one : cases) {
     write_file(scratch_file, with(good, one.from, one.to));
@@ -187,7 +187,7 @@
     expect_parts(error_of([] { read_slopes(scratch_file); }), parts);
   }
   write_file(scratch_file, good + good);
-  expect_parts(error_of([] { read_slopes(scratch_file); }), {scratch_file, "comes twice"});
+  expect_parts(error_of([] { read_slopes(scratch_file); }), {scratch_file, "'role' is set twice in ["});
   expect_parts(error_of([] { read_slopes("not_there.ini"); }), {"not_there.ini", "can't be read"});
 
   Slope unwritable = two_slopes()[0];
