--- a/src/lab/simulations/many_managers.cpp
+++ b/src/lab/simulations/many_managers.cpp
@@ -136,9 +136,9 @@
   }
   void run_wakeups() {
     while (!wakeups.empty() && wakeups.top().first <= own_now()) {
-      const std::uint64_t mark = wakeups.top().second;
+      const std::uint64_t token = wakeups.top().second;
       wakeups.pop();
-      call([&] { manager.on_wakeup(own_now(), mark); });
+      call([&] { manager.on_wakeup(own_now(), token); });
     }
   }
 
@@ -156,8 +156,8 @@
   void cancel_attempt(RequestId request, int number) override { to_cancel.push_back({request, number}); }
   void throttle(RequestId, Duration) override {}
   void fail(RequestId) override {}
-  void schedule_wakeup(Duration delay, std::uint64_t mark) override {
-    wakeups.push({own_now() + delay, mark});
+  void schedule_wakeup(Duration delay, std::uint64_t token) override {
+    wakeups.push({own_now() + delay, token});
   }
   void probe(EngineId) override {}
   void subscribe_endpoints() override {}
