--- a/src/lab/measurements/measure_budget_leases.cpp
+++ b/src/lab/measurements/measure_budget_leases.cpp
@@ -14,9 +14,8 @@
 
 namespace {
 
-// Runs `number` histories, each with and without lending. Clears `passed` where a window exceeds its budget
-// (with or without lending), a share is lent twice, or lending uses less than 1.5 times what is used without
-// it.
+// Runs each history with and without lending. Clears `passed` where a window exceeds its budget in either
+// run, a share is lent twice, or lending uses less than 1.5 times what is used without it.
 nlohmann::json run_histories(std::uint64_t seed, int histories, BudgetLeaseSimulation::Shape shape,
                              bool& passed) {
   double used = 0, used_without = 0, served = 0, served_without = 0, most_of_limit = 0, decision_us = 0,
--- a/src/lab/measurements/measure_list_scale.cpp
+++ b/src/lab/measurements/measure_list_scale.cpp
@@ -38,9 +38,8 @@
   }
   std::ifstream stat(folder + "/stat");
   std::string stat_text{std::istreambuf_iterator<char>(stat), {}};
-  std::istringstream fields(stat_text.substr(
-      stat_text.rfind(')') +
-      2));  // from the third field on; user and system time are fields 14 and 15, in clock ticks
+  // Starts at the third field; user and system time are fields 14 and 15, in clock ticks.
+  std::istringstream fields(stat_text.substr(stat_text.rfind(')') + 2));
   std::string skipped;
   for (int n = 3; n < 14; ++n) fields >> skipped;
   std::uint64_t user = 0, system = 0;
--- a/src/lab/measurements/measure_managers.cpp
+++ b/src/lab/measurements/measure_managers.cpp
@@ -28,7 +28,7 @@
        {.managers = 300, .engines = 80, .cold = 48, .jobs_per_second = 3, .restart = seconds(3)}},
       {"six in ten cold, no estimates",
        {.managers = 300, .engines = 80, .cold = 48, .jobs_per_second = 3, .estimates = false}},
-      // In the following cases the engines carry as much load as they can bear, every second manager restarts
+      // In the next five cases the engines carry as much load as they can bear, every second manager restarts
       // within the first windows, and the managers learn of the cold engines at times spread over two
       // seconds.
       {"6 managers",
