--- a/src/lab/load/client_connection.h
+++ b/src/lab/load/client_connection.h
@@ -38,9 +38,10 @@
     virtual bool is_within_deadline(const ClientStatement& statement) = 0;
     virtual void on_statement_answered(ClientConnection& connection, StatementAnswer answer,
                                        std::string_view body) = 0;
-    virtual void on_statement_lost(
-        ClientConnection& connection) = 0;  // its connection ended without an answer
-    virtual void on_statement_unreached(ClientConnection& connection) = 0;  // no connection could be opened
+    // The connection ended without an answer.
+    virtual void on_statement_lost(ClientConnection& connection) = 0;
+    // No connection could be opened, or only after the deadline.
+    virtual void on_statement_unreached(ClientConnection& connection) = 0;
     virtual void on_connection_idle(ClientConnection& connection) = 0;
     virtual void on_connection_ended(ClientConnection& connection) = 0;  // the owner must release it
     // An answer arrived while no statement was open.
--- a/src/lab/load/held_connections.h
+++ b/src/lab/load/held_connections.h
@@ -22,8 +22,8 @@
   // Opens connections until there are `count`, and has one check answered on each. Throws SystemError if a
   // connection can't be opened or an answer does not arrive within five seconds.
   void open_up_to(std::size_t count);
-  // Requests a check on each connection, since the manager may close connections that were idle for five
-  // seconds. Throws SystemError if a connection has ended.
+  // Requests a check on each connection, since the manager may close connections that were idle for more
+  // than five seconds. Throws SystemError if a connection has ended.
   void refresh();
   // Sends a statement on each of `count` connections, starting with index `first`, without waiting for
   // answers. Ids count up from `first_id`; each statement claims `work` as its cost.
--- a/src/lab/load/load_checker.h
+++ b/src/lab/load/load_checker.h
@@ -30,7 +30,7 @@
   std::uint64_t rejected_with_advice = 0;
   std::uint64_t rejected_without_advice = 0;
   std::uint64_t failed = 0;
-  std::uint64_t unreached = 0;  // no connection could be opened, so the statement was not sent
+  std::uint64_t unreached = 0;  // no connection could be opened, so the statement did not reach the manager
   std::uint64_t lost = 0;     // no answer until its connection ended, or until lost_slack after its deadline
   std::uint64_t doubled = 0;  // a second answer, or an answer to an unknown statement
   std::uint64_t late = 0;     // an answer more than late_slack after its deadline
@@ -60,9 +60,8 @@
   const LoadCounts& counts(std::size_t group) const { return counts_[group]; }
   // The last group counts the answers to unknown statements.
   std::size_t groups() const { return counts_.size(); }
-  std::uint64_t operations() const {
-    return operations_;
-  }  // on the tables; shows that the cost of a statement is constant
+  // The number of operations on the tables, which shows that the cost of a statement is constant.
+  std::uint64_t operations() const { return operations_; }
 
  private:
   struct Statement {
--- a/src/lab/load/load_generator.h
+++ b/src/lab/load/load_generator.h
@@ -19,8 +19,8 @@
   std::string name = "quick";
   std::string statement = "SELECT work=5 FROM a_1.t";
   std::chrono::milliseconds timeout{2000};
-  double cost_ms = 5;    // the same
-  double memory_mb = 8;  // estimate that the request states
+  double cost_ms = 5;    // estimate in the request
+  double memory_mb = 8;  // estimate in the request
   double weight = 1;     // share of the load, relative to the other classes
 };
 
--- a/src/lab/load/load_result.h
+++ b/src/lab/load/load_result.h
@@ -49,9 +49,9 @@
   LoadCounts stray;                      // answers to unknown statements
   std::uint64_t connections_opened = 0;  // in the whole run
   std::uint64_t connections_most = 0;    // open at the same time; the sum over the threads
-  std::uint64_t connections_turned_away =
-      0;                 // closed by the manager with the status 503 or 408, without an open statement
-  bool finished = true;  // false if statements were still open when the wait for them ended
+  // Closed by the manager with the status 503 or 408, without an open statement.
+  std::uint64_t connections_turned_away = 0;
+  bool finished = true;                 // false if statements were still open when the wait for them ended
   void merge(const LoadResult& other);  // of another thread with the same steps and classes
   LoadCounts counts() const;
   bool is_void() const;  // whether a step is
--- a/src/lab/load/stand_in_engine_pool.h
+++ b/src/lab/load/stand_in_engine_pool.h
@@ -17,10 +17,8 @@
 namespace pearchute::lab {
 
 struct EnginePoolSpec {
-  enum class ServiceTime {
-    fixed,
-    exponential
-  };  // exponential: random, with the statement's time as its mean
+  // exponential: random, with the statement's time as the mean.
+  enum class ServiceTime { fixed, exponential };
   int engines = 2;
   int threads = 2;
   int cores = 8;            // of each engine
