--- a/src/engines/engine_pool.cpp
+++ b/src/engines/engine_pool.cpp
@@ -65,7 +65,8 @@
     if (attempt_count() == 0) return;
     // Guards against a connection that stays open without data, because the engine's machine has failed or
     // answers are lost: its attempts need not wait for their request timeouts. A healthy engine answers the
-    // probe at once, however slow its requests are, so this harms only an engine that doesn't get to read.
+    // probe at once, however slow its requests are. So the connection of a working engine is closed by
+    // mistake only if the engine's process does not read from it in time, for example for lack of CPU time.
     constexpr milliseconds liveness_timeout(300);
     if (probed_at_) {
       if (now - *probed_at_ > liveness_timeout) {
--- a/src/lab/scale/hollow_agent.h
+++ b/src/lab/scale/hollow_agent.h
@@ -1,6 +1,7 @@
-// A hollow agent: the control code of pearchute-agent (ProcessSupervisor, Peers, GossipService,
-// ConfigService) behind a gRPC server on a Unix socket. Many run in one operating-system process. A hollow
-// agent starts no process; it observes a hollow manager over the admin channel.
+// A hollow agent is a simulated one: the real control code of pearchute-agent (ProcessSupervisor, Peers,
+// GossipService, ConfigService) behind a gRPC server on a Unix socket. Many run in one operating-system
+// process. A hollow agent starts no process; over the admin channel it observes a hollow manager, which is a
+// simulated manager without clients.
 #pragma once
 
 #include <atomic>
--- a/src/lab/scale/hollow_hosts.h
+++ b/src/lab/scale/hollow_hosts.h
@@ -1,6 +1,11 @@
-// The operating-system process of one rack of hollow hosts. The laboratory writes one command per line to its
-// standard input, as a JSON object, and reads one JSON object per line from its standard output as the
-// answer. The process ends at the end of its input.
+// The operating-system process of one rack of hollow hosts. A hollow host is simulated: it has a hollow
+// agent, which runs the real control code of pearchute-agent but starts no process, and a hollow manager,
+// which has the real admin channel, endpoint-list subscription and a few engine connections of pearchuted,
+// but no clients.
+//
+// The laboratory writes each command to the standard input of the process, as a JSON object on one line. The
+// process answers each command with a JSON object on one line of its standard output. It ends at the end of
+// its input.
 #pragma once
 
 #include <cstdint>
--- a/src/lab/scale/hollow_rack.h
+++ b/src/lab/scale/hollow_rack.h
@@ -1,4 +1,6 @@
 // The laboratory's side of one process of hollow hosts: starts it, sends it commands, and kills it by its id.
+// A hollow host is a simulated one: it runs the real control code of an agent and a manager, but starts no
+// process and has no clients.
 #pragma once
 
 #include <sys/types.h>
--- a/src/lab/scale/scale_cluster.h
+++ b/src/lab/scale/scale_cluster.h
@@ -1,6 +1,8 @@
 // All processes of a scale run: the command channel with the endpoint list, stand-in engines and clients,
-// real managers under real agents, and racks of hollow hosts. ScaleCluster causes and ends faults, compares
-// the gossip of every agent with the expected state, and kills the processes that it started, by id.
+// real managers under real agents, and racks of hollow hosts. A hollow host is a simulated one: it runs the
+// real control code of an agent and a manager, but starts no process and has no clients. ScaleCluster causes
+// and ends faults, compares the gossip of every agent with the expected state, and kills the processes that
+// it started, by id.
 #pragma once
 
 #include <chrono>
--- a/tests/test_load.cpp
+++ b/tests/test_load.cpp
@@ -332,7 +332,10 @@
 
 // ---- The generator against a faulty manager ----
 
-// Answers each statement with the fault that the name of its class stands for.
+// Stands in for a manager. The generator sends each SQL statement in an HTTP request whose path ends with the
+// name of the statement's request class. That name selects the fault, if any, in the treatment of the
+// statement: "silent" gets no answer, for example, "late" gets its result only after 1200 ms, and "good" gets
+// a correct result at once.
 class FaultyManager {
  public:
   FaultyManager() {
