--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# What a developer or an operator needs day to day. `make packages` installs what the build takes (Debian);
-# `make build` does so by itself where something is missing and it may.
+# Everyday targets for developers and operators. `make packages` installs the packages that the build needs
+# (Debian); `make build` does so itself where one is missing and it runs as root.
 BUILD ?= build
 PACKAGES = cmake g++ make libpoco-dev libspdlog-dev nlohmann-json3-dev libcli11-dev libinih-dev libboost-dev \
   libprotobuf-dev protobuf-compiler libsqlitecpp-dev libsqlite3-dev spin \
   libgrpc++-dev protobuf-compiler-grpc libssl-dev libgtest-dev
-# Headers of the module's and the network code's own; the libraries' are not ours to lint.
+# Only the project's own sources are formatted and linted, not the headers of libraries.
 SOURCES = $(shell find src tests -name '*.cpp')
 
 .PHONY: build needed demo measure model sites test sanitize lint format run counters packages clean
@@ -17,22 +17,23 @@
 	@dpkg -s $(PACKAGES) >/dev/null 2>&1 || { [ "$$(id -u)" = 0 ] && $(MAKE) packages; } || \
 	  { echo "packages are missing; as root: make packages"; exit 1; }
 
-# Stand-ins and two managers on loopback, a few jobs, an engine drained; ends by itself.
+# Runs stand-ins and two managers on loopback, sends statements and drains an engine; ends by itself.
 demo: build
 	$(BUILD)/pearchute-lab demo
 
-# Long: some minutes, with the machine to itself. Figures are kept in docs/measurements.md.
+# Takes some minutes and needs an otherwise idle machine. The figures are kept in docs/measurements.md.
 measure: build
 	$(BUILD)/pearchute-lab measure drain
 	$(BUILD)/pearchute-lab measure fleet-status
 	$(BUILD)/pearchute-lab measure rollout
 
-# Some seconds; installs Spin where it is missing and it may.
+# Checks the Spin models; installs Spin where it is missing and make runs as root.
 model:
 	@command -v spin >/dev/null || { [ "$$(id -u)" = 0 ] && apt-get install -y -qq spin; }
 	model/check
 
-# What the bench wants beside our own site files, from the operators' kit; git ignores it.
+# Copies the files that the bench needs beside this project's site files from the operators' kit; git ignores
+# the copies.
 KIT_SITES ?= ../given/kit/sites
 sites:
 	@for one in real.json wire.json unlock.txt; do \
@@ -48,7 +49,7 @@
 	cmake --build $(BUILD)-sanitized -j4
 	ctest --test-dir $(BUILD)-sanitized --output-on-failure
 
-# What lint runs; each is in the package of its name, run-clang-tidy in clang-tidy's.
+# The tools that lint runs. Each is in the package of its name, except run-clang-tidy, which is in clang-tidy.
 LINT_TOOLS = clang-format cppcheck clang-tidy run-clang-tidy
 LINT_BUILD ?= build-lint
 
